--- a/allotment/duty_test.go
+++ b/allotment/duty_test.go
@@ -48,7 +48,7 @@
 }
 
 func newNode(topics Topics, clock *bootclock.Fake, name, incarnation string) *node {
-	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, TimeOfDay: clock.TimeOfDay()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
+	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
 	events := recorder()
 	return &node{share: share,
 		reporter: NewReporter(share, topics.Spend, name, incarnation, nil, events),
@@ -66,7 +66,7 @@
 	is.NoErr(term.round(ctx))
 	is.NoErr(n.grants.Step(ctx))
 	is.NoErr(n.reporter.Report(ctx))
-	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.ReportFirst)
+	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.ReportRequired)
 	is.NoErr(n.reporter.Report(ctx))
 	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.Reserved)
 }
@@ -154,11 +154,11 @@
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	is.NoErr(topics.Spend.Append(ctx, keyedlog.Fence{}, keyedlog.Record{Key: reportKey("n1", "old"), Value: []byte("torn")}))
-	earlier, err := ReadEarlier(ctx, topics.Spend, "n1", prepaid.Start{BootID: "boot"}, clockwork.NewFakeClock())
+	earlier, err := ReadEarlier(ctx, topics.Spend, "n1", prepaid.ProcessStart{BootID: "boot"}, clockwork.NewFakeClock())
 	is.NoErr(err)
 	is.Equal(len(earlier.Closings), 1)
 	is.Equal(earlier.Closings[0].Incarnation, "old")
-	is.True(!earlier.Closings[0].Known)
+	is.True(!earlier.Closings[0].Bounded)
 }
 
 // FuzzDecode checks that no bytes in the store's topics end a node.
--- a/allotment/grants.go
+++ b/allotment/grants.go
@@ -46,7 +46,7 @@
 		if g.holdings[l.Account] == nil {
 			g.holdings[l.Account] = make(map[string]Holding)
 		}
-		g.holdings[l.Account][grant.Node] = Holding{Ceiling: l.Ceiling, Room: l.Room}
+		g.holdings[l.Account][grant.Node] = Holding{Ceiling: l.Ceiling, Room: l.Unused}
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 		g.remember(grant)
 		for _, l := range grant.Lines {
-			g.share.NoteLeft(l.Account, l.Left, l.Prepaid)
+			g.share.SetRemaining(l.Account, l.Remaining, l.Prepaid)
 		}
 		if r.Key == g.node && g.share.Apply(grant) {
 			g.events.Record(event.ShareGranted, "epoch", grant.Epoch, "accounts", len(grant.Lines))
--- a/allotment/predecessors.go
+++ b/allotment/predecessors.go
@@ -13,13 +13,13 @@
 
 // Earlier is what a node's earlier incarnations left in the store.
 type Earlier struct {
-	Closings []prepaid.Closing
+	Closings []prepaid.FinalUsage
 	Keys     []string
 }
 
 // ReadEarlier reads what earlier incarnations of a node reported last. start is read when
 // the process begins, now tells the time of day once the reports are read.
-func ReadEarlier(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.Start, now prepaid.TimeOfDay) (Earlier, error) {
+func ReadEarlier(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.ProcessStart, now prepaid.WallClock) (Earlier, error) {
 	records, _, err := keyedlog.ReadNewest(ctx, spend)
 	if err != nil {
 		return Earlier{}, errors.Trace(err)
@@ -32,18 +32,18 @@
 			continue
 		}
 		report, err := DecodeReport(r.Value)
-		start.Behind = start.Behind || err == nil && prepaid.IsBehind(timeOfDay, &report)
+		start.ClockBehind = start.ClockBehind || err == nil && prepaid.ClockIsBehind(timeOfDay, &report)
 		if !strings.HasPrefix(r.Key, node+"/") {
 			continue
 		}
 		earlier.Keys = append(earlier.Keys, r.Key)
 		if err != nil {
 			// Nothing bounds its use but its ceilings.
-			earlier.Closings = append(earlier.Closings, prepaid.Closing{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
+			earlier.Closings = append(earlier.Closings, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
 			continue
 		}
 		last = append(last, report)
 	}
-	earlier.Closings = append(earlier.Closings, prepaid.Predecessors(last, start)...)
+	earlier.Closings = append(earlier.Closings, prepaid.FinalUsages(last, start)...)
 	return earlier, nil
 }
--- a/allotment/reporter.go
+++ b/allotment/reporter.go
@@ -74,9 +74,9 @@
 // interval is how many ticks may pass between two reports now.
 func (r *Reporter) interval() int {
 	switch {
-	case !r.share.Holding():
+	case !r.share.Reportable():
 		return idleReports
-	case r.share.Calm():
+	case r.share.Unchanged():
 		return calmReports
 	default:
 		return 1
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -75,7 +75,7 @@
 	nodes := presencePace
 	nodes.Extra = n.presenceExtra
 	n.follow(loops, deps.Topics.Presence, &presenceHandler{node: n, readings: n.logReadings("presence")}, nodes)
-	clocks := prepaid.Clocks{Boot: deps.Clock, TimeOfDay: deps.TimeOfDay}
+	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.TimeOfDay}
 	holder := prepaid.Holder{Node: settings.Node, Region: settings.Region, Capacity: settings.Capacity, Incarnation: settings.Incarnation, BootID: settings.Start.BootID}
 	n.share = prepaid.NewShare(prepaid.DefaultSettings(), clocks, holder)
 	n.announcer = &announcer{node: n}
--- a/edgenode/reports.go
+++ b/edgenode/reports.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return // the node has ended
 	}
-	n.share.Succeed(earlier.Closings)
+	n.share.SetPredecessors(earlier.Closings)
 	reporter := allotment.NewReporter(n.share, n.deps.Topics.Spend, n.settings.Node, n.settings.Incarnation, earlier.Keys, n.deps.Events)
 	n.reporter.Store(reporter)
 	reporter.Run(ctx)
--- a/lending/lender.go
+++ b/lending/lender.go
@@ -45,12 +45,12 @@
 		return Reply{Granted: true}
 	}
 	granted := l.lend(ctx, ask)
-	return Reply{Granted: granted, Spare: l.share.Spare(ask.Account)}
+	return Reply{Granted: granted, Spare: l.share.Lendable(ask.Account)}
 }
 
 func (l *Lender) lend(ctx context.Context, ask Ask) bool {
 	verdict := l.share.Lend(ask.Account, ask.Tokens, ask.Holds)
-	if verdict == prepaid.ReportFirst && l.report(ctx) == nil {
+	if verdict == prepaid.ReportRequired && l.report(ctx) == nil {
 		verdict = l.share.Lend(ask.Account, ask.Tokens, true)
 	}
 	if verdict != prepaid.Reserved {
--- a/lending/lending_test.go
+++ b/lending/lending_test.go
@@ -19,7 +19,7 @@
 func lenderWith(ceiling int64) (*Lender, *prepaid.Share, *bootclock.Fake) {
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
-	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, TimeOfDay: clock.TimeOfDay()}, prepaid.Holder{Node: "n1", Region: "r", Incarnation: "i1", BootID: "boot"})
+	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: "n1", Region: "r", Incarnation: "i1", BootID: "boot"})
 	share.Apply(prepaid.Grant{Node: "n1", Incarnation: "i1", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "a", Ceiling: ceiling}}})
 	report := func(context.Context) error { share.Compose(); share.Acknowledge(); return nil }
 	return NewLender(share, clock, report), share, clock
@@ -31,11 +31,11 @@
 	is := is.New(t)
 	l, share, clock := lenderWith(100_000)
 	is.True(l.Answer(context.Background(), Ask{Loan: "x", Account: "a", Tokens: 30_000}).Granted)
-	is.Equal(share.Standing("a").Held, int64(30_000))
+	is.Equal(share.Status("a").Reserved, int64(30_000))
 	clock.Advance(loanFor)
 	l.Expire()
-	is.Equal(share.Standing("a").Held, int64(0))
-	is.Equal(share.Standing("a").Spent, int64(30_000))
+	is.Equal(share.Status("a").Reserved, int64(0))
+	is.Equal(share.Status("a").Spent, int64(30_000))
 }
 
 // A borrower's settlement is sent again because its answer was lost. Booked twice, the
@@ -47,8 +47,8 @@
 	for range 3 {
 		l.Answer(context.Background(), Ask{Loan: "x", Account: "a", Tokens: 12_000, Settle: true})
 	}
-	is.Equal(share.Standing("a").Spent, int64(12_000))
-	is.Equal(share.Standing("a").Held, int64(0))
+	is.Equal(share.Status("a").Spent, int64(12_000))
+	is.Equal(share.Status("a").Reserved, int64(0))
 }
 
 // A borrower gives up on a slow lender and settles its ask with nothing before the ask
@@ -58,7 +58,7 @@
 	l, share, _ := lenderWith(100_000)
 	l.Answer(context.Background(), Ask{Loan: "x", Account: "a", Settle: true})
 	is.True(!l.Answer(context.Background(), Ask{Loan: "x", Account: "a", Tokens: 30_000}).Granted)
-	is.Equal(share.Standing("a").Held, int64(0))
+	is.Equal(share.Status("a").Reserved, int64(0))
 }
 
 // callerFunc is a caller for tests.
@@ -120,7 +120,7 @@
 	reply, err := client.Call(context.Background(), address, Ask{Loan: "x", Account: "a", Tokens: 10_000})
 	is.NoErr(err)
 	is.True(reply.Granted)
-	is.Equal(share.Standing("a").Held, int64(10_000))
+	is.Equal(share.Status("a").Reserved, int64(10_000))
 	_, err = client.Call(context.Background(), address, Ask{Loan: "y", Account: "a", Tokens: -5})
 	is.True(err != nil)
 }
--- a/prepaid/allocator.go
+++ b/prepaid/allocator.go
@@ -5,37 +5,39 @@
 	"slices"
 )
 
-// Allocator plans how accounts are split among incarnations. It is a pure decision over
-// what the caller read from the store; it isn't safe for concurrent use.
+// Allocator plans how accounts are split among incarnations. It decides only from what the
+// caller read from the store and does no I/O. It is not safe for concurrent use.
 type Allocator struct {
 	settings Settings
 	nodes    map[string]*grantee
 	accounts map[string]*account
-	// byAccount is the order in which accounts are planned, so that plans repeat.
-	byAccount []string
-	// ended collects what a round closed.
-	ended []Ended
+	// accountOrder is the order in which accounts are planned; it makes plans deterministic.
+	accountOrder []string
+	// closedIncarnations collects the incarnations closed in the current round.
+	closedIncarnations []ClosedIncarnation
 }
 
-// grantee is the incarnation of a node that holds ceilings.
+// grantee is a node's incarnation that holds ceilings.
 type grantee struct {
 	incarnation string
 	grantEpoch  uint64
 }
 
-// account is what is granted of one client account, in tokens.
+// account is the allocation state of one client account, in tokens.
 type account struct {
 	closed  int64
 	entries map[string]*entry
-	// toldLeft is what nodes were last told to be left, once told is set.
-	toldLeft int64
-	told     bool
+	// announcedRemaining is the remaining amount last announced to nodes, valid once announced
+	// is set.
+	announcedRemaining int64
+	announced          bool
 }
 
-// entry is one node's part of an account, in tokens.
+// entry is one node's allocation of an account, in tokens.
 type entry struct{ target, committed int64 }
 
-// NewAllocator starts from the newest ledger in the store, or from nothing.
+// NewAllocator restores an allocator from the newest ledger in the store. A nil ledger gives an
+// empty allocator.
 func NewAllocator(settings Settings, ledger *Ledger) *Allocator {
 	a := &Allocator{settings: settings, nodes: make(map[string]*grantee), accounts: make(map[string]*account)}
 	if ledger == nil {
@@ -59,22 +61,22 @@
 	if !ok {
 		acc = &account{entries: make(map[string]*entry)}
 		a.accounts[name] = acc
-		a.byAccount = append(a.byAccount, name)
-		slices.Sort(a.byAccount)
+		a.accountOrder = append(a.accountOrder, name)
+		slices.Sort(a.accountOrder)
 	}
 	return acc
 }
 
-// Member is a node as the allocator sees it now.
+// Member is a node as the allocator currently sees it.
 type Member struct {
 	Report Report
-	// Live tells that the node was heard of within the last seconds. A node that isn't
-	// live keeps its ceilings: it may be cut off and serving.
+	// Live reports whether the node was heard from within the last few seconds. A node that is
+	// not live keeps its ceilings: it may be partitioned and still serving.
 	Live bool
 }
 
-// Round plans one round at an epoch that is higher than any before. prepaid names every
-// account with a limit and its total.
+// Round plans one round. The epoch must be higher than any used before. prepaid maps every
+// limited account to its prepaid total.
 func (a *Allocator) Round(epoch uint64, members []Member, prepaid map[string]int64) Plan {
 	slices.SortFunc(members, func(x, y Member) int {
 		if x.Report.Node < y.Report.Node {
@@ -83,24 +85,24 @@
 		return 1
 	})
 	changed := make(map[string]bool)
-	a.ended = nil
-	members = a.admit(members)
+	a.closedIncarnations = nil
+	members = a.openMembers(members)
 	for _, name := range slices.Sorted(maps.Keys(prepaid)) {
 		a.planAccount(name, prepaid[name], members, changed)
 	}
-	return a.plan(epoch, members, prepaid, changed)
+	return a.buildPlan(epoch, members, prepaid, changed)
 }
 
 // planAccount sets the targets of one account's entries.
 func (a *Allocator) planAccount(name string, prepaid int64, members []Member, changed map[string]bool) {
 	acc := a.account(name)
-	a.confirm(acc, name, members)
-	wants, base := a.wants(acc, name, members)
-	a.chooseHolders(name, wants)
+	a.confirmCommitments(acc, name, members)
+	needs, used := a.collectNeeds(acc, name, members)
+	a.chooseHolders(name, needs)
 	committed := acc.closed
 	available := prepaid - acc.closed
-	live := make(map[string]bool, len(wants))
-	for _, w := range wants {
+	live := make(map[string]bool, len(needs))
+	for _, w := range needs {
 		live[w.node] = true
 	}
 	for node, e := range acc.entries {
@@ -109,22 +111,22 @@
 			available -= e.committed
 		}
 	}
-	available -= base
-	held := a.held(available, prepaid)
-	a.concentrate(name, wants, held)
-	a.plenty(wants, held)
-	spread(wants, held)
-	free := prepaid - committed
-	for _, w := range wants {
-		free = a.retarget(acc, w, free, changed)
+	available -= used
+	distributable := a.distributable(available, prepaid)
+	a.limitHolders(name, needs, distributable)
+	a.raiseNeeds(needs, distributable)
+	distribute(needs, distributable)
+	unallocated := prepaid - committed
+	for _, w := range needs {
+		unallocated = a.retarget(acc, w, unallocated, changed)
 	}
 }
 
-// confirm lowers commitments to what incarnations report to hold themselves to.
-func (a *Allocator) confirm(acc *account, name string, members []Member) {
+// confirmCommitments lowers commitments to the ceilings that incarnations report as applied.
+func (a *Allocator) confirmCommitments(acc *account, name string, members []Member) {
 	for _, m := range members {
 		e, ok := acc.entries[m.Report.Node]
-		if !ok || m.Report.SeenEpoch < a.nodes[m.Report.Node].grantEpoch {
+		if !ok || m.Report.AppliedEpoch < a.nodes[m.Report.Node].grantEpoch {
 			continue
 		}
 		ceiling := int64(0)
@@ -135,44 +137,44 @@
 	}
 }
 
-// retarget moves a node's ceiling to its use plus its share where that differs enough
-// to be worth a grant, within what is free, and returns what is free then.
-func (a *Allocator) retarget(acc *account, w want, free int64, changed map[string]bool) int64 {
-	e, ok := acc.entries[w.node]
-	if !ok && w.need == 0 {
-		return free
+// retarget moves a node's ceiling to its use plus its share if the change is large enough to be
+// worth a grant. A raise is limited to unallocated tokens; the rest is returned.
+func (a *Allocator) retarget(acc *account, n need, unallocated int64, changed map[string]bool) int64 {
+	e, ok := acc.entries[n.node]
+	if !ok && n.tokens == 0 {
+		return unallocated
 	}
 	if !ok {
 		e = &entry{}
-		acc.entries[w.node] = e
-		changed[w.node] = true
+		acc.entries[n.node] = e
+		changed[n.node] = true
 	}
-	target := w.used + w.share
+	target := n.used + n.share
 	if raise := target - e.committed; raise > 0 {
-		target = e.committed + min(raise, max(0, free))
+		target = e.committed + min(raise, max(0, unallocated))
 	}
-	if !worthwhile(e.target, target, w.share) {
-		return free
+	if !significantChange(e.target, target, n.share) {
+		return unallocated
 	}
 	if raise := target - e.committed; raise > 0 {
-		free -= raise
+		unallocated -= raise
 		e.committed = target
 	}
 	e.target = target
-	changed[w.node] = true
-	return free
+	changed[n.node] = true
+	return unallocated
 }
 
-// changeShare is how much of a node's share a change must move to be granted: 1/8 keeps
-// grants to a few a second per node at steady demand.
-const changeShare = 8
+// minChangeDivisor: a change is granted only if it is at least 1/8 of the node's share, which
+// limits grants to a few a second per node at steady demand.
+const minChangeDivisor = 8
 
-func worthwhile(old, target, share int64) bool {
+func significantChange(old, target, share int64) bool {
 	diff := target - old
 	if diff < 0 {
 		diff = -diff
 	}
-	return diff > 0 && diff*changeShare >= share
+	return diff > 0 && diff*minChangeDivisor >= share
 }
 
 func findLine(r *Report, account string) *ReportLine {
--- a/prepaid/main_test.go
+++ b/prepaid/fleet_test.go
@@ -7,35 +7,37 @@
 	"lavenderpin.dev/lavenderpin/bootclock"
 )
 
-// world is a fleet with its store: every report and grant goes through it, may be lost,
-// and what each incarnation really used is counted on the side.
+// world simulates a fleet and its store. Every report and grant passes through it and may be
+// lost; the actual use of each incarnation is counted separately.
 type world struct {
 	prepaid map[string]int64
 	clock   *bootclock.Fake
-	// capacity tells each node's capacity; nil means that all are equal.
+	// capacity returns each node's capacity; if nil, all are equal.
 	capacity func(name string) int
-	// setOff is how far each node's time of day is off.
-	setOff    map[string]time.Duration
-	allocator *Allocator
-	epoch     uint64
-	// reports is the newest report of each incarnation in the store.
+	// clockOffset is each node's wall-clock offset.
+	clockOffset map[string]time.Duration
+	allocator   *Allocator
+	epoch       uint64
+	// reports holds the newest report of each incarnation in the store.
 	reports map[string]Report
 	order   []string
 	nodes   map[string]*simNode
-	// used is what all incarnations together were asked to serve, in tokens.
-	used map[string]int64
-	born int
-	// grants that were written and not yet applied, by node.
+	// used is the use of all incarnations together, by account, in tokens.
+	used         map[string]int64
+	incarnations int
+	// grants holds the written but not yet applied grants by node.
 	grants map[string][]Grant
 }
 
-// nodeTime is a node's time of day.
-type nodeTime struct {
+// nodeWallClock is a node's wall clock.
+type nodeWallClock struct {
 	w    *world
 	node string
 }
 
-func (t nodeTime) Now() time.Time { return time.Unix(1e9, 0).Add(t.w.clock.Now() + t.w.setOff[t.node]) }
+func (t nodeWallClock) Now() time.Time {
+	return time.Unix(1e9, 0).Add(t.w.clock.Now() + t.w.clockOffset[t.node])
+}
 
 // simNode is one running incarnation.
 type simNode struct {
@@ -50,30 +52,30 @@
 }
 
 func newWorld(prepaid map[string]int64) *world {
-	w := &world{prepaid: prepaid, clock: &bootclock.Fake{}, setOff: make(map[string]time.Duration), allocator: NewAllocator(DefaultSettings(), nil),
+	w := &world{prepaid: prepaid, clock: &bootclock.Fake{}, clockOffset: make(map[string]time.Duration), allocator: NewAllocator(DefaultSettings(), nil),
 		reports: make(map[string]Report), nodes: make(map[string]*simNode), used: make(map[string]int64), grants: make(map[string][]Grant)}
 	w.clock.Advance(time.Hour)
 	return w
 }
 
-// start begins a new incarnation of a node, which has read what earlier ones left.
+// start begins a new incarnation of a node, which has read the reports of earlier ones.
 func (w *world) start(name, bootID string) *simNode {
-	w.born++
-	n := &simNode{name: name, incarnation: fmt.Sprintf("%s-%d", name, w.born)}
+	w.incarnations++
+	n := &simNode{name: name, incarnation: fmt.Sprintf("%s-%d", name, w.incarnations)}
 	var earlier []Report
 	for _, key := range w.order {
 		if r := w.reports[key]; r.Node == name {
 			earlier = append(earlier, r)
 		}
 	}
-	clocks := Clocks{Boot: w.clock, TimeOfDay: nodeTime{w, name}}
+	clocks := Clocks{Boot: w.clock, Wall: nodeWallClock{w, name}}
 	holder := Holder{Node: name, Region: "region", Incarnation: n.incarnation, BootID: bootID}
 	if w.capacity != nil {
 		holder.Capacity = w.capacity(name)
 	}
-	start := Start{Reading: clocks.Read(), BootID: bootID}
+	start := ProcessStart{ClockReading: clocks.Read(), BootID: bootID}
 	n.share = NewShare(DefaultSettings(), clocks, holder)
-	n.share.Succeed(Predecessors(earlier, start))
+	n.share.SetPredecessors(FinalUsages(earlier, start))
 	w.nodes[name] = n
 	return n
 }
@@ -85,7 +87,7 @@
 	}
 }
 
-// report writes a node's report; lost tells that its acknowledgement doesn't arrive.
+// report writes a node's report; if lost is set, the acknowledgement doesn't arrive.
 func (w *world) report(n *simNode, lost bool) {
 	r, _ := n.share.Compose()
 	w.write(r)
@@ -101,7 +103,7 @@
 	w.reports[r.Incarnation] = r
 }
 
-// round plans once and writes the grants.
+// round plans one round and writes the grants.
 func (w *world) round(live map[string]bool) Plan {
 	w.epoch++
 	var members []Member
@@ -124,8 +126,8 @@
 	w.grants[n.name] = nil
 }
 
-// serve reserves tokens and counts them as used at once: a caller may get them all.
-func (w *world) serve(n *simNode, account string, tokens int64) Verdict {
+// serve reserves tokens and counts them as used at once, since a caller may get them all.
+func (w *world) serve(n *simNode, account string, tokens int64) Outcome {
 	v := n.share.Reserve(account, tokens, w.prepaid[account])
 	if v == Reserved {
 		w.used[account] += tokens
@@ -134,15 +136,15 @@
 	return v
 }
 
-// serveReporting is serve after a report where the node's limits are too low for now.
-func (w *world) serveReporting(n *simNode, account string, tokens int64) {
-	if w.serve(n, account, tokens) == ReportFirst {
+// serveWithReport is serve, with a report first if the node's current limits are too low.
+func (w *world) serveWithReport(n *simNode, account string, tokens int64) {
+	if w.serve(n, account, tokens) == ReportRequired {
 		w.report(n, false)
 		w.serve(n, account, tokens)
 	}
 }
 
-// settle ends a node's oldest open request of which only a part was used.
+// settle ends a node's oldest open request, of which part percent was used.
 func (w *world) settle(n *simNode, part int64) {
 	if len(n.open) == 0 {
 		return
--- a/prepaid/plan.go
+++ b/prepaid/plan.go
@@ -5,52 +5,53 @@
 	"slices"
 )
 
-// Plan is the outcome of one round: the ledger to write first, then the grants.
+// Plan is the outcome of one round. The ledger must be written before the grants.
 type Plan struct {
 	Ledger Ledger
 	Grants []Grant
-	// Ended are the incarnations that this round closed.
-	Ended []Ended
+	// Closed are the incarnations closed in this round.
+	Closed []ClosedIncarnation
 }
 
-// Ended is an incarnation that was closed.
-type Ended struct {
+// ClosedIncarnation describes a closed incarnation.
+type ClosedIncarnation struct {
 	Node, Incarnation string
-	// Known tells that its last report bounds its use; otherwise its whole ceilings
+	// Bounded reports whether its last report bounds its use; otherwise its whole ceilings
 	// count as used.
-	Known bool
-	// Reported is what it told last to have used and held, if known; Counted is what counts
-	// as used, Returned what went back to the accounts: tokens over all accounts.
+	Bounded bool
+	// Reported is the used and reserved amount in its last report, if bounded; Counted is what
+	// counts as used, Returned what went back to the accounts. All are tokens summed over all
+	// accounts.
 	Reported, Counted, Returned int64
 }
 
-// plan writes down the state and the grants of the nodes that changed, and repeats the
-// grants of nodes that haven't confirmed theirs.
-func (a *Allocator) plan(epoch uint64, members []Member, prepaid map[string]int64, changed map[string]bool) Plan {
+// buildPlan assembles the ledger and the grants of changed nodes, and repeats the grants of
+// live nodes that haven't confirmed theirs.
+func (a *Allocator) buildPlan(epoch uint64, members []Member, prepaid map[string]int64, changed map[string]bool) Plan {
 	var p Plan
-	left := a.left(members, prepaid)
-	a.tellLeft(members, left, changed)
+	remaining := a.remaining(members, prepaid)
+	a.announceRemaining(members, remaining, changed)
 	for _, m := range members {
 		g := a.nodes[m.Report.Node]
 		if changed[m.Report.Node] {
 			g.grantEpoch = epoch
 		}
-		if changed[m.Report.Node] || m.Live && m.Report.SeenEpoch < g.grantEpoch {
-			p.Grants = append(p.Grants, a.grant(&m.Report, g, prepaid, left))
+		if changed[m.Report.Node] || m.Live && m.Report.AppliedEpoch < g.grantEpoch {
+			p.Grants = append(p.Grants, a.grant(&m.Report, g, prepaid, remaining))
 		}
 	}
 	p.Ledger = a.ledger(epoch)
-	p.Ended = a.ended
+	p.Closed = a.closedIncarnations
 	return p
 }
 
-// tellLeft has a grant written for each account that is nearly used up and of which less
-// is left than nodes were told, so that they can tell callers for certain. Ceilings alone
-// may stay as they are while the last tokens are used.
-func (a *Allocator) tellLeft(members []Member, left map[string]int64, changed map[string]bool) {
-	for name, tokens := range left {
+// announceRemaining schedules a grant for each nearly exhausted account whose remaining amount
+// differs from the last announced one, so that nodes can tell callers with certainty. Ceilings
+// alone may stay unchanged while the last tokens are used.
+func (a *Allocator) announceRemaining(members []Member, remaining map[string]int64, changed map[string]bool) {
+	for name, tokens := range remaining {
 		acc := a.account(name)
-		if tokens >= a.settings.MinCeiling || acc.told && tokens == acc.toldLeft {
+		if tokens >= a.settings.MinCeiling || acc.announced && tokens == acc.announcedRemaining {
 			continue
 		}
 		at := slices.IndexFunc(members, func(m Member) bool { return m.Live && acc.entries[m.Report.Node] != nil })
@@ -58,40 +59,40 @@
 			continue
 		}
 		changed[members[at].Report.Node] = true
-		acc.told, acc.toldLeft = true, tokens
+		acc.announced, acc.announcedRemaining = true, tokens
 	}
 }
 
-func (a *Allocator) grant(report *Report, g *grantee, prepaid, left map[string]int64) Grant {
+func (a *Allocator) grant(report *Report, g *grantee, prepaid, remaining map[string]int64) Grant {
 	grant := Grant{Node: report.Node, Incarnation: g.incarnation, Epoch: g.grantEpoch}
-	for _, name := range a.byAccount {
+	for _, name := range a.accountOrder {
 		e, ok := a.accounts[name].entries[report.Node]
 		if !ok {
 			continue
 		}
-		line := GrantLine{Account: name, Ceiling: e.target, Room: e.target, Left: left[name], Prepaid: prepaid[name]}
+		line := GrantLine{Account: name, Ceiling: e.target, Unused: e.target, Remaining: remaining[name], Prepaid: prepaid[name]}
 		if l := findLine(report, name); l != nil {
-			line.Room = max(0, e.target-l.Spent-l.Held)
+			line.Unused = max(0, e.target-l.Spent-l.Reserved)
 		}
 		grant.Lines = append(grant.Lines, line)
 	}
 	return grant
 }
 
-// left bounds from above what may still be used of each account.
-func (a *Allocator) left(members []Member, prepaid map[string]int64) map[string]int64 {
-	left := make(map[string]int64, len(prepaid))
+// remaining returns an upper bound of what may still be used of each account.
+func (a *Allocator) remaining(members []Member, prepaid map[string]int64) map[string]int64 {
+	remaining := make(map[string]int64, len(prepaid))
 	for name, total := range prepaid {
-		left[name] = total - a.account(name).closed
+		remaining[name] = total - a.account(name).closed
 	}
 	for _, m := range members {
 		for _, l := range m.Report.Lines {
-			if _, limited := left[l.Account]; limited {
-				left[l.Account] -= l.Spent
+			if _, limited := remaining[l.Account]; limited {
+				remaining[l.Account] -= l.Spent
 			}
 		}
 	}
-	return left
+	return remaining
 }
 
 func (a *Allocator) ledger(epoch uint64) Ledger {
@@ -101,7 +102,7 @@
 		index[node] = len(l.Nodes)
 		l.Nodes = append(l.Nodes, LedgerNode{Node: node, Incarnation: a.nodes[node].incarnation, GrantEpoch: a.nodes[node].grantEpoch})
 	}
-	for _, name := range a.byAccount {
+	for _, name := range a.accountOrder {
 		acc := a.accounts[name]
 		la := LedgerAccount{Account: name, Closed: acc.closed}
 		for _, node := range slices.Sorted(maps.Keys(acc.entries)) {
--- a/prepaid/predecessors.go
+++ b/prepaid/predecessors.go
@@ -3,91 +3,91 @@
 import "time"
 
 const (
-	// mostSetBack is how far the time of day of one instance may be set back between two
-	// incarnations for the later one to still tell rightly how long ago the earlier one
-	// reported. Steps of up to 2.4 s were announced; half a second is for their adding up
-	// with the clocks' ordinary drift.
-	mostSetBack = 3 * time.Second
-	// mostStep is by how much the two clocks of one boot disagree at most about the time
-	// that passed: the time of day was seen to jump by seconds, while a boot clock that
-	// started anew is off by the time that the instance had been up.
-	mostStep = 10 * time.Second
-	// mostApart is how far the times of day of two sound instances are apart.
-	mostApart = 500 * time.Millisecond
+	// maxClockSetBack is how far an instance's wall clock may be set back between two
+	// incarnations while the later one still derives correctly how long ago the earlier one
+	// reported. Steps of up to 2.4 s were announced; half a second is for their sum and
+	// ordinary clock drift.
+	maxClockSetBack = 3 * time.Second
+	// maxClockDivergence is the most that the two clocks of one boot disagree about elapsed
+	// time: the wall clock was seen to jump by seconds, while a boot clock that restarted is
+	// off by the instance's uptime.
+	maxClockDivergence = 10 * time.Second
+	// maxClockSkew is the most that the wall clocks of two healthy instances differ.
+	maxClockSkew = 500 * time.Millisecond
 )
 
-// Start is what a process knows of its own start. Earlier incarnations of its node had
-// ended by then.
-type Start struct {
-	Reading
-	// BootID names the instance's boot.
+// ProcessStart describes a process's start. Earlier incarnations of its node had ended by then.
+type ProcessStart struct {
+	ClockReading
+	// BootID identifies the instance's boot.
 	BootID string
-	// Behind tells that another node's report bears a time that this instance's time of
-	// day hasn't reached, so that it can't be trusted.
-	Behind bool
+	// ClockBehind is set if another node's report has a timestamp that this instance's wall
+	// clock hasn't reached, so that its wall clock can't be trusted.
+	ClockBehind bool
 }
 
-// IsBehind tells whether a report bears a time of day that a sound clock which shows
-// timeOfDay would have reached.
-func IsBehind(timeOfDay time.Duration, report *Report) bool {
-	return time.Duration(report.SentTimeMs)*time.Millisecond > timeOfDay+mostApart
+// ClockIsBehind reports whether a report's timestamp is further ahead of wallTime than healthy
+// clocks differ, so that the clock that shows wallTime must be behind.
+func ClockIsBehind(wallTime time.Duration, report *Report) bool {
+	return time.Duration(report.SentTimeMs)*time.Millisecond > wallTime+maxClockSkew
 }
 
-// Predecessors turns the last reports that a node's earlier incarnations left in the
-// store into what each may have used at most.
-func Predecessors(last []Report, start Start) []Closing {
-	var closings []Closing
+// FinalUsages derives from the last reports of a node's earlier incarnations the most that each
+// may have used.
+func FinalUsages(last []Report, start ProcessStart) []FinalUsage {
+	var usages []FinalUsage
 	for i := range last {
-		closings = append(closings, closing(&last[i], start))
+		usages = append(usages, finalUsage(&last[i], start))
 	}
-	return closings
+	return usages
 }
 
-func closing(last *Report, start Start) Closing {
-	c := Closing{Incarnation: last.Incarnation}
-	lived, proved := last.lived(start)
+func finalUsage(last *Report, start ProcessStart) FinalUsage {
+	usage := FinalUsage{Incarnation: last.Incarnation}
+	lifetime, known := last.maxLifetime(start)
 	switch {
 	case last.Ended:
-		c.Known = true
+		usage.Bounded = true
 		for _, l := range last.Lines {
-			c.Lines = append(c.Lines, ClosingLine{Account: l.Account, Used: l.Spent + l.Held, Reported: l.Spent + l.Held})
+			usage.Lines = append(usage.Lines, FinalUsageLine{Account: l.Account, Used: l.Spent + l.Reserved, Reported: l.Spent + l.Reserved})
 		}
-	case proved:
-		c.Known = true
+	case known:
+		usage.Bounded = true
 		for _, l := range last.Lines {
-			c.Lines = append(c.Lines, ClosingLine{Account: l.Account, Used: pledge{l.Drawn, l.Pace}.bound(lived), Reported: l.Spent + l.Held})
+			usage.Lines = append(usage.Lines, FinalUsageLine{Account: l.Account, Used: limitRamp{l.InitialLimit, l.Growth}.at(lifetime), Reported: l.Spent + l.Reserved})
 		}
 	}
-	return c
+	return usage
 }
 
-// lived bounds how long after the report's promise began the incarnation can have used
-// tokens; false if nothing proves that it ended before its ceilings alone bound it.
+// maxLifetime returns an upper bound of how long after the start of its limit schedule the
+// incarnation can have used tokens, and false if nothing proves that it ended before the
+// schedule's TTL.
 //
-// On the same boot the boot clock tells. After a power loss only the time of day is left,
-// which may have been set back meanwhile; what it shows is trusted but for mostSetBack,
-// and not at all where other nodes' reports contradict it.
-func (r *Report) lived(start Start) (time.Duration, bool) {
-	p := r.promise()
+// On the same boot, the boot clock shows it. After a power loss only the wall clock is left,
+// which may have been set back in the meantime: it is trusted up to maxClockSetBack, and not at
+// all if other nodes' reports contradict it.
+func (r *Report) maxLifetime(start ProcessStart) (time.Duration, bool) {
+	schedule := r.schedule()
 	if r.sameBoot(start) {
-		lived := start.Boot - p.from.Boot
-		return lived, lived >= 0 && lived < p.opensAfter
+		lifetime := start.Boot - schedule.base.Boot
+		return lifetime, lifetime >= 0 && lifetime < schedule.ttl
 	}
-	shown := start.TimeOfDay - p.from.TimeOfDay
-	lived := shown + mostSetBack
-	return lived, !start.Behind && shown >= 0 && lived < p.opensAfter
+	elapsed := start.Wall - schedule.base.Wall
+	lifetime := elapsed + maxClockSetBack
+	return lifetime, !start.ClockBehind && elapsed >= 0 && lifetime < schedule.ttl
 }
 
-// sameBoot tells whether the instance stayed up between the report and a start. Where
-// several instances share a kernel they share its boot ID and not the boot clock.
-func (r *Report) sameBoot(start Start) bool {
-	from := r.promise().from
-	step := (start.Boot - from.Boot) - (start.TimeOfDay - from.TimeOfDay)
-	return r.BootID == start.BootID && step.Abs() <= mostStep
+// sameBoot reports whether the instance stayed up between the report and a start. Several
+// instances that share a kernel share its boot ID but not the boot clock.
+func (r *Report) sameBoot(start ProcessStart) bool {
+	base := r.schedule().base
+	divergence := (start.Boot - base.Boot) - (start.Wall - base.Wall)
+	return r.BootID == start.BootID && divergence.Abs() <= maxClockDivergence
 }
 
-func (r *Report) promise() promise {
-	return promise{from: Reading{Boot: millis(r.FromMs), TimeOfDay: millis(r.FromTimeMs)}, opensAfter: millis(r.OpensAfterMs)}
+func (r *Report) schedule() limitSchedule {
+	return limitSchedule{base: ClockReading{Boot: millis(r.StartBootMs), Wall: millis(r.StartTimeMs)}, ttl: millis(r.LimitTTLMs)}
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/prepaid/property_test.go
+++ b/prepaid/property_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Nodes are killed, cut off, restarted on the same or another boot, lose
-// acknowledgements and grants, their times of day jump, while callers press on and the planner changes. However
-// this falls together, a client account must never get more than it prepaid; a user
-// would notice as tokens given away that nobody paid for.
+// Under any interleaving of kills, partitions, restarts on the same or another boot, lost
+// acknowledgements and grants, wall-clock jumps, allocator changes and caller load, a client
+// account must never use more than it prepaid; the excess would be tokens that nobody paid for.
 func TestNeverOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(map[string]int64{"a": 400_000, "b": 90_000})
@@ -58,11 +57,11 @@
 			"time": func(t *rapid.T) {
 				w.clock.Advance(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
-			// However the steps of one node add up, they set its time of day back by no more
-			// than is taken into account.
+			// All steps of one node together set its wall clock back by no more than
+			// maxClockSetBack.
 			"timeOfDay": func(t *rapid.T) {
-				half := int(mostSetBack.Milliseconds() / 2)
-				w.setOff[rapid.SampledFrom(names).Draw(t, "node")] = time.Duration(rapid.IntRange(-half, half).Draw(t, "off")) * time.Millisecond
+				half := int(maxClockSetBack.Milliseconds() / 2)
+				w.clockOffset[rapid.SampledFrom(names).Draw(t, "node")] = time.Duration(rapid.IntRange(-half, half).Draw(t, "off")) * time.Millisecond
 			},
 			"kill": func(t *rapid.T) { n := pick("node"); w.start(n.name, bootID(n.name)) },
 			"power": func(t *rapid.T) {
--- a/prepaid/records.go
+++ b/prepaid/records.go
@@ -1,70 +1,71 @@
 package prepaid
 
-// Report is what a node tells about its incarnation's use. A later report of the same
-// incarnation replaces an earlier one.
+// Report is a node's report of its incarnation's use. A later report of the same incarnation
+// replaces an earlier one.
 type Report struct {
 	Node        string `json:"n,omitempty"`
 	Incarnation string `json:"i,omitempty"`
-	// Region is where the node stands.
+	// Region is the node's region.
 	Region string `json:"r,omitempty"`
-	// Capacity is what the node's instance can carry, in hundredths of a usual one.
+	// Capacity is the capacity of the node's instance, in hundredths of a usual one.
 	Capacity int `json:"ca,omitempty"`
-	// SentTimeMs is the instance's time of day when the report was made, in Unix
+	// SentTimeMs is the instance's wall-clock time when the report was made, in Unix
 	// milliseconds.
 	SentTimeMs int64 `json:"stm,omitempty"`
-	// FromMs and FromTimeMs are the instance's boot clock and time of day, in
-	// milliseconds, from which the limits of Lines grow. OpensAfterMs later the
-	// incarnation is bound by its ceilings alone.
-	FromMs       int64 `json:"fm,omitempty"`
-	FromTimeMs   int64 `json:"ftm,omitempty"`
-	OpensAfterMs int64 `json:"oam,omitempty"`
-	// BootID names the instance's boot; a boot clock is comparable within one boot only.
+	// StartBootMs and StartTimeMs are the instance's boot clock and wall clock, in
+	// milliseconds, from which the limits of Lines grow. LimitTTLMs later only the ceilings
+	// bind the incarnation.
+	StartBootMs int64 `json:"fm,omitempty"`
+	StartTimeMs int64 `json:"ftm,omitempty"`
+	LimitTTLMs  int64 `json:"oam,omitempty"`
+	// BootID identifies the instance's boot; boot clock values are comparable within one boot
+	// only.
 	BootID string `json:"bid,omitempty"`
-	// SeenEpoch is the epoch of the newest grant that the incarnation applied.
-	SeenEpoch uint64 `json:"se,omitempty"`
-	// Ended tells that the incarnation uses nothing any more.
+	// AppliedEpoch is the epoch of the newest grant that the incarnation applied.
+	AppliedEpoch uint64 `json:"se,omitempty"`
+	// Ended is set once the incarnation will use nothing more.
 	Ended bool         `json:"e,omitempty"`
 	Lines []ReportLine `json:"l,omitempty"`
-	// Predecessors are the earlier incarnations of the node, until a grant shows that
-	// they are closed.
-	Predecessors []Closing `json:"p,omitempty"`
+	// Predecessors are the earlier incarnations of the node, until a grant shows that they are
+	// closed.
+	Predecessors []FinalUsage `json:"p,omitempty"`
 }
 
 // ReportLine is one account's part of a report, in tokens.
 type ReportLine struct {
 	Account string `json:"a,omitempty"`
-	// Spent is settled use, Held the most that open requests may still add.
-	Spent int64 `json:"s,omitempty"`
-	Held  int64 `json:"h,omitempty"`
-	// Drawn is the limit on Spent plus Held when the limits begin to grow, Pace what it
-	// grows by each second.
-	Drawn int64 `json:"d,omitempty"`
-	Pace  int64 `json:"p,omitempty"`
-	// Ceiling is the limit that the incarnation holds itself to for good.
+	// Spent is settled use, Reserved the most that open requests may still add.
+	Spent    int64 `json:"s,omitempty"`
+	Reserved int64 `json:"h,omitempty"`
+	// InitialLimit is the limit on Spent plus Reserved before the limits begin to grow, Growth
+	// what it grows by each second.
+	InitialLimit int64 `json:"d,omitempty"`
+	Growth       int64 `json:"p,omitempty"`
+	// Ceiling is the incarnation's permanent limit.
 	Ceiling int64 `json:"c,omitempty"`
-	// Rate is the recent demand in tokens a second, refused requests included.
-	Rate int64 `json:"r,omitempty"`
+	// DemandRate is the recent demand in tokens per second, including refused requests.
+	DemandRate int64 `json:"r,omitempty"`
 }
 
-// Closing tells what an ended incarnation may have used at most.
-type Closing struct {
+// FinalUsage bounds what an ended incarnation may have used.
+type FinalUsage struct {
 	Incarnation string `json:"i,omitempty"`
-	// Known tells that Lines bound its use; otherwise its whole ceilings count as used.
-	Known bool          `json:"k,omitempty"`
-	Lines []ClosingLine `json:"l,omitempty"`
+	// Bounded reports whether Lines bound its use; otherwise its whole ceilings count as used.
+	Bounded bool             `json:"k,omitempty"`
+	Lines   []FinalUsageLine `json:"l,omitempty"`
 }
 
-// ClosingLine bounds one account's use by an ended incarnation, in tokens. An account
+// FinalUsageLine bounds one account's use by an ended incarnation, in tokens. An account
 // without a line wasn't used.
-type ClosingLine struct {
+type FinalUsageLine struct {
 	Account string `json:"a,omitempty"`
 	Used    int64  `json:"u,omitempty"`
-	// Reported is what it reported last as used and held, for logs.
+	// Reported is the used and reserved amount in its last report, for logs.
 	Reported int64 `json:"r,omitempty"`
 }
 
-// Grant sets the ceilings of one incarnation. A grant of a higher epoch replaces one of
-// a lower epoch.
+// Grant sets the ceilings of one incarnation. A grant of a higher epoch replaces one of a lower
+// epoch.
 type Grant struct {
 	Node        string      `json:"n,omitempty"`
 	Incarnation string      `json:"i,omitempty"`
@@ -76,17 +77,17 @@
 type GrantLine struct {
 	Account string `json:"a,omitempty"`
 	Ceiling int64  `json:"c,omitempty"`
-	// Room is what the node hadn't used of its ceiling by its last report: whoever looks
-	// for a lender asks where there is most.
-	Room int64 `json:"r,omitempty"`
-	// Left bounds from above what all nodes together could still use when the account
-	// had prepaid Prepaid: settled use is subtracted, open requests aren't.
-	Left    int64 `json:"l,omitempty"`
-	Prepaid int64 `json:"p,omitempty"`
+	// Unused is what the node hadn't used of its ceiling by its last report. Borrowers prefer
+	// lenders that have the most.
+	Unused int64 `json:"r,omitempty"`
+	// Remaining is an upper bound of what all nodes together could still use when the account's
+	// prepaid total was Prepaid: settled use is subtracted, open requests are not.
+	Remaining int64 `json:"l,omitempty"`
+	Prepaid   int64 `json:"p,omitempty"`
 }
 
-// Ledger is the allocator's state. It is written before the grants that follow from it,
-// so that a later allocator never counts less than was granted.
+// Ledger is the allocator's state. It is written before the grants that follow from it, so that
+// a later allocator never counts less than was granted.
 type Ledger struct {
 	Epoch    uint64          `json:"e,omitempty"`
 	Nodes    []LedgerNode    `json:"n,omitempty"`
@@ -101,7 +102,7 @@
 	GrantEpoch uint64 `json:"ge,omitempty"`
 }
 
-// LedgerAccount is what is granted of one account, in tokens.
+// LedgerAccount is the allocation state of one account, in tokens.
 type LedgerAccount struct {
 	Account string `json:"a,omitempty"`
 	// Closed is what ended incarnations may have used.
@@ -109,12 +110,12 @@
 	Entries []LedgerEntry `json:"e,omitempty"`
 }
 
-// LedgerEntry is one incarnation's part of one account, in tokens.
+// LedgerEntry is one incarnation's allocation of one account, in tokens.
 type LedgerEntry struct {
 	// Node is an index into Ledger.Nodes.
 	Node int `json:"n,omitempty"`
-	// Target is the ceiling last granted; Committed what the incarnation may use at
-	// most, which stays higher until it has confirmed a lower ceiling.
+	// Target is the last granted ceiling; Committed is the most that the incarnation may use,
+	// which stays higher until it has confirmed a lower ceiling.
 	Target    int64 `json:"t,omitempty"`
 	Committed int64 `json:"c,omitempty"`
 }
--- a/prepaid/share.go
+++ b/prepaid/share.go
@@ -5,328 +5,329 @@
 	"time"
 )
 
-// Share is the part of every client account that one incarnation of a node may use. It
-// is safe for concurrent use.
+// Share is the part of every client account that one incarnation of a node may use. It is safe
+// for concurrent use.
 type Share struct {
 	settings Settings
 	clocks   Clocks
 	holder   Holder
 
 	mu           sync.Mutex
-	lines        map[string]*line
-	predecessors []Closing
-	seenEpoch    uint64
-	// granted is closed with the first grant.
+	usages       map[string]*usage
+	predecessors []FinalUsage
+	appliedEpoch uint64
+	// granted is closed on the first grant.
 	granted chan struct{}
 	ended   bool
-	// shortAt is when a request was last not covered here; zero if never.
-	shortAt time.Duration
-	// acked is the last acknowledged promise, composed the newest that was made. Both may
-	// be what the store holds, so the lower limit of the two is in force.
-	acked, composed promise
-	// open tells that composed isn't acknowledged.
-	open bool
+	// shortfallAt is when this node last couldn't cover a request; zero if never.
+	shortfallAt time.Duration
+	// acked is the last acknowledged limit schedule, latest the newest one. The store may hold
+	// either, so the lower limit of the two applies.
+	acked, latest limitSchedule
+	// unacked is set while latest isn't acknowledged.
+	unacked bool
 }
 
 // Holder is the incarnation that a share belongs to.
 type Holder struct {
 	Node, Region, Incarnation string
-	// Capacity is what the instance can carry, in hundredths of a usual one.
+	// Capacity is the capacity of the instance, in hundredths of a usual one.
 	Capacity int
-	// BootID names the instance's boot.
+	// BootID identifies the instance's boot.
 	BootID string
 }
 
-// NewShare returns a share that holds nothing.
+// NewShare returns a share without any allocation.
 func NewShare(settings Settings, clocks Clocks, holder Holder) *Share {
-	s := &Share{settings: settings, clocks: clocks, holder: holder, lines: make(map[string]*line), granted: make(chan struct{})}
-	s.acked = promise{from: clocks.Read(), opensAfter: settings.OpensAfter}
-	s.composed = s.acked
+	s := &Share{settings: settings, clocks: clocks, holder: holder, usages: make(map[string]*usage), granted: make(chan struct{})}
+	s.acked = limitSchedule{base: clocks.Read(), ttl: settings.LimitTTL}
+	s.latest = s.acked
 	return s
 }
 
-// Succeed tells the share what the node's earlier incarnations used, as Predecessors read
-// it from the store. It comes before the first report.
-func (s *Share) Succeed(predecessors []Closing) {
+// SetPredecessors sets the final usage of the node's earlier incarnations, as FinalUsages
+// derives it from the store. It must be called before the first report.
+func (s *Share) SetPredecessors(predecessors []FinalUsage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.predecessors = predecessors
 }
 
-// Reserve sets aside the most tokens that a request can use. prepaid is what the
-// account has prepaid by the configuration in force.
-func (s *Share) Reserve(account string, tokens, prepaid int64) Verdict {
+// Reserve reserves the most tokens that a request can use. prepaid is the account's prepaid
+// total by the configuration in force.
+func (s *Share) Reserve(account string, tokens, prepaid int64) Outcome {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	l.demand(tokens, now.Boot, s.settings.RateWindow)
-	if l.used()+tokens <= s.limit(l, now) && !s.ended {
-		l.held += tokens
+	u := s.usage(account)
+	u.addDemand(tokens, now.Boot, s.settings.RateWindow)
+	if u.used()+tokens <= s.limit(u, now) && !s.ended {
+		u.reserved += tokens
 		return Reserved
 	}
-	if l.hasLeft && tokens > l.left+(prepaid-l.prepaid) {
+	if u.hasRemaining && tokens > u.remaining+(prepaid-u.prepaid) {
 		return Exhausted
 	}
-	if l.used()+tokens <= l.ceiling && !s.ended && s.inTouch(now) {
-		l.wish = max(l.wish, tokens)
-		return ReportFirst
+	if u.used()+tokens <= u.ceiling && !s.ended && s.canReport(now) {
+		u.largestBlocked = max(u.largestBlocked, tokens)
+		return ReportRequired
 	}
-	s.shortAt = now.Boot
-	return ShortHere
+	s.shortfallAt = now.Boot
+	return Insufficient
 }
 
-// ShortWithin tells whether the node couldn't cover a request of its own within a time.
-func (s *Share) ShortWithin(d time.Duration) bool {
+// ShortfallWithin reports whether the node failed to cover a request of its own within the last
+// d.
+func (s *Share) ShortfallWithin(d time.Duration) bool {
 	now := s.clocks.Boot.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shortAt != 0 && now-s.shortAt < d
+	return s.shortfallAt != 0 && now-s.shortfallAt < d
 }
 
-// Calm tells that a report would say what the last acknowledged one did: nothing was used
-// since, nothing is open, no ceiling was raised, and there are no callers to speak of.
-func (s *Share) Calm() bool {
+// Unchanged reports whether a report would repeat the last acknowledged one: nothing was used
+// since, nothing is reserved, no ceiling was raised, and demand is negligible.
+func (s *Share) Unchanged() bool {
 	now := s.clocks.Boot.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.lines {
-		l.decay(now, s.settings.RateWindow)
-		if !l.calm() {
+	for _, u := range s.usages {
+		u.decayDemand(now, s.settings.RateWindow)
+		if !u.unchanged() {
 			return false
 		}
 	}
-	return s.seenEpoch > 0 && !s.open
+	return s.appliedEpoch > 0 && !s.unacked
 }
 
-// lendSpare is how long a lender keeps enough for its own callers.
-const lendSpare = 250 * time.Millisecond
+// ownDemandTime is how many seconds of its own callers' demand a lender keeps.
+const ownDemandTime = 250 * time.Millisecond
 
-// Lend is Reserve for another node's request. It leaves what this node's own callers
-// need within lendSpare. Where the borrower holds nothing of the account it counts as this
-// node's demand, so that the nodes which others always borrow from are granted more.
-func (s *Share) Lend(account string, tokens int64, borrowerHolds bool) Verdict {
+// Lend is Reserve for another node's request. It keeps what this node's own callers need within
+// ownDemandTime. If the borrower has no allocation of the account, the request counts as this
+// node's demand, so that nodes with regular borrowers are granted more.
+func (s *Share) Lend(account string, tokens int64, borrowerHasAllocation bool) Outcome {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	l.decay(now.Boot, s.settings.RateWindow)
-	spare := l.ownNeed()
-	if l.ceiling > 0 && !borrowerHolds {
-		l.demand(tokens, now.Boot, s.settings.RateWindow)
+	u := s.usage(account)
+	u.decayDemand(now.Boot, s.settings.RateWindow)
+	ownDemand := u.ownDemand()
+	if u.ceiling > 0 && !borrowerHasAllocation {
+		u.addDemand(tokens, now.Boot, s.settings.RateWindow)
 	}
-	if s.ended || l.used()+tokens+spare > l.ceiling {
-		return ShortHere
+	if s.ended || u.used()+tokens+ownDemand > u.ceiling {
+		return Insufficient
 	}
-	if l.used()+tokens > s.limit(l, now) {
-		if !s.inTouch(now) {
-			return ShortHere
+	if u.used()+tokens > s.limit(u, now) {
+		if !s.canReport(now) {
+			return Insufficient
 		}
-		l.wish = max(l.wish, tokens)
-		return ReportFirst
+		u.largestBlocked = max(u.largestBlocked, tokens)
+		return ReportRequired
 	}
-	l.held += tokens
+	u.reserved += tokens
 	return Reserved
 }
 
-// Spare returns how many tokens the node could still lend.
-func (s *Share) Spare(account string) int64 {
+// Lendable returns how many tokens the node could still lend.
+func (s *Share) Lendable(account string) int64 {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	l.decay(now.Boot, s.settings.RateWindow)
-	limit := l.ceiling
-	if !s.inTouch(now) {
-		limit = s.limit(l, now)
+	u := s.usage(account)
+	u.decayDemand(now.Boot, s.settings.RateWindow)
+	limit := u.ceiling
+	if !s.canReport(now) {
+		limit = s.limit(u, now)
 	}
-	return max(0, limit-l.used()-l.ownNeed())
+	return max(0, limit-u.used()-u.ownDemand())
 }
 
-// inTouch tells whether a report would soon be acknowledged, for all that is known: the
-// last one was, or is under way. Without the store, waiting for one costs a caller or a
-// borrower the time in which another node would serve it. Caller holds mu.
-func (s *Share) inTouch(now Reading) bool {
-	return !s.open || now.Boot-s.acked.from.Boot <= growsAfter
+// canReport reports whether a report is likely to be acknowledged soon: the last one was, or is
+// still in flight. Without the store, a caller or borrower that waited for a report would lose
+// the time in which another node could serve it. Caller holds mu.
+func (s *Share) canReport(now ClockReading) bool {
+	return !s.unacked || now.Boot-s.acked.base.Boot <= growthDelay
 }
 
-// limit is what the incarnation may use of a line now. Caller holds mu.
-func (s *Share) limit(l *line, now Reading) int64 {
-	return min(s.acked.limit(l.acked, l.ceiling, now), s.composed.limit(l.composed, l.ceiling, now))
+// limit returns what the incarnation may currently use of an account. Caller holds mu.
+func (s *Share) limit(u *usage, now ClockReading) int64 {
+	return min(s.acked.limit(u.acked, u.ceiling, now), s.latest.limit(u.latest, u.ceiling, now))
 }
 
-// Settle ends a reservation of tokens of which spent were used; spent above the
-// reservation would be use that was never set aside and is cut to it.
+// Settle ends a reservation of which spent tokens were used. Use above the reservation was
+// never reserved and is capped to it.
 func (s *Share) Settle(account string, tokens, spent int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	l.held -= tokens
-	l.spent += min(spent, tokens)
+	u := s.usage(account)
+	u.reserved -= tokens
+	u.spent += min(spent, tokens)
 }
 
-// Compose makes the next report and, before anyone sees it, holds the share to it: the
-// report may take effect even if its acknowledgement is lost. fresh tells that it carries a
-// new promise. Until one is acknowledged it is only repeated: each new one would begin with
-// low limits again, and a node without the store would never get beyond them.
+// Compose makes the next report and binds the share to it before anyone sees it: the report may
+// take effect even if its acknowledgement is lost. fresh reports whether it carries a new limit
+// schedule. A schedule is repeated until it is acknowledged: each new one would begin with low
+// limits again, and a node without the store would never get beyond them.
 func (s *Share) Compose() (r Report, fresh bool) {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if fresh = !s.open; fresh {
-		s.promise(now)
+	if fresh = !s.unacked; fresh {
+		s.renewLimits(now)
 	}
 	r = Report{
 		Node: s.holder.Node, Region: s.holder.Region, Capacity: s.holder.Capacity, Incarnation: s.holder.Incarnation, BootID: s.holder.BootID,
-		SentTimeMs: now.TimeOfDay.Milliseconds(), FromMs: s.composed.from.Boot.Milliseconds(),
-		FromTimeMs: s.composed.from.TimeOfDay.Milliseconds(), OpensAfterMs: s.composed.opensAfter.Milliseconds(),
-		SeenEpoch: s.seenEpoch, Ended: s.ended, Predecessors: s.predecessors,
+		SentTimeMs: now.Wall.Milliseconds(), StartBootMs: s.latest.base.Boot.Milliseconds(),
+		StartTimeMs: s.latest.base.Wall.Milliseconds(), LimitTTLMs: s.latest.ttl.Milliseconds(),
+		AppliedEpoch: s.appliedEpoch, Ended: s.ended, Predecessors: s.predecessors,
 	}
-	for name, l := range s.lines {
-		if l.idle() {
+	for name, u := range s.usages {
+		if u.idle() {
 			continue
 		}
-		l.decay(now.Boot, s.settings.RateWindow)
-		r.Lines = append(r.Lines, ReportLine{Account: name, Spent: l.spent, Held: l.held,
-			Drawn: l.composed.drawn, Pace: l.composed.pace, Ceiling: l.ceiling, Rate: int64(l.rate)})
+		u.decayDemand(now.Boot, s.settings.RateWindow)
+		r.Lines = append(r.Lines, ReportLine{Account: name, Spent: u.spent, Reserved: u.reserved,
+			InitialLimit: u.latest.initial, Growth: u.latest.growth, Ceiling: u.ceiling, DemandRate: int64(u.demandRate)})
 	}
 	return r, fresh
 }
 
-// promise makes a new promise. Caller holds mu.
-func (s *Share) promise(now Reading) {
-	s.open = true
-	// Reports hold milliseconds; the share keeps to the same figures.
-	from := Reading{Boot: now.Boot.Truncate(time.Millisecond), TimeOfDay: now.TimeOfDay.Truncate(time.Millisecond)}
-	s.composed = promise{from: from, opensAfter: s.settings.OpensAfter}
-	for _, l := range s.lines {
-		l.decay(now.Boot, s.settings.RateWindow)
-		l.composed = pledge{}
-		if !l.idle() {
-			l.composed = l.pledge(s.settings)
+// renewLimits starts a new limit schedule. Caller holds mu.
+func (s *Share) renewLimits(now ClockReading) {
+	s.unacked = true
+	// Reports have millisecond resolution; the share uses the same values.
+	base := ClockReading{Boot: now.Boot.Truncate(time.Millisecond), Wall: now.Wall.Truncate(time.Millisecond)}
+	s.latest = limitSchedule{base: base, ttl: s.settings.LimitTTL}
+	for _, u := range s.usages {
+		u.decayDemand(now.Boot, s.settings.RateWindow)
+		u.latest = limitRamp{}
+		if !u.idle() {
+			u.latest = u.newRamp(s.settings)
 		}
-		l.wish = 0
-		l.reported, l.promised = l.spent, l.ceiling
+		u.largestBlocked = 0
+		u.reportedSpent, u.reportedCeiling = u.spent, u.ceiling
 	}
 }
 
-// Acknowledge puts the newest promise in force. Only the newest composed report may be
+// Acknowledge puts the newest limit schedule in force. Only the newest composed report may be
 // acknowledged.
 func (s *Share) Acknowledge() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = false
-	s.acked = s.composed
-	for _, l := range s.lines {
-		l.acked = l.composed
+	s.unacked = false
+	s.acked = s.latest
+	for _, u := range s.usages {
+		u.acked = u.latest
 	}
 }
 
-// Apply takes a grant over and tells whether it was news. A lower ceiling than what is
-// already in use takes effect down to the use.
+// Apply applies a grant and reports whether it was new. A ceiling below the current use is
+// applied as the current use.
 func (s *Share) Apply(g Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if g.Incarnation != s.holder.Incarnation || g.Epoch <= s.seenEpoch {
+	if g.Incarnation != s.holder.Incarnation || g.Epoch <= s.appliedEpoch {
 		return false
 	}
-	if s.seenEpoch == 0 {
+	if s.appliedEpoch == 0 {
 		close(s.granted)
 	}
-	s.seenEpoch = g.Epoch
+	s.appliedEpoch = g.Epoch
 	// The allocator closes a node's earlier incarnations before it grants to a new one.
 	s.predecessors = nil
 	for _, gl := range g.Lines {
-		l := s.line(gl.Account)
-		l.ceiling = max(gl.Ceiling, l.used())
-		l.left, l.prepaid, l.hasLeft = gl.Left, gl.Prepaid, true
+		u := s.usage(gl.Account)
+		u.ceiling = max(gl.Ceiling, u.used())
+		u.remaining, u.prepaid, u.hasRemaining = gl.Remaining, gl.Prepaid, true
 	}
 	return true
 }
 
-// NoteLeft takes over what the fleet could still use of an account, as a grant to any
-// node tells it.
-func (s *Share) NoteLeft(account string, left, prepaid int64) {
+// SetRemaining records what the fleet could still use of an account, as announced in a grant to
+// any node.
+func (s *Share) SetRemaining(account string, remaining, prepaid int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	l.left, l.prepaid, l.hasLeft = left, prepaid, true
+	u := s.usage(account)
+	u.remaining, u.prepaid, u.hasRemaining = remaining, prepaid, true
 }
 
-// Holds tells whether the node has a part of an account.
-func (s *Share) Holds(account string) bool {
+// HasAllocation reports whether the node has an allocation of an account.
+func (s *Share) HasAllocation(account string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.line(account).ceiling > 0
+	return s.usage(account).ceiling > 0
 }
 
-// InUse tells whether the node has a part of any account, or had callers just now who
+// InUse reports whether the node has an allocation of any account, or recent callers that
 // wanted one.
 func (s *Share) InUse() bool {
 	now := s.clocks.Boot.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.lines {
-		l.decay(now, s.settings.RateWindow)
-		if l.ceiling > 0 || l.rate >= 1 {
+	for _, u := range s.usages {
+		u.decayDemand(now, s.settings.RateWindow)
+		if u.ceiling > 0 || u.demandRate >= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// Holding tells whether the share has anything to report.
-func (s *Share) Holding() bool {
+// Reportable reports whether the share has anything to report.
+func (s *Share) Reportable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.lines {
-		if !l.idle() {
+	for _, u := range s.usages {
+		if !u.idle() {
 			return true
 		}
 	}
-	return s.seenEpoch == 0 || len(s.predecessors) > 0
+	return s.appliedEpoch == 0 || len(s.predecessors) > 0
 }
 
-// End forbids new reservations for good. Once nothing is held, the next report gives
-// everything else back.
+// End permanently forbids new reservations. Once nothing is reserved, the next report returns
+// all unused tokens.
 func (s *Share) End() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 }
 
-// Granted tells whether any grant has arrived.
+// Granted reports whether any grant has arrived.
 func (s *Share) Granted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seenEpoch > 0
+	return s.appliedEpoch > 0
 }
 
 // FirstGrant returns a channel that is closed once any grant has arrived.
 func (s *Share) FirstGrant() <-chan struct{} { return s.granted }
 
-// Standing is an account's figures on this node, for logs.
-type Standing struct {
-	Spent, Held, Limit, Ceiling, Left int64
-	// PromiseAge is how long ago the limits began to grow.
-	PromiseAge time.Duration
+// AccountStatus holds an account's figures on this node, for logs.
+type AccountStatus struct {
+	Spent, Reserved, Limit, Ceiling, Remaining int64
+	// LimitAge is the time since the start of the newest limit schedule.
+	LimitAge time.Duration
 }
 
-// Standing returns an account's figures.
-func (s *Share) Standing(account string) Standing {
+// Status returns an account's figures.
+func (s *Share) Status(account string) AccountStatus {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.line(account)
-	return Standing{Spent: l.spent, Held: l.held, Limit: s.limit(l, now), Ceiling: l.ceiling,
-		Left: l.left, PromiseAge: now.Boot - s.composed.from.Boot}
+	u := s.usage(account)
+	return AccountStatus{Spent: u.spent, Reserved: u.reserved, Limit: s.limit(u, now), Ceiling: u.ceiling,
+		Remaining: u.remaining, LimitAge: now.Boot - s.latest.base.Boot}
 }
 
-func (s *Share) line(account string) *line {
-	l, ok := s.lines[account]
+func (s *Share) usage(account string) *usage {
+	u, ok := s.usages[account]
 	if !ok {
-		l = &line{rateAt: s.clocks.Boot.Now()}
-		s.lines[account] = l
+		u = &usage{demandRateAt: s.clocks.Boot.Now()}
+		s.usages[account] = u
 	}
-	return l
+	return u
 }
