--- a/allotment/codec.go
+++ b/allotment/codec.go
@@ -8,8 +8,8 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// reportKey is the key of an incarnation's report. Each incarnation has its own, so that
-// a late write of an ended one can't hide the present one's.
+// reportKey returns the key of an incarnation's report. Each incarnation has its own, so that a
+// late write of an ended one can't replace the current one's.
 func reportKey(node, incarnation string) string { return node + "/" + incarnation }
 
 func encode(v any) ([]byte, error) {
@@ -17,21 +17,21 @@
 	return b, errors.Trace(err)
 }
 
-// DecodeReport reads a report.
+// DecodeReport decodes a report.
 func DecodeReport(b []byte) (prepaid.Report, error) {
 	var r prepaid.Report
 	err := json.Unmarshal(b, &r)
 	return r, errors.Trace(err)
 }
 
-// DecodeGrant reads a grant.
+// DecodeGrant decodes a grant.
 func DecodeGrant(b []byte) (prepaid.Grant, error) {
 	var g prepaid.Grant
 	err := json.Unmarshal(b, &g)
 	return g, errors.Trace(err)
 }
 
-// DecodeLedger reads a ledger.
+// DecodeLedger decodes and validates a ledger.
 func DecodeLedger(b []byte) (prepaid.Ledger, error) {
 	var l prepaid.Ledger
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -40,7 +40,7 @@
 	for _, account := range l.Accounts {
 		for _, e := range account.Entries {
 			if e.Node < 0 || e.Node >= len(l.Nodes) {
-				return l, errors.Errorf("entry of account %q names node %d of %d", account.Account, e.Node, len(l.Nodes))
+				return l, errors.Errorf("entry of account %q refers to node index %d, but the ledger lists %d nodes", account.Account, e.Node, len(l.Nodes))
 			}
 		}
 	}
--- a/allotment/grants.go
+++ b/allotment/grants.go
@@ -9,52 +9,52 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// Grants applies a node's grants to its share.
-type Grants struct {
+// GrantHandler applies a node's grants to its share.
+type GrantHandler struct {
 	share  *prepaid.Share
 	node   string
 	events *event.Recorder
 
 	mu sync.Mutex
-	// holdings holds what every node was last granted, by account and node.
-	holdings map[string]map[string]Holding
+	// allocations holds the newest allocation of every node, by account and node.
+	allocations map[string]map[string]Allocation
 }
 
-// NewGrants returns the handler of a node's grants.
-func NewGrants(share *prepaid.Share, node string, events *event.Recorder) *Grants {
-	return &Grants{share: share, node: node, events: events, holdings: make(map[string]map[string]Holding)}
+// NewGrantHandler returns a handler of a node's grants.
+func NewGrantHandler(share *prepaid.Share, node string, events *event.Recorder) *GrantHandler {
+	return &GrantHandler{share: share, node: node, events: events, allocations: make(map[string]map[string]Allocation)}
 }
 
-// Holding is what a node was last granted of an account, in tokens.
-type Holding struct {
+// Allocation is what a node was last granted of an account, in tokens.
+type Allocation struct {
 	Ceiling int64
-	// Room is what the node hadn't used of it then.
-	Room int64
+	// Unused is what the node hadn't used of it at that time.
+	Unused int64
 }
 
-// Holdings returns what each node was last granted of an account.
-func (g *Grants) Holdings(account string) map[string]Holding {
+// Allocations returns what each node was last granted of an account.
+func (g *GrantHandler) Allocations(account string) map[string]Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return maps.Clone(g.holdings[account])
+	return maps.Clone(g.allocations[account])
 }
 
-func (g *Grants) remember(grant prepaid.Grant) {
+func (g *GrantHandler) recordAllocations(grant prepaid.Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range grant.Lines {
-		if g.holdings[l.Account] == nil {
-			g.holdings[l.Account] = make(map[string]Holding)
+		if g.allocations[l.Account] == nil {
+			g.allocations[l.Account] = make(map[string]Allocation)
 		}
-		g.holdings[l.Account][grant.Node] = Holding{Ceiling: l.Ceiling, Room: l.Unused}
+		g.allocations[l.Account][grant.Node] = Allocation{Ceiling: l.Ceiling, Unused: l.Unused}
 	}
 }
 
-// Reset takes the newest grants.
-func (g *Grants) Reset(records []keyedlog.Record) { g.Apply(records) }
+// Reset applies the newest grants.
+func (g *GrantHandler) Reset(records []keyedlog.Record) { g.Apply(records) }
 
-// Apply takes grants in order.
-func (g *Grants) Apply(records []keyedlog.Record) {
+// Apply applies grants in order.
+func (g *GrantHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
 			continue
@@ -64,7 +64,7 @@
 			g.events.Record(event.BatchVoid, "topic", "grants", "key", r.Key, "error", err)
 			continue
 		}
-		g.remember(grant)
+		g.recordAllocations(grant)
 		for _, l := range grant.Lines {
 			g.share.SetRemaining(l.Account, l.Remaining, l.Prepaid)
 		}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Lost does nothing: reports over the same store log its loss.
-func (g *Grants) Lost(error) {}
+// Lost does nothing: the reporter logs when the same store is unreachable.
+func (g *GrantHandler) Lost(error) {}
 
 // Caught does nothing.
-func (g *Grants) Caught(keyedlog.Reading) {}
+func (g *GrantHandler) Caught(keyedlog.Reading) {}
--- a/allotment/duty_test.go
+++ b/allotment/planner_test.go
@@ -18,15 +18,15 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// oneFleet says that everybody lives and who plans.
-type oneFleet struct {
-	mine   bool
-	totals map[string]int64
+// fakeFleet is a fleet in which all incarnations are live.
+type fakeFleet struct {
+	isPlanner bool
+	prepaid   map[string]int64
 }
 
-func (f *oneFleet) Mine() bool                        { return f.mine }
-func (f *oneFleet) IsLive(string, string) bool        { return true }
-func (f *oneFleet) Prepaid() (map[string]int64, bool) { return f.totals, f.totals != nil }
+func (f *fakeFleet) IsPlanner() bool                   { return f.isPlanner }
+func (f *fakeFleet) IsLive(string, string) bool        { return true }
+func (f *fakeFleet) Prepaid() (map[string]int64, bool) { return f.prepaid, f.prepaid != nil }
 
 func recorder() *event.Recorder {
 	return event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 16, log.NewNopLogger())
@@ -36,8 +36,8 @@
 	return Topics{Spend: memtopic.New(), Ledger: memtopic.New(), Grants: memtopic.New()}
 }
 
-func newDutyOver(topics Topics) *Duty {
-	return NewDuty(topics, &oneFleet{mine: true, totals: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
+func newTestPlanner(topics Topics) *Planner {
+	return NewPlanner(topics, &fakeFleet{isPlanner: true, prepaid: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
 }
 
 // node is a share with its reporter and grants.
@@ -52,16 +52,16 @@
 	events := recorder()
 	return &node{share: share,
 		reporter: NewReporter(share, topics.Spend, name, incarnation, nil, events),
-		grants:   keyedlog.NewFollower(topics.Grants, NewGrants(share, name, events), keyedlog.Options{Slack: time.Second})}
+		grants:   keyedlog.NewFollower(topics.Grants, NewGrantHandler(share, name, events), keyedlog.Options{Slack: time.Second})}
 }
 
-// Reports go up, a round is planned, grants come down.
+// A report is planned into a grant, and the granted tokens can be reserved.
 func TestGrantsReachTheNodes(t *testing.T) {
 	is := is.New(t)
 	ctx, topics, clock := context.Background(), newTopics(), &bootclock.Fake{}
 	n := newNode(topics, clock, "n1", "i1")
 	is.NoErr(n.reporter.Report(ctx))
-	term, err := newDutyOver(topics).begin(ctx)
+	term, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(term.round(ctx))
 	is.NoErr(n.grants.Step(ctx))
@@ -71,17 +71,17 @@
 	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.Reserved)
 }
 
-// A planner is paused, another takes over and moves shares, then the first one wakes. Its
+// A planner is suspended while another takes over and moves allocations. When it resumes, its
 // next write must fail, or two nodes would be granted the same tokens.
-func TestOvertakenPlannerCantWrite(t *testing.T) {
+func TestSupersededPlannerCannotWrite(t *testing.T) {
 	is := is.New(t)
 	ctx, topics, clock := context.Background(), newTopics(), &bootclock.Fake{}
 	n := newNode(topics, clock, "n1", "i1")
 	is.NoErr(n.reporter.Report(ctx))
-	first, err := newDutyOver(topics).begin(ctx)
+	first, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(first.round(ctx))
-	second, err := newDutyOver(topics).begin(ctx)
+	second, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(second.round(ctx))
 	m := newNode(topics, clock, "n2", "i2")
@@ -89,21 +89,21 @@
 	is.True(errors.Is(first.round(ctx), keyedlog.ErrFenced))
 }
 
-// A planner's ledger is written and the answer lost, so it gives up. The next planner must
-// count what the lost write granted, though no grant of it may have been seen.
-func TestLostLedgerAnswerIsCounted(t *testing.T) {
+// A planner writes a ledger but loses the acknowledgement and gives up. The next planner must
+// count what that write granted, even if none of its grants was seen.
+func TestLedgerWithLostAcknowledgementIsCounted(t *testing.T) {
 	is := is.New(t)
 	ctx, topics, clock := context.Background(), newTopics(), &bootclock.Fake{}
 	for _, name := range []string{"n1", "n2", "n3"} {
 		is.NoErr(newNode(topics, clock, name, "i-"+name).reporter.Report(ctx))
 	}
-	first, err := newDutyOver(topics).begin(ctx)
+	first, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	ledger := topics.Ledger.(*memtopic.Topic)
 	ledger.Lose = true
 	is.True(first.round(ctx) != nil)
 	ledger.Lose = false
-	second, err := newDutyOver(topics).begin(ctx)
+	second, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(second.round(ctx))
 	total := int64(0)
@@ -113,55 +113,55 @@
 	is.True(total > 0 && total <= 1_000_000)
 }
 
-// Several nodes fence in turn and die before any of them writes a ledger, as when a whole
-// fleet is killed twice. The next planner must get through after a few tries, or nobody is
-// granted anything for the rest of the day and callers are refused though tokens are left.
-func TestPlannersThatDiedEarlyDontLockTheLedger(t *testing.T) {
+// Several nodes in turn fence and die before they write a ledger, as when a whole fleet is
+// killed twice. The next planner must get through after a few tries; otherwise nothing is
+// granted for the rest of the day and callers are refused though tokens are left.
+func TestCrashedPlannersDontBlockTheLedger(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	const deaths = 6
 	for range deaths {
-		d := newDutyOver(topics)
+		planner := newTestPlanner(topics)
 		for {
-			if _, err := d.begin(ctx); err == nil {
+			if _, err := planner.beginTerm(ctx); err == nil {
 				break
 			}
 		}
 	}
-	last := newDutyOver(topics)
+	last := newTestPlanner(topics)
 	began := false
 	for range 2*deaths + 2 {
-		_, err := last.begin(ctx)
+		_, err := last.beginTerm(ctx)
 		is.True(err == nil || errors.Is(err, keyedlog.ErrFenced))
 		began = began || err == nil
 	}
 	is.True(began)
 }
 
-// The ledger in the store is torn. Granting from nothing could grant the same tokens
-// twice, so nothing is granted and the log says why.
-func TestTornLedgerGrantsNothing(t *testing.T) {
+// The ledger in the store is corrupt. Starting from an empty ledger could grant the same tokens
+// twice, so nothing is granted and the reason is logged.
+func TestCorruptLedgerGrantsNothing(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	is.NoErr(topics.Ledger.Append(ctx, keyedlog.Fence{}, keyedlog.Record{Key: ledgerKey, Value: []byte("torn")}))
-	_, err := newDutyOver(topics).begin(ctx)
+	_, err := newTestPlanner(topics).beginTerm(ctx)
 	is.True(err != nil)
 }
 
-// A report of the node's earlier incarnation is torn. The node must start all the same,
-// and what that incarnation held counts as used.
-func TestTornReportOfAnEarlierIncarnation(t *testing.T) {
+// A report of the node's earlier incarnation is corrupt. The node must start anyway, and all
+// that the incarnation held counts as used.
+func TestCorruptReportOfPredecessor(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	is.NoErr(topics.Spend.Append(ctx, keyedlog.Fence{}, keyedlog.Record{Key: reportKey("n1", "old"), Value: []byte("torn")}))
-	earlier, err := ReadEarlier(ctx, topics.Spend, "n1", prepaid.ProcessStart{BootID: "boot"}, clockwork.NewFakeClock())
+	earlier, err := ReadPredecessors(ctx, topics.Spend, "n1", prepaid.ProcessStart{BootID: "boot"}, clockwork.NewFakeClock())
 	is.NoErr(err)
-	is.Equal(len(earlier.Closings), 1)
-	is.Equal(earlier.Closings[0].Incarnation, "old")
-	is.True(!earlier.Closings[0].Bounded)
+	is.Equal(len(earlier.FinalUsages), 1)
+	is.Equal(earlier.FinalUsages[0].Incarnation, "old")
+	is.True(!earlier.FinalUsages[0].Bounded)
 }
 
-// FuzzDecode checks that no bytes in the store's topics end a node.
+// FuzzDecode checks that no bytes in the store's topics crash a node.
 func FuzzDecode(f *testing.F) {
 	for _, v := range []any{&prepaid.Report{Node: "n", Lines: []prepaid.ReportLine{{Account: "a"}}}, &prepaid.Grant{Lines: []prepaid.GrantLine{{}}}, &prepaid.Ledger{}} {
 		raw, err := encode(v)
@@ -177,9 +177,9 @@
 	})
 }
 
-// The store is far, and many callers wait for limits that cover their prompts. Each report
-// after the other would make the last of them late; those that wait together share one.
-func TestCallersThatWaitTogetherShareAReport(t *testing.T) {
+// The store is slow and many callers wait for limits that cover their prompts. One report after
+// the other would delay the last callers; concurrent calls must share one.
+func TestConcurrentCallersShareReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topics := newTopics()
--- a/allotment/predecessors.go
+++ b/allotment/predecessors.go
@@ -11,20 +11,20 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// Earlier is what a node's earlier incarnations left in the store.
-type Earlier struct {
-	Closings []prepaid.FinalUsage
-	Keys     []string
+// PredecessorRecords is what a node's earlier incarnations left in the store.
+type PredecessorRecords struct {
+	FinalUsages []prepaid.FinalUsage
+	ReportKeys  []string
 }
 
-// ReadEarlier reads what earlier incarnations of a node reported last. start is read when
-// the process begins, now tells the time of day once the reports are read.
-func ReadEarlier(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.ProcessStart, now prepaid.WallClock) (Earlier, error) {
+// ReadPredecessors reads the last reports of a node's earlier incarnations. start is read when
+// the process starts; now gives the wall-clock time once the reports are read.
+func ReadPredecessors(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.ProcessStart, now prepaid.WallClock) (PredecessorRecords, error) {
 	records, _, err := keyedlog.ReadNewest(ctx, spend)
 	if err != nil {
-		return Earlier{}, errors.Trace(err)
+		return PredecessorRecords{}, errors.Trace(err)
 	}
-	var earlier Earlier
+	var predecessors PredecessorRecords
 	var last []prepaid.Report
 	timeOfDay := time.Duration(now.Now().UnixNano())
 	for _, r := range records {
@@ -36,14 +36,14 @@
 		if !strings.HasPrefix(r.Key, node+"/") {
 			continue
 		}
-		earlier.Keys = append(earlier.Keys, r.Key)
+		predecessors.ReportKeys = append(predecessors.ReportKeys, r.Key)
 		if err != nil {
-			// Nothing bounds its use but its ceilings.
-			earlier.Closings = append(earlier.Closings, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
+			// Only its ceilings bound its use.
+			predecessors.FinalUsages = append(predecessors.FinalUsages, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
 			continue
 		}
 		last = append(last, report)
 	}
-	earlier.Closings = append(earlier.Closings, prepaid.FinalUsages(last, start)...)
-	return earlier, nil
+	predecessors.FinalUsages = append(predecessors.FinalUsages, prepaid.FinalUsages(last, start)...)
+	return predecessors, nil
 }
--- a/allotment/reporter.go
+++ b/allotment/reporter.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// ReportEvery is the interval of reports. Drawn limits run ahead by several of it.
-	ReportEvery = 500 * time.Millisecond
-	// idleReports is how many intervals a node that holds nothing lets pass for a report,
-	// calmReports one that holds tokens which nobody uses now: a report would only repeat
-	// the last one, and at a hundred nodes most are so.
-	idleReports = 6
-	calmReports = 3
-	// reportTimeout bounds one report, so that a dead connection costs one report and
-	// not the reserve's opening; a store in another region that is sixty times slower
-	// than usual still answers within it.
+	// ReportInterval is the interval of reports. Initial limits are several intervals ahead of
+	// use.
+	ReportInterval = 500 * time.Millisecond
+	// idleIntervals is the number of intervals per report of a node without an allocation,
+	// unchangedIntervals that of a node whose tokens nobody currently uses: a report would only
+	// repeat the last one, and at a hundred nodes most are in this state.
+	idleIntervals      = 6
+	unchangedIntervals = 3
+	// reportTimeout bounds one report, so that a dead connection costs one report and not the
+	// expiry of the limits; a store in another region that is sixty times slower than usual
+	// still answers in time.
 	reportTimeout = 700 * time.Millisecond
 )
 
@@ -32,36 +33,36 @@
 	topic  keyedlog.Topic
 	events *event.Recorder
 	key    string
-	// stale are the report keys of the node's earlier incarnations.
-	stale []string
+	// predecessorKeys are the report keys of the node's earlier incarnations.
+	predecessorKeys []string
 
-	// turn holds the one token of the right to report.
-	turn chan struct{}
-	// epoch and lost are guarded by turn.
-	epoch uint64
-	lost  bool
-	// begun counts the reports that were composed; kept is the number of the newest one
-	// whose new promise was acknowledged. Both are written under turn.
-	begun, kept atomic.Uint64
+	// sem is a binary semaphore that serializes reports.
+	sem chan struct{}
+	// epoch and failing are guarded by sem.
+	epoch   uint64
+	failing bool
+	// composed counts the composed reports; acked is the number of the newest one whose new
+	// limit schedule was acknowledged. Both are written under sem.
+	composed, acked atomic.Uint64
 }
 
-// NewReporter returns a reporter of a share. stale are the report keys of the node's
+// NewReporter returns a reporter of a share. predecessorKeys are the report keys of the node's
 // earlier incarnations, deleted once a grant shows that they are closed.
-func NewReporter(share *prepaid.Share, topic keyedlog.Topic, node, incarnation string, stale []string, events *event.Recorder) *Reporter {
-	r := &Reporter{share: share, topic: topic, key: reportKey(node, incarnation), stale: stale, events: events, turn: make(chan struct{}, 1)}
-	r.turn <- struct{}{}
+func NewReporter(share *prepaid.Share, topic keyedlog.Topic, node, incarnation string, predecessorKeys []string, events *event.Recorder) *Reporter {
+	r := &Reporter{share: share, topic: topic, key: reportKey(node, incarnation), predecessorKeys: predecessorKeys, events: events, sem: make(chan struct{}, 1)}
+	r.sem <- struct{}{}
 	return r
 }
 
 // Run reports at intervals until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(ReportEvery)
+	ticker := time.NewTicker(ReportInterval)
 	defer ticker.Stop()
-	idle := 0
+	skipped := 0
 	for {
-		if idle++; idle >= r.interval() {
-			idle = 0
-			_ = r.Report(ctx) // logged where it fails; the next one repeats it
+		if skipped++; skipped >= r.intervals() {
+			skipped = 0
+			_ = r.Report(ctx) // logged in Report; the next report retries
 		}
 		select {
 		case <-ctx.Done():
@@ -71,41 +72,41 @@
 	}
 }
 
-// interval is how many ticks may pass between two reports now.
-func (r *Reporter) interval() int {
+// intervals is the number of ticks from one report to the next.
+func (r *Reporter) intervals() int {
 	switch {
 	case !r.share.Reportable():
-		return idleReports
+		return idleIntervals
 	case r.share.Unchanged():
-		return calmReports
+		return unchangedIntervals
 	default:
 		return 1
 	}
 }
 
-// Report returns once a report that was composed after the call is acknowledged. Calls
-// that wait at the same time share one: written one after the other, reports from another
-// region than the store's took 70 ms each, and a prompt that waited for its turn was late
-// by up to 1.5 s (one in twenty that began late, on a grown fleet).
+// Report returns once a report that was composed after the call is acknowledged. Concurrent
+// calls share one. When reports from a region other than the store's were written one after the
+// other, each took 70 ms, and a prompt that waited for its turn was late by up to 1.5 s (one in
+// twenty of the late ones, on a grown fleet).
 func (r *Reporter) Report(ctx context.Context) error {
-	before := r.begun.Load()
+	composed := r.composed.Load()
 	select {
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
-	case <-r.turn:
+	case <-r.sem:
 	}
-	defer func() { r.turn <- struct{}{} }()
-	if r.kept.Load() > before {
+	defer func() { r.sem <- struct{}{} }()
+	if r.acked.Load() > composed {
 		return nil
 	}
-	err := r.report(ctx)
-	r.note(err)
+	err := r.reportFresh(ctx)
+	r.logTransition(err)
 	return err
 }
 
-// report writes until the store holds a new promise. A report that only repeats one would
-// leave a request waiting whose tokens go beyond it. Caller holds the turn.
-func (r *Reporter) report(ctx context.Context) error {
+// reportFresh writes until the store holds a new limit schedule. A report that only repeats one
+// would leave a request waiting whose tokens exceed it. Caller holds sem.
+func (r *Reporter) reportFresh(ctx context.Context) error {
 	for fresh := false; !fresh; {
 		var err error
 		if fresh, err = r.write(ctx); err != nil {
@@ -115,20 +116,20 @@
 	return nil
 }
 
-// write composes and writes one report. Caller holds the turn.
+// write composes and writes one report. Caller holds sem.
 func (r *Reporter) write(ctx context.Context) (fresh bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	number := r.begun.Add(1)
+	number := r.composed.Add(1)
 	report, fresh := r.share.Compose()
 	value, err := encode(&report)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
 	records := []keyedlog.Record{{Key: r.key, Value: value}}
-	clean := r.share.Granted() && len(r.stale) > 0
-	if clean {
-		for _, key := range r.stale {
+	deletePredecessors := r.share.Granted() && len(r.predecessorKeys) > 0
+	if deletePredecessors {
+		for _, key := range r.predecessorKeys {
 			records = append(records, keyedlog.Record{Key: key, Deleted: true})
 		}
 	}
@@ -138,22 +139,22 @@
 	}
 	r.share.Acknowledge()
 	if fresh {
-		r.kept.Store(number)
+		r.acked.Store(number)
 	}
-	if clean {
-		r.stale = nil
+	if deletePredecessors {
+		r.predecessorKeys = nil
 	}
 	return fresh, nil
 }
 
-// note logs when reports begin or cease to fail. Caller holds the turn.
-func (r *Reporter) note(err error) {
+// logTransition logs when reports begin to fail or recover. Caller holds sem.
+func (r *Reporter) logTransition(err error) {
 	switch {
-	case err != nil && !r.lost:
-		r.lost = true
+	case err != nil && !r.failing:
+		r.failing = true
 		r.events.Record(event.LogUnreachable, "topic", "spend", "error", err)
-	case err == nil && r.lost:
-		r.lost = false
+	case err == nil && r.failing:
+		r.failing = false
 		r.events.Record(event.LogReachable, "topic", "spend")
 	}
 }
--- a/allotment/term.go
+++ b/allotment/term.go
@@ -13,27 +13,27 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// term is one node's time as the planner.
+// term is one node's period as the planner.
 type term struct {
-	duty      *Duty
+	planner   *Planner
 	epoch     uint64
 	allocator *prepaid.Allocator
 	follower  *keyedlog.Follower
 	// reports holds the newest report of each incarnation by its key.
 	reports map[string]prepaid.Report
-	// written is the ledger as last acknowledged.
+	// written is the last acknowledged ledger.
 	written prepaid.Ledger
 }
 
 func (t *term) fence() keyedlog.Fence {
-	return keyedlog.Fence{Producer: producer, Epoch: t.epoch}
+	return keyedlog.Fence{Producer: producerName, Epoch: t.epoch}
 }
 
-// round reads reports, writes the ledger if it changed and then the grants.
+// round reads reports, writes the ledger if it changed, then writes the grants.
 func (t *term) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 3*callTimeout)
 	defer cancel()
-	prepaidTotals, known := t.duty.fleet.Prepaid()
+	prepaidTotals, known := t.planner.fleet.Prepaid()
 	if !known {
 		return nil
 	}
@@ -46,7 +46,7 @@
 		return errors.Trace(err)
 	}
 	for _, e := range plan.Closed {
-		t.duty.events.Record(event.IncarnationClosed, "member", e.Node, "incarnation", e.Incarnation, "known", e.Bounded, "reported", e.Reported, "counted", e.Counted, "returned", e.Returned)
+		t.planner.events.Record(event.IncarnationClosed, "member", e.Node, "incarnation", e.Incarnation, "known", e.Bounded, "reported", e.Reported, "counted", e.Counted, "returned", e.Returned)
 	}
 	return t.writeGrants(ctx, plan.Grants)
 }
@@ -60,26 +60,26 @@
 	return members
 }
 
-// isLive tells whether a report's incarnation was heard of lately, or follows one that was.
-// Nodes' records are read more rarely than reports: after a power loss the roster holds the
+// isLive reports whether a report's incarnation, or one that it succeeds, was heard from
+// recently. Node records are read less often than reports: after a power loss they show the
 // earlier incarnations for some tenths of a second more, in which nothing would be granted.
 func (t *term) isLive(r *prepaid.Report) bool {
-	return t.duty.fleet.IsLive(r.Node, r.Incarnation) || slices.ContainsFunc(r.Predecessors, func(c prepaid.FinalUsage) bool {
-		return t.duty.fleet.IsLive(r.Node, c.Incarnation)
+	return t.planner.fleet.IsLive(r.Node, r.Incarnation) || slices.ContainsFunc(r.Predecessors, func(c prepaid.FinalUsage) bool {
+		return t.planner.fleet.IsLive(r.Node, c.Incarnation)
 	})
 }
 
 func (t *term) writeLedger(ctx context.Context, ledger prepaid.Ledger) error {
-	same := t.written
-	same.Epoch = ledger.Epoch
-	if reflect.DeepEqual(same, ledger) {
+	unchanged := t.written
+	unchanged.Epoch = ledger.Epoch
+	if reflect.DeepEqual(unchanged, ledger) {
 		return nil
 	}
 	value, err := encode(&ledger)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err := t.duty.topics.Ledger.Append(ctx, t.fence(), keyedlog.Record{Key: ledgerKey, Value: value}); err != nil {
+	if err := t.planner.topics.Ledger.Append(ctx, t.fence(), keyedlog.Record{Key: ledgerKey, Value: value}); err != nil {
 		return errors.Trace(err)
 	}
 	t.written = ledger
@@ -98,24 +98,24 @@
 		}
 		records = append(records, keyedlog.Record{Key: grants[i].Node, Value: value})
 	}
-	if err := t.duty.topics.Grants.Append(ctx, t.fence(), records...); err != nil {
+	if err := t.planner.topics.Grants.Append(ctx, t.fence(), records...); err != nil {
 		return errors.Trace(err)
 	}
-	t.duty.events.Record(event.ShareGranted, "epoch", t.epoch, "nodes", len(grants))
+	t.planner.events.Record(event.ShareGranted, "epoch", t.epoch, "nodes", len(grants))
 	return nil
 }
 
-// reports takes what the follower reads into the term.
-type reports term
+// reportHandler applies what the follower reads to the term.
+type reportHandler term
 
-// Reset takes the newest reports.
-func (t *reports) Reset(records []keyedlog.Record) {
+// Reset applies the newest reports.
+func (t *reportHandler) Reset(records []keyedlog.Record) {
 	clear(t.reports)
 	t.Apply(records)
 }
 
-// Apply takes reports in order.
-func (t *reports) Apply(records []keyedlog.Record) {
+// Apply applies reports in order.
+func (t *reportHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
 			delete(t.reports, r.Key)
@@ -123,15 +123,15 @@
 		}
 		report, err := DecodeReport(r.Value)
 		if err != nil {
-			t.duty.events.Record(event.BatchVoid, "topic", "spend", "key", r.Key, "error", err)
+			t.planner.events.Record(event.BatchVoid, "topic", "spend", "key", r.Key, "error", err)
 			continue
 		}
 		t.reports[r.Key] = report
 	}
 }
 
-// Lost does nothing: a failed round ends the term, which logs it.
-func (t *reports) Lost(error) {}
+// Lost does nothing: a failed round ends the term, which is logged.
+func (t *reportHandler) Lost(error) {}
 
 // Caught does nothing.
-func (t *reports) Caught(keyedlog.Reading) {}
+func (t *reportHandler) Caught(keyedlog.Reading) {}
--- a/prepaid/needs.go
+++ b/prepaid/needs.go
@@ -165,8 +165,8 @@
 		}
 	}
 	for i := range needs {
-		if w := &needs[i]; w.tokens > 0 {
-			w.tokens = max(w.tokens, int64(a.settings.MinNeededFraction*float64(distributable))/holders)
+		if n := &needs[i]; n.tokens > 0 {
+			n.tokens = max(n.tokens, int64(a.settings.MinNeededFraction*float64(distributable))/holders)
 		}
 	}
 }
@@ -180,10 +180,10 @@
 		total += n.tokens
 	}
 	for i := range needs {
-		w := &needs[i]
-		w.share = w.tokens
+		n := &needs[i]
+		n.share = n.tokens
 		if total > distributable {
-			w.share = int64(float64(distributable) * float64(w.tokens) / float64(total))
+			n.share = int64(float64(distributable) * float64(n.tokens) / float64(total))
 		}
 	}
 }
