--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -174,7 +174,7 @@
 // noLender reaches no other node.
 type noLender struct{}
 
-func (noLender) Call(context.Context, string, lending.Ask) (lending.Reply, error) {
+func (noLender) Call(context.Context, string, lending.Request) (lending.Reply, error) {
 	return lending.Reply{}, context.DeadlineExceeded
 }
 
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -47,7 +47,7 @@
 	Topics    Topics
 	Upstreams gateway.Upstreams
 	// Lending carries asks to other nodes.
-	Lending lending.Caller
+	Lending lending.Transport
 	// Peers carries asks for records to nodes of the data centre; nil lets the node read
 	// everything from the store.
 	Peers   peerfetch.Caller
--- a/edgenode/loans.go
+++ b/edgenode/loans.go
@@ -20,7 +20,7 @@
 		if r.Node == n.settings.Node || r.Peer == "" || holding.Ceiling == 0 {
 			continue
 		}
-		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, Near: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Room: holding.Unused})
+		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Unused: holding.Unused})
 	}
 	return peers
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,7 +29,7 @@
 	// loan is set where another node reserved the tokens.
 	loan *lending.Loan
 	// tally is how asking other nodes went.
-	tally lending.Tally
+	tally lending.BorrowStats
 	// sends counts sends, ran those after which the request may have run.
 	sends, ran int
 	tried      []*directory.Upstream
@@ -103,7 +103,7 @@
 }
 
 func (c *call) shortRetry() time.Duration {
-	if c.tally.Known || c.tally.Asked > c.tally.Lost {
+	if c.tally.KnownShortage || c.tally.Asked > c.tally.Unanswered {
 		return c.g.settings.ScarceRetry
 	}
 	return c.g.settings.ShortRetry
@@ -200,7 +200,7 @@
 		s := c.g.Share.Status(c.account.Name)
 		pairs = append(pairs, "account", c.account.Name, "tokens", c.r.most(), "spent", s.Spent, "held", s.Reserved,
 			"limit", s.Limit, "ceiling", s.Ceiling, "left", s.Remaining, "prepaid", c.account.Prepaid, "promise_age", s.LimitAge,
-			"lenders", c.tally.Lenders, "asked", c.tally.Asked, "asks_lost", c.tally.Lost, "known_short", c.tally.Known)
+			"lenders", c.tally.Lenders, "asked", c.tally.Asked, "asks_lost", c.tally.Unanswered, "known_short", c.tally.KnownShortage)
 	}
 	c.g.Events.Record(event.RequestRefused, pairs...)
 	c.g.Metrics.refuse(e.Code)
--- a/lending/borrower.go
+++ b/lending/borrower.go
@@ -14,194 +14,198 @@
 )
 
 const (
-	// mostAsked bounds the peers that are asked for one request.
-	mostAsked = 6
-	// askTimeout bounds one ask: a round trip between regions and a report.
-	askTimeout = 200 * time.Millisecond
-	// spareFor is how long a lender's word on what it has left is believed: its next
-	// grant comes after about that time.
-	spareFor = 500 * time.Millisecond
-	// nothingFor is how long an account that no asked peer had tokens of isn't asked
-	// for again, so that an exhausted account doesn't cost six asks a request.
-	nothingFor = 300 * time.Millisecond
-	// leastRoom divides a peer's ceiling into the room that it may have though it had none
-	// when it was granted: requests end with less than they reserved.
-	leastRoom = 50
-	// settleTries bounds the tries to settle a loan; then it counts as used.
-	settleTries = 4
-	// settlePause is the pause between them.
-	settlePause = 500 * time.Millisecond
+	// maxPeersAsked bounds the peers that are asked for one request.
+	maxPeersAsked = 6
+	// callTimeout bounds one call to a lender: a round trip between regions and a report.
+	callTimeout = 200 * time.Millisecond
+	// lendableTTL is how long a lender's statement of what it can lend is used: its next grant
+	// comes after about that time.
+	lendableTTL = 500 * time.Millisecond
+	// shortageTTL is how long an account isn't asked for again after no asked peer had enough
+	// tokens, so that an exhausted account doesn't cost six calls per request.
+	shortageTTL = 300 * time.Millisecond
+	// minUnusedDivisor: a peer counts as having at least 1/50 of its ceiling unused, even if
+	// nothing was unused when it was granted, because requests end with less than they
+	// reserved.
+	minUnusedDivisor = 50
+	// settleAttempts bounds the attempts to settle a loan; after that it counts as used.
+	settleAttempts = 4
+	// settleRetryDelay is the pause between attempts.
+	settleRetryDelay = 500 * time.Millisecond
 )
 
-// Peer is a node that may lend.
+// Peer is a potential lender.
 type Peer struct {
 	Node    string
 	Address string
-	// Near tells that it stands in this node's region.
-	Near bool
-	// Ceiling is what it was last granted of the account, in tokens, Room what of it was
-	// not used then.
-	Ceiling, Room int64
+	// SameRegion reports whether the peer is in this node's region.
+	SameRegion bool
+	// Ceiling is what the peer was last granted of the account, in tokens; Unused is what was
+	// unused of it at that time.
+	Ceiling, Unused int64
 }
 
-// Caller carries an ask to a peer.
-type Caller interface {
-	Call(ctx context.Context, address string, ask Ask) (Reply, error)
+// Transport sends a request to a peer.
+type Transport interface {
+	Call(ctx context.Context, address string, request Request) (Reply, error)
 }
 
 // Borrower borrows from peers. It is safe for concurrent use.
 type Borrower struct {
-	caller Caller
-	clock  bootclock.Clock
-	// peers returns the peers that hold some of an account.
+	transport Transport
+	clock     bootclock.Clock
+	// peers returns the peers that hold an allocation of an account.
 	peers func(account string) []Peer
 	name  string
 
-	mu      sync.Mutex
-	loans   uint64
-	nothing map[string]shortage
-	// spare is what each lender last said that it could lend, by account and node.
-	spare map[lenderOf]shortage
+	mu        sync.Mutex
+	loanCount uint64
+	shortages map[string]estimate
+	// lendable is what each lender last reported as lendable, by account and node.
+	lendable map[lenderKey]estimate
 }
 
-// lenderOf is a node as the lender of an account.
-type lenderOf struct{ account, node string }
+// lenderKey identifies a lender of an account.
+type lenderKey struct{ account, node string }
 
-// shortage is a number of tokens as of a moment: the smallest that no asked peer had, or
-// what one peer had left.
-type shortage struct {
-	tokens int64
-	until  time.Duration
+// estimate is a number of tokens that is valid until expires: the smallest amount that no asked
+// peer had, or what one peer had left.
+type estimate struct {
+	tokens  int64
+	expires time.Duration
 }
 
-// NewBorrower returns a borrower; name tells its loans from other nodes'.
-func NewBorrower(caller Caller, clock bootclock.Clock, name string, peers func(account string) []Peer) *Borrower {
-	return &Borrower{caller: caller, clock: clock, name: name, peers: peers, nothing: make(map[string]shortage), spare: make(map[lenderOf]shortage)}
+// NewBorrower returns a borrower; name distinguishes its loans from those of other nodes.
+func NewBorrower(transport Transport, clock bootclock.Clock, name string, peers func(account string) []Peer) *Borrower {
+	return &Borrower{transport: transport, clock: clock, name: name, peers: peers, shortages: make(map[string]estimate), lendable: make(map[lenderKey]estimate)}
 }
 
-// Loan is what a peer reserved for a request.
+// Loan is a peer's reservation for a request.
 type Loan struct {
 	ID      string
 	Account string
 	Peer    Peer
 }
 
-// Tally is how the asks for one request went, for logs.
-type Tally struct {
-	// Lenders is how many nodes could have covered the request by their ceilings, Asked
-	// how many were asked, Lost how many of these didn't answer in time.
-	Lenders, Asked, Lost int
-	// Known tells that nobody was asked, since so many tokens weren't to be had just now.
-	Known bool
+// BorrowStats describes the attempts to borrow for one request, for logs.
+type BorrowStats struct {
+	// Lenders is how many nodes could have covered the request by their ceilings, Asked how
+	// many were asked, Unanswered how many of these didn't answer in time.
+	Lenders, Asked, Unanswered int
+	// KnownShortage is set if nobody was asked because that many tokens were just found
+	// unavailable.
+	KnownShortage bool
 }
 
-// Borrow asks peers for a request's tokens, nearby ones first. holds tells whether this node has a part of the account itself.
-func (b *Borrower) Borrow(ctx context.Context, account string, tokens int64, holds bool) (Loan, Tally, bool) {
-	if b.foundNothing(account, tokens) {
-		return Loan{}, Tally{Known: true}, false
+// Borrow asks peers for a request's tokens, those in the same region first. hasAllocation
+// reports whether this node has an allocation of the account itself.
+func (b *Borrower) Borrow(ctx context.Context, account string, tokens int64, hasAllocation bool) (Loan, BorrowStats, bool) {
+	if b.hasShortage(account, tokens) {
+		return Loan{}, BorrowStats{KnownShortage: true}, false
 	}
-	peers := b.order(account, tokens)
-	tally := Tally{Lenders: len(peers)}
-	for _, peer := range peers[:min(len(peers), mostAsked)] {
-		loan := Loan{ID: b.nextID(), Account: account, Peer: peer}
-		tally.Asked++
-		granted, err := b.ask(ctx, loan, tokens, holds)
+	peers := b.rankPeers(account, tokens)
+	stats := BorrowStats{Lenders: len(peers)}
+	for _, peer := range peers[:min(len(peers), maxPeersAsked)] {
+		loan := Loan{ID: b.nextLoanID(), Account: account, Peer: peer}
+		stats.Asked++
+		granted, err := b.request(ctx, loan, tokens, hasAllocation)
 		if granted {
-			return loan, tally, true
+			return loan, stats, true
 		}
 		if err != nil {
-			tally.Lost++
+			stats.Unanswered++
 		}
 	}
-	b.noteShortage(account, tokens)
-	return Loan{}, tally, false
+	b.recordShortage(account, tokens)
+	return Loan{}, stats, false
 }
 
-func (b *Borrower) noteShortage(account string, tokens int64) {
+func (b *Borrower) recordShortage(account string, tokens int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	if known := b.nothing[account]; now < known.until {
+	if known := b.shortages[account]; now < known.expires {
 		tokens = min(tokens, known.tokens)
 	}
-	b.nothing[account] = shortage{tokens: tokens, until: now + nothingFor}
+	b.shortages[account] = estimate{tokens: tokens, expires: now + shortageTTL}
 }
 
-// foundNothing tells whether so many tokens weren't to be had just now; a long prompt
-// that found none says nothing of a short one.
-func (b *Borrower) foundNothing(account string, tokens int64) bool {
+// hasShortage reports whether that many tokens were recently unavailable. A shortage for a long
+// prompt doesn't apply to a shorter one.
+func (b *Borrower) hasShortage(account string, tokens int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.nothing[account]
-	return b.clock.Now() < known.until && tokens >= known.tokens
+	known := b.shortages[account]
+	return b.clock.Now() < known.expires && tokens >= known.tokens
 }
 
-func (b *Borrower) nextID() string {
+func (b *Borrower) nextLoanID() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.loans++
-	return b.name + "/" + strconv.FormatUint(b.loans, 10)
+	b.loanCount++
+	return b.name + "/" + strconv.FormatUint(b.loanCount, 10)
 }
 
-// order returns the peers that may cover a request: near ones first, drawn by their room,
-// so that borrowers rarely ask where little is left, and don't all drain the fullest one.
-func (b *Borrower) order(account string, tokens int64) []Peer {
+// rankPeers returns the peers that may cover a request: those in the same region first, in an
+// order drawn at random with their unused tokens as weights. So borrowers rarely ask where
+// little is left, and don't all drain the peer with the most.
+func (b *Borrower) rankPeers(account string, tokens int64) []Peer {
 	peers := slices.DeleteFunc(b.peers(account), func(p Peer) bool {
-		return p.Ceiling < tokens || b.saidLess(lenderOf{account, p.Node}, tokens)
+		return p.Ceiling < tokens || b.knownInsufficient(lenderKey{account, p.Node}, tokens)
 	})
-	keys := make(map[string]float64, len(peers))
+	ranks := make(map[string]float64, len(peers))
 	for _, p := range peers {
-		keys[p.Node] = -math.Log(1-rand.Float64()) / float64(max(p.Room, p.Ceiling/leastRoom))
+		ranks[p.Node] = -math.Log(1-rand.Float64()) / float64(max(p.Unused, p.Ceiling/minUnusedDivisor))
 	}
 	slices.SortFunc(peers, func(x, y Peer) int {
-		if x.Near != y.Near {
-			if x.Near {
+		if x.SameRegion != y.SameRegion {
+			if x.SameRegion {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(keys[x.Node], keys[y.Node])
+		return cmp.Compare(ranks[x.Node], ranks[y.Node])
 	})
 	return peers
 }
 
-// saidLess tells whether a lender said just now that it has less than so many tokens.
-func (b *Borrower) saidLess(l lenderOf, tokens int64) bool {
+// knownInsufficient reports whether a lender recently said that it can lend less than tokens.
+func (b *Borrower) knownInsufficient(key lenderKey, tokens int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	said, ok := b.spare[l]
-	return ok && b.clock.Now() < said.until && said.tokens < tokens
+	known, ok := b.lendable[key]
+	return ok && b.clock.Now() < known.expires && known.tokens < tokens
 }
 
-func (b *Borrower) noteSpare(l lenderOf, tokens int64) {
+func (b *Borrower) recordLendable(key lenderKey, tokens int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spare[l] = shortage{tokens: tokens, until: b.clock.Now() + spareFor}
+	b.lendable[key] = estimate{tokens: tokens, expires: b.clock.Now() + lendableTTL}
 }
 
-func (b *Borrower) ask(ctx context.Context, loan Loan, tokens int64, holds bool) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (b *Borrower) request(ctx context.Context, loan Loan, tokens int64, hasAllocation bool) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := b.caller.Call(ctx, loan.Peer.Address, Ask{Loan: loan.ID, Account: loan.Account, Tokens: tokens, Holds: holds})
+	reply, err := b.transport.Call(ctx, loan.Peer.Address, Request{LoanID: loan.ID, Account: loan.Account, Tokens: tokens, HasAllocation: hasAllocation})
 	if err != nil {
-		// The peer may have reserved all the same.
+		// The peer may have reserved the tokens anyway.
 		go b.Settle(loan, 0)
 		return false, err
 	}
-	b.noteSpare(lenderOf{loan.Account, loan.Peer.Node}, reply.Spare)
+	b.recordLendable(lenderKey{loan.Account, loan.Peer.Node}, reply.Lendable)
 	return reply.Granted, nil
 }
 
-// Settle tells the lender what a loan's request used. It returns once that is known or
-// given up, so callers run it on its own.
+// Settle tells the lender what a loan's request used. It blocks until that is acknowledged or
+// abandoned, so callers run it in a goroutine.
 func (b *Borrower) Settle(loan Loan, used int64) {
-	for range settleTries {
-		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
-		_, err := b.caller.Call(ctx, loan.Peer.Address, Ask{Loan: loan.ID, Account: loan.Account, Tokens: used, Settle: true})
+	for range settleAttempts {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		_, err := b.transport.Call(ctx, loan.Peer.Address, Request{LoanID: loan.ID, Account: loan.Account, Tokens: used, Settle: true})
 		cancel()
 		if err == nil {
 			return
 		}
-		time.Sleep(settlePause)
+		time.Sleep(settleRetryDelay)
 	}
 }
--- a/lending/http.go
+++ b/lending/http.go
@@ -9,43 +9,43 @@
 	"lavenderpin.dev/lavenderpin/httpwire"
 )
 
-// path is where a node takes asks.
-const path = "/lend"
+// loanPath is the path of loan requests.
+const loanPath = "/lend"
 
-// maxMessage bounds an ask and a reply in bytes.
-const maxMessage = 4 << 10
+// maxMessageBytes bounds the size of a request and of a reply.
+const maxMessageBytes = 4 << 10
 
-// Client carries asks over kept connections and never repeats one.
+// Client sends loan requests over persistent connections and never retries one.
 type Client struct{ Wire *httpwire.Client }
 
-// Call sends an ask and reads its reply.
-func (c *Client) Call(ctx context.Context, address string, ask Ask) (Reply, error) {
+// Call sends a request and reads its reply.
+func (c *Client) Call(ctx context.Context, address string, request Request) (Reply, error) {
 	var reply Reply
-	err := c.Wire.PostJSON(ctx, address, path, &ask, &reply, maxMessage, func() {})
+	err := c.Wire.PostJSON(ctx, address, loanPath, &request, &reply, maxMessageBytes, func() {})
 	return reply, err
 }
 
-// Handler serves a lender.
+// Handler serves a lender over HTTP.
 func Handler(lender *Lender) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, req *http.Request) {
-		raw, err := io.ReadAll(io.LimitReader(req.Body, maxMessage))
+	mux.HandleFunc("POST "+loanPath, func(w http.ResponseWriter, req *http.Request) {
+		raw, err := io.ReadAll(io.LimitReader(req.Body, maxMessageBytes))
 		if err != nil {
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		var ask Ask
-		if err := json.Unmarshal(raw, &ask); err != nil || ask.Tokens < 0 {
+		var request Request
+		if err := json.Unmarshal(raw, &request); err != nil || request.Tokens < 0 {
 			http.Error(w, "not an ask", http.StatusBadRequest)
 			return
 		}
-		reply := lender.Answer(req.Context(), ask)
+		reply := lender.Handle(req.Context(), request)
 		out, err := json.Marshal(&reply)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write(out) // a borrower that left settles the loan
+		_, _ = w.Write(out) // a borrower that disconnected settles the loan
 	})
 	return mux
 }
--- a/lending/lender.go
+++ b/lending/lender.go
@@ -9,28 +9,27 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// loanFor is how long a loan may stay open. It outlasts the longest request; then the
-// borrower has died or can't be reached, and the loan counts as used.
-const loanFor = 45 * time.Second
+// loanTTL is how long a loan may stay open. It exceeds the longest request; after it the
+// borrower has died or is unreachable, and the loan counts as used.
+const loanTTL = 45 * time.Second
 
-// Lender reserves out of this node's share for other nodes. It is safe for concurrent
-// use.
+// Lender reserves tokens of this node's share for other nodes. It is safe for concurrent use.
 type Lender struct {
 	share *prepaid.Share
 	clock bootclock.Clock
-	// report raises the share's drawn limit.
+	// report raises the share's limits.
 	report func(context.Context) error
 
 	mu    sync.Mutex
 	loans map[string]*loan
 }
 
-// loan is an open loan, or one that was settled before it was asked for.
+// loan is an open loan, or one that was settled before it was requested.
 type loan struct {
 	account string
 	tokens  int64
 	settled bool
-	until   time.Duration
+	expires time.Duration
 }
 
 // NewLender returns a lender without loans.
@@ -38,61 +37,62 @@
 	return &Lender{share: share, clock: clock, report: report, loans: make(map[string]*loan)}
 }
 
-// Answer decides an ask.
-func (l *Lender) Answer(ctx context.Context, ask Ask) Reply {
-	if ask.Settle {
-		l.settle(ask.Loan, ask.Tokens)
+// Handle serves a loan request or a settlement.
+func (l *Lender) Handle(ctx context.Context, request Request) Reply {
+	if request.Settle {
+		l.settle(request.LoanID, request.Tokens)
 		return Reply{Granted: true}
 	}
-	granted := l.lend(ctx, ask)
-	return Reply{Granted: granted, Spare: l.share.Lendable(ask.Account)}
+	granted := l.lend(ctx, request)
+	return Reply{Granted: granted, Lendable: l.share.Lendable(request.Account)}
 }
 
-func (l *Lender) lend(ctx context.Context, ask Ask) bool {
-	verdict := l.share.Lend(ask.Account, ask.Tokens, ask.Holds)
-	if verdict == prepaid.ReportRequired && l.report(ctx) == nil {
-		verdict = l.share.Lend(ask.Account, ask.Tokens, true)
+func (l *Lender) lend(ctx context.Context, request Request) bool {
+	outcome := l.share.Lend(request.Account, request.Tokens, request.HasAllocation)
+	if outcome == prepaid.ReportRequired && l.report(ctx) == nil {
+		outcome = l.share.Lend(request.Account, request.Tokens, true)
 	}
-	if verdict != prepaid.Reserved {
+	if outcome != prepaid.Reserved {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, known := l.loans[ask.Loan]; known {
-		// The borrower gave up and settled before its ask arrived, or asks twice.
-		l.share.Settle(ask.Account, ask.Tokens, 0)
+	if _, known := l.loans[request.LoanID]; known {
+		// The borrower gave up and settled before its request arrived, or the request is a
+		// duplicate.
+		l.share.Settle(request.Account, request.Tokens, 0)
 		return false
 	}
-	l.loans[ask.Loan] = &loan{account: ask.Account, tokens: ask.Tokens, until: l.clock.Now() + loanFor}
+	l.loans[request.LoanID] = &loan{account: request.Account, tokens: request.Tokens, expires: l.clock.Now() + loanTTL}
 	return true
 }
 
 func (l *Lender) settle(id string, used int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	open, known := l.loans[id]
+	entry, known := l.loans[id]
 	if !known {
-		l.loans[id] = &loan{settled: true, until: l.clock.Now() + loanFor}
+		l.loans[id] = &loan{settled: true, expires: l.clock.Now() + loanTTL}
 		return
 	}
-	if open.settled {
+	if entry.settled {
 		return
 	}
-	open.settled = true
-	l.share.Settle(open.account, open.tokens, used)
+	entry.settled = true
+	l.share.Settle(entry.account, entry.tokens, used)
 }
 
-// Expire settles in full the loans whose time is over.
+// Expire settles expired loans in full.
 func (l *Lender) Expire() {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, open := range l.loans {
-		if now < open.until {
+	for id, entry := range l.loans {
+		if now < entry.expires {
 			continue
 		}
-		if !open.settled {
-			l.share.Settle(open.account, open.tokens, open.tokens)
+		if !entry.settled {
+			l.share.Settle(entry.account, entry.tokens, entry.tokens)
 		}
 		delete(l.loans, id)
 	}
--- a/prepaid/fleet_test.go
+++ b/prepaid/fleet_test.go
@@ -128,12 +128,12 @@
 
 // serve reserves tokens and counts them as used at once, since a caller may get them all.
 func (w *world) serve(n *simNode, account string, tokens int64) Outcome {
-	v := n.share.Reserve(account, tokens, w.prepaid[account])
-	if v == Reserved {
+	outcome := n.share.Reserve(account, tokens, w.prepaid[account])
+	if outcome == Reserved {
 		w.used[account] += tokens
 		n.open = append(n.open, openRequest{account, tokens})
 	}
-	return v
+	return outcome
 }
 
 // serveWithReport is serve, with a report first if the node's current limits are too low.
