--- a/allotment/planner_test.go
+++ b/allotment/planner_test.go
@@ -21,12 +21,12 @@
 // fakeFleet is a fleet in which all incarnations are live.
 type fakeFleet struct {
 	isPlanner bool
-	prepaid   map[string]int64
+	totals    map[string]int64
 }
 
 func (f *fakeFleet) IsPlanner() bool                   { return f.isPlanner }
 func (f *fakeFleet) IsLive(string, string) bool        { return true }
-func (f *fakeFleet) Prepaid() (map[string]int64, bool) { return f.prepaid, f.prepaid != nil }
+func (f *fakeFleet) Prepaid() (map[string]int64, bool) { return f.totals, f.totals != nil }
 
 func recorder() *event.Recorder {
 	return event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 16, log.NewNopLogger())
@@ -37,7 +37,7 @@
 }
 
 func newTestPlanner(topics Topics) *Planner {
-	return NewPlanner(topics, &fakeFleet{isPlanner: true, prepaid: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
+	return NewPlanner(topics, &fakeFleet{isPlanner: true, totals: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
 }
 
 // node is a share with its reporter and grants.
--- a/allotment/reporter.go
+++ b/allotment/reporter.go
@@ -89,14 +89,14 @@
 // other, each took 70 ms, and a prompt that waited for its turn was late by up to 1.5 s (one in
 // twenty of the late ones, on a grown fleet).
 func (r *Reporter) Report(ctx context.Context) error {
-	composed := r.composed.Load()
+	previous := r.composed.Load()
 	select {
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
 	case <-r.sem:
 	}
 	defer func() { r.sem <- struct{}{} }()
-	if r.acked.Load() > composed {
+	if r.acked.Load() > previous {
 		return nil
 	}
 	err := r.reportFresh(ctx)
--- a/prepaid/allocator.go
+++ b/prepaid/allocator.go
@@ -97,7 +97,7 @@
 func (a *Allocator) planAccount(name string, prepaid int64, members []Member, changed map[string]bool) {
 	acc := a.account(name)
 	a.confirmCommitments(acc, name, members)
-	needs, used := a.collectNeeds(acc, name, members)
+	needs, used := a.needs(acc, name, members)
 	a.chooseHolders(name, needs)
 	committed := acc.closed
 	available := prepaid - acc.closed
@@ -138,7 +138,7 @@
 }
 
 // retarget moves a node's ceiling to its use plus its share if the change is large enough to be
-// worth a grant. A raise is limited to unallocated tokens; the rest is returned.
+// worth a grant. A raise is limited to the unallocated tokens; retarget returns those left over.
 func (a *Allocator) retarget(acc *account, n need, unallocated int64, changed map[string]bool) int64 {
 	e, ok := acc.entries[n.node]
 	if !ok && n.tokens == 0 {
--- a/prepaid/needs.go
+++ b/prepaid/needs.go
@@ -22,8 +22,8 @@
 	share int64
 }
 
-// collectNeeds returns the needs of live members and the sum of their use.
-func (a *Allocator) collectNeeds(acc *account, name string, members []Member) ([]need, int64) {
+// needs returns the needs of live members and the sum of their use.
+func (a *Allocator) needs(acc *account, name string, members []Member) ([]need, int64) {
 	var needs []need
 	total, maxCapacity := int64(0), 0
 	for _, m := range members {
--- a/prepaid/predecessors.go
+++ b/prepaid/predecessors.go
@@ -44,7 +44,7 @@
 
 func finalUsage(last *Report, start ProcessStart) FinalUsage {
 	usage := FinalUsage{Incarnation: last.Incarnation}
-	lifetime, known := last.maxLifetime(start)
+	maxLifetime, known := last.maxLifetime(start)
 	switch {
 	case last.Ended:
 		usage.Bounded = true
@@ -54,7 +54,7 @@
 	case known:
 		usage.Bounded = true
 		for _, l := range last.Lines {
-			usage.Lines = append(usage.Lines, FinalUsageLine{Account: l.Account, Used: limitRamp{l.InitialLimit, l.Growth}.at(lifetime), Reported: l.Spent + l.Reserved})
+			usage.Lines = append(usage.Lines, FinalUsageLine{Account: l.Account, Used: limitRamp{l.InitialLimit, l.Growth}.at(maxLifetime), Reported: l.Spent + l.Reserved})
 		}
 	}
 	return usage
@@ -68,25 +68,25 @@
 // which may have been set back in the meantime: it is trusted up to maxClockSetBack, and not at
 // all if other nodes' reports contradict it.
 func (r *Report) maxLifetime(start ProcessStart) (time.Duration, bool) {
-	schedule := r.schedule()
+	s := r.limitSchedule()
 	if r.sameBoot(start) {
-		lifetime := start.Boot - schedule.base.Boot
-		return lifetime, lifetime >= 0 && lifetime < schedule.ttl
+		maxLifetime := start.Boot - s.base.Boot
+		return maxLifetime, maxLifetime >= 0 && maxLifetime < s.ttl
 	}
-	elapsed := start.Wall - schedule.base.Wall
-	lifetime := elapsed + maxClockSetBack
-	return lifetime, !start.ClockBehind && elapsed >= 0 && lifetime < schedule.ttl
+	elapsed := start.Wall - s.base.Wall
+	maxLifetime := elapsed + maxClockSetBack
+	return maxLifetime, !start.ClockBehind && elapsed >= 0 && maxLifetime < s.ttl
 }
 
 // sameBoot reports whether the instance stayed up between the report and a start. Several
 // instances that share a kernel share its boot ID but not the boot clock.
 func (r *Report) sameBoot(start ProcessStart) bool {
-	base := r.schedule().base
+	base := r.limitSchedule().base
 	divergence := (start.Boot - base.Boot) - (start.Wall - base.Wall)
 	return r.BootID == start.BootID && divergence.Abs() <= maxClockDivergence
 }
 
-func (r *Report) schedule() limitSchedule {
+func (r *Report) limitSchedule() limitSchedule {
 	return limitSchedule{base: ClockReading{Boot: millis(r.StartBootMs), Wall: millis(r.StartTimeMs)}, ttl: millis(r.LimitTTLMs)}
 }
 
--- a/prepaid/share.go
+++ b/prepaid/share.go
@@ -112,11 +112,11 @@
 	defer s.mu.Unlock()
 	u := s.usage(account)
 	u.decayDemand(now.Boot, s.settings.RateWindow)
-	ownDemand := u.ownDemand()
+	kept := u.ownDemand()
 	if u.ceiling > 0 && !borrowerHasAllocation {
 		u.addDemand(tokens, now.Boot, s.settings.RateWindow)
 	}
-	if s.ended || u.used()+tokens+ownDemand > u.ceiling {
+	if s.ended || u.used()+tokens+kept > u.ceiling {
 		return Insufficient
 	}
 	if u.used()+tokens > s.limit(u, now) {
@@ -204,7 +204,7 @@
 		u.decayDemand(now.Boot, s.settings.RateWindow)
 		u.latest = limitRamp{}
 		if !u.idle() {
-			u.latest = u.newRamp(s.settings)
+			u.latest = u.limitRamp(s.settings)
 		}
 		u.largestBlocked = 0
 		u.reportedSpent, u.reportedCeiling = u.spent, u.ceiling
--- a/prepaid/usage.go
+++ b/prepaid/usage.go
@@ -60,8 +60,8 @@
 // ownDemand is what a lender keeps for its own callers.
 func (u *usage) ownDemand() int64 { return int64(u.demandRate * ownDemandTime.Seconds()) }
 
-// newRamp returns the account's ramp for a new limit schedule.
-func (u *usage) newRamp(s Settings) limitRamp {
+// limitRamp returns the account's ramp for a new limit schedule.
+func (u *usage) limitRamp(s Settings) limitRamp {
 	headroom := max(s.MinHeadroom, u.largestBlocked, int64(u.demandRate*s.LimitHeadroom.Seconds()))
 	growth := max(u.demandRate*s.GrowthFactor, float64(u.ceiling-u.used())/s.IdleGrowthTime.Seconds())
 	return limitRamp{initial: min(u.ceiling, u.used()+headroom), growth: int64(growth)}
