--- a/allotment/predecessors.go
+++ b/allotment/predecessors.go
@@ -17,14 +17,14 @@
 	ReportKeys  []string
 }
 
-// ReadPredecessors reads what earlier incarnations of a node reported last. start is read when
-// the process begins, now tells the time of day once the reports are read.
+// ReadPredecessors reads the last reports of a node's earlier incarnations. start is read when
+// the process starts; now gives the wall-clock time once the reports are read.
 func ReadPredecessors(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.ProcessStart, now prepaid.WallClock) (PredecessorRecords, error) {
 	records, _, err := keyedlog.ReadNewest(ctx, spend)
 	if err != nil {
 		return PredecessorRecords{}, errors.Trace(err)
 	}
-	var earlier PredecessorRecords
+	var predecessors PredecessorRecords
 	var last []prepaid.Report
 	timeOfDay := time.Duration(now.Now().UnixNano())
 	for _, r := range records {
@@ -36,14 +36,14 @@
 		if !strings.HasPrefix(r.Key, node+"/") {
 			continue
 		}
-		earlier.ReportKeys = append(earlier.ReportKeys, r.Key)
+		predecessors.ReportKeys = append(predecessors.ReportKeys, r.Key)
 		if err != nil {
-			// Nothing bounds its use but its ceilings.
-			earlier.FinalUsages = append(earlier.FinalUsages, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
+			// Only its ceilings bound its use.
+			predecessors.FinalUsages = append(predecessors.FinalUsages, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
 			continue
 		}
 		last = append(last, report)
 	}
-	earlier.FinalUsages = append(earlier.FinalUsages, prepaid.FinalUsages(last, start)...)
-	return earlier, nil
+	predecessors.FinalUsages = append(predecessors.FinalUsages, prepaid.FinalUsages(last, start)...)
+	return predecessors, nil
 }
--- a/prepaid/admission.go
+++ b/prepaid/incarnations.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// admit closes incarnations that others have followed or that gave back what they had,
-// and returns the members that may hold ceilings.
-func (a *Allocator) admit(members []Member) []Member {
+// openMembers closes incarnations that were superseded or that returned their tokens, and
+// returns the members that may hold ceilings.
+func (a *Allocator) openMembers(members []Member) []Member {
 	var open []Member
 	for _, m := range members {
 		g, known := a.nodes[m.Report.Node]
 		if known && g.incarnation != m.Report.Incarnation {
-			if !a.succeeds(m.Report, g.incarnation) {
-				continue // a late report of an incarnation that was closed before
+			if !a.isSuccessor(m.Report, g.incarnation) {
+				continue // late report of an incarnation that is already closed
 			}
-			a.close(m.Report, g.incarnation)
+			a.closeIncarnation(m.Report, g.incarnation)
 			known = false
 		}
 		if m.Report.Ended {
@@ -29,30 +29,30 @@
 	return open
 }
 
-// succeeds tells that a report names an incarnation as one that ended before its own.
-// Incarnations of one node follow each other, and each names those before it until a
-// grant has reached it, so a report that doesn't name the holder is older than it.
-func (a *Allocator) succeeds(r Report, holder string) bool {
+// isSuccessor reports whether a report lists holder as an incarnation that ended before its
+// own. Incarnations of one node are sequential, and each lists those before it until a grant
+// has reached it, so a report that doesn't list the holder is older than it.
+func (a *Allocator) isSuccessor(r Report, holder string) bool {
 	return slices.ContainsFunc(r.Predecessors, func(c FinalUsage) bool { return c.Incarnation == holder })
 }
 
-// close moves what an ended incarnation may have used from its entries to the closed
+// closeIncarnation moves what an ended incarnation may have used from its entries to the closed
 // totals.
-func (a *Allocator) close(successor Report, incarnation string) {
+func (a *Allocator) closeIncarnation(successor Report, incarnation string) {
 	at := slices.IndexFunc(successor.Predecessors, func(c FinalUsage) bool { return c.Incarnation == incarnation })
-	evidence := successor.Predecessors[at]
-	lines := make(map[string]FinalUsageLine, len(evidence.Lines))
-	for _, l := range evidence.Lines {
+	final := successor.Predecessors[at]
+	lines := make(map[string]FinalUsageLine, len(final.Lines))
+	for _, l := range final.Lines {
 		lines[l.Account] = l
 	}
-	ended := ClosedIncarnation{Node: successor.Node, Incarnation: incarnation, Bounded: evidence.Bounded}
+	ended := ClosedIncarnation{Node: successor.Node, Incarnation: incarnation, Bounded: final.Bounded}
 	for name, acc := range a.accounts {
 		e, ok := acc.entries[successor.Node]
 		if !ok {
 			continue
 		}
 		counted := e.committed
-		if evidence.Bounded {
+		if final.Bounded {
 			counted = min(lines[name].Used, e.committed)
 		}
 		acc.closed += counted
@@ -62,12 +62,12 @@
 		delete(acc.entries, successor.Node)
 	}
 	delete(a.nodes, successor.Node)
-	a.ended = append(a.ended, ended)
+	a.closedIncarnations = append(a.closedIncarnations, ended)
 }
 
 // closeEnded closes an incarnation by its own last report.
 func (a *Allocator) closeEnded(r Report) {
-	own := closing(&r, ProcessStart{})
+	own := finalUsage(&r, ProcessStart{})
 	r.Predecessors = []FinalUsage{own}
-	a.close(r, r.Incarnation)
+	a.closeIncarnation(r, r.Incarnation)
 }
--- a/prepaid/settings.go
+++ b/prepaid/settings.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Settings are the allocation policy.
+// Settings configure the allocation policy.
 type Settings struct {
 	// DemandHorizon is how many seconds of its demand a node's ceiling covers. The store was
-	// seen out of reach for up to 12 s at a time; two seconds more cover the report and
-	// the grant after it.
+	// seen unreachable for up to 12 s at a time; two seconds more cover the report and the
+	// grant after it.
 	DemandHorizon time.Duration
-	// LimitHeadroom is how many seconds of demand a report's limits run ahead of use: until
-	// they grow. All of it is stranded when the node dies.
+	// LimitHeadroom is how many seconds of demand a report's limits are ahead of use until they
+	// grow. All of it is stranded when the node dies.
 	LimitHeadroom time.Duration
-	// GrowthFactor times its demand is what a node's limits grow by while it can't report.
-	// Demand isn't steady, and a node that is cut off can't ask for more.
+	// GrowthFactor times its demand is the growth of a node's limits while it can't report.
+	// Demand isn't steady, and a partitioned node can't ask for more.
 	GrowthFactor float64
 	// IdleGrowthTime is the time over which the limits of a node without demand grow to its
-	// ceiling: it must be able to lend to a busy one that is cut off with it. Growing with
-	// demand alone, an idle node lent nothing before its ceilings bound it.
+	// ceiling: it must be able to lend to a busy node that is partitioned with it. With growth
+	// by demand alone, an idle node lent nothing until its limits expired.
 	IdleGrowthTime time.Duration
-	// LimitTTL is how long after its last report a node is bound by its ceilings alone.
-	// An incarnation whose successor starts sooner is counted by its limits, others by
-	// their ceilings. The store was seen out of reach for up to 9 s, and instances that
-	// lost power were seen back 2.4 s after their last report; mostSetBack comes on top.
+	// LimitTTL is how long after its last report a node's limits apply; then only its ceilings
+	// do. An incarnation whose successor starts sooner is counted by its limits, others by
+	// their ceilings. The store was seen unreachable for up to 9 s, and instances that lost
+	// power were seen back 2.4 s after their last report; maxClockSetBack is added to that.
 	LimitTTL time.Duration
-	// HoldersPerRegion is how many nodes of each region hold a part of an account. The
-	// others borrow from them for each request. Spread over 86 nodes, the parts of small
-	// accounts were too small for one long prompt, and refused it on most nodes.
+	// HoldersPerRegion is how many nodes of each region hold an allocation of an account. The
+	// others borrow from them for each request. Spread over 86 nodes, the allocations of small
+	// accounts were too small for one long prompt, and most nodes refused it.
 	HoldersPerRegion int
-	// MinDistributedFraction and DistributedSlope are the part of what is left of an account that nodes
-	// hold at most: MinDistributedFraction when nothing is left, plus DistributedSlope times the part of
-	// the prepaid total that is left. What nodes hold carries them through the store's
-	// absence and is stranded when a whole fleet loses power; the rest serves the callers
-	// then. Early in a day there is enough for both.
+	// MinDistributedFraction and DistributedSlope set the fraction of an account's remaining
+	// tokens that nodes hold at most: MinDistributedFraction when nothing is left, plus
+	// DistributedSlope times the remaining fraction of the prepaid total. What nodes hold
+	// carries them through an outage of the store and is stranded when a whole fleet loses
+	// power; callers are then served from the rest. Early in a day there is enough for both.
 	MinDistributedFraction, DistributedSlope float64
-	// MinNeededFraction is the part of that which nodes hold at least, however little they seem
-	// to need. Early in a day little demand has been seen while most of an account is
-	// left, and a cut of eight seconds used the parts up.
+	// MinNeededFraction is the fraction of that limit that nodes hold at least, regardless of
+	// demand. Early in a day little demand has been seen while most of an account is left, and
+	// an eight-second partition used up the allocations.
 	MinNeededFraction float64
-	// MinHeadroom and MinCeiling, in tokens, let a node with little demand take a request
-	// now and then: a usual prompt with its answer is about 12,000 tokens, a long one
-	// 60,000. They count once for each account and node.
+	// MinHeadroom and MinCeiling, in tokens, let a node with little demand accept an occasional
+	// request: a usual prompt with its answer is about 12,000 tokens, a long one 60,000. They
+	// count once for each account and node.
 	MinHeadroom, MinCeiling int64
 	// RateWindow is the time constant of the demand estimate.
 	RateWindow time.Duration
--- a/prepaid/share_test.go
+++ b/prepaid/share_test.go
@@ -17,20 +17,20 @@
 	return s, clock
 }
 
-// report makes a report that the store takes.
+// report makes a report that the store acknowledges.
 func report(s *Share) Report {
 	r, _ := s.Compose()
 	s.Acknowledge()
 	return r
 }
 
-// startAt is a process's start at a reading of its clocks.
+// startAt returns a process start at the current reading of its clocks.
 func startAt(clock *bootclock.Fake, bootID string) ProcessStart {
 	return ProcessStart{ClockReading: Clocks{Boot: clock, Wall: clock.TimeOfDay()}.Read(), BootID: bootID}
 }
 
-// A node gets a grant and is killed before its next report. Had it used the grant at
-// once, nobody could tell how much; so it uses nothing that it hasn't reported ahead.
+// A node is killed between a grant and its next report. Had it used the grant at once, nobody
+// could tell how much, so it may use only what it has reported ahead.
 func TestUsesOnlyWhatItReported(t *testing.T) {
 	is := is.New(t)
 	s, _ := grantedShare(200_000)
@@ -39,8 +39,9 @@
 	is.Equal(s.Reserve("a", 5_000, 1_000_000), Reserved)
 }
 
-// The store goes away for eight seconds. The node must go on at its callers' pace and at
-// last out of its whole part, or they would be refused although their tokens are paid for.
+// The store is unreachable for eight seconds. The node must keep serving at its callers' rate
+// and finally from its whole allocation; otherwise callers are refused although their tokens
+// are paid for.
 func TestKeepsServingWhenPartitioned(t *testing.T) {
 	is := is.New(t)
 	const pace = 100 * time.Millisecond
@@ -60,9 +61,9 @@
 	is.Equal(s.Reserve("a", 280_000, 2_000_000), Reserved)
 }
 
-// A report takes effect in the store, but its answer is lost, and it names lower limits
-// than before. If the node dies now, the store's figure counts; so the node must keep to
-// the lower of both until it knows.
+// A report with lower limits takes effect in the store, but its acknowledgement is lost. If the
+// node dies now, the store's value counts, so the node must keep to the lower of both until it
+// knows.
 func TestKeepsToTheLowerLimitUntilAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(1_000_000)
@@ -78,9 +79,9 @@
 	is.Equal(s.Status("a").Limit, r.Lines[0].InitialLimit)
 }
 
-// A node that was cut off comes back and is killed right after. Its first reports after
-// the cut must already bind it to low limits again, or the next incarnation can't prove
-// anything and the whole part is stranded.
+// A node is killed right after a partition ends. Its first reports must already bind it to low
+// limits again; otherwise the next incarnation can't prove anything and the whole allocation is
+// stranded.
 func TestReportsAfterPartitionRestoreLimits(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(200_000)
@@ -88,7 +89,7 @@
 	s.Compose()
 	clock.Advance(DefaultSettings().LimitTTL)
 	r, fresh := s.Compose()
-	is.True(!fresh) // what the store may hold already says that the part is open
+	is.True(!fresh) // the schedule that the store may already hold has expired
 	is.True(!FinalUsages([]Report{r}, startAt(clock, "boot"))[0].Bounded)
 	s.Acknowledge()
 	r, fresh = s.Compose()
@@ -97,8 +98,8 @@
 	is.True(FinalUsages([]Report{r}, startAt(clock, "boot"))[0].Bounded)
 }
 
-// A store that answers readings but refuses all writes must not hold a node to its low
-// limits for ever: callers would be refused for as long as that lasts.
+// A store that answers reads but rejects all writes must not keep a node at its low limits
+// forever: callers would be refused for as long as that lasts.
 func TestRejectedReportsDontCapForever(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(200_000)
@@ -111,8 +112,8 @@
 	is.Equal(s.Status("a").Limit, int64(200_000))
 }
 
-// A killed process is back after 0.6 s on the same boot. What it can't have used by then
-// goes back; after more time than its promise covers, its whole part counts as used.
+// A killed process is back after 0.6 s on the same boot. What it can't have used by then is
+// returned; after its limits' TTL the whole allocation counts as used.
 func TestKilledProcessReturnsUnusedTokens(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(200_000)
@@ -129,10 +130,10 @@
 	is.True(!FinalUsages([]Report{r}, earlier)[0].Bounded)
 }
 
-// An instance loses power for a second; its boot clock starts anew. The time of day tells
-// that the earlier process can't have lived long after its last report, and what that
-// can't have used goes back. Where the time of day can't be trusted, nothing goes back, or
-// tokens might be given out twice.
+// An instance loses power for a second and its boot clock restarts. The wall clock shows that
+// the earlier process can't have lived long after its last report, and what it can't have used
+// is returned. If the wall clock can't be trusted, nothing is returned, or tokens might be
+// granted twice.
 func TestPowerLossReturnsUnusedTokens(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(200_000)
@@ -145,8 +146,8 @@
 	start.Boot = 20 * time.Second
 	c := FinalUsages([]Report{r}, start)[0]
 	is.True(c.Bounded)
-	is.Equal(FinalUsages([]Report{r}, ProcessStart{ClockReading: start.ClockReading, BootID: "boot"})[0], c) // the kernel runs on
-	is.Equal(c.Lines[0].Used, pledge{r.Lines[0].InitialLimit, r.Lines[0].Growth}.bound(start.Wall-millis(r.StartTimeMs)+mostSetBack))
+	is.Equal(FinalUsages([]Report{r}, ProcessStart{ClockReading: start.ClockReading, BootID: "boot"})[0], c) // the kernel kept running
+	is.Equal(c.Lines[0].Used, limitRamp{r.Lines[0].InitialLimit, r.Lines[0].Growth}.at(start.Wall-millis(r.StartTimeMs)+maxClockSetBack))
 	is.True(c.Lines[0].Used < 50_000)
 
 	behind := start
@@ -156,26 +157,27 @@
 	setBack.Wall -= 2 * time.Second
 	is.True(!FinalUsages([]Report{r}, setBack)[0].Bounded)
 	late := start
-	late.Wall += DefaultSettings().LimitTTL - mostSetBack
+	late.Wall += DefaultSettings().LimitTTL - maxClockSetBack
 	is.True(!FinalUsages([]Report{r}, late)[0].Bounded)
 }
 
-// A node is cut off, opens its part, and its time of day is set back. Its limits must not
-// seem untouched: as long as the time of day shows less than has passed, they follow it.
+// A partitioned node's limits expire and its wall clock is set back. Its limits must not seem
+// to be still in force: as long as the wall clock shows less than the elapsed time, they follow
+// it.
 func TestLimitsFollowTheSlowerClock(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 1_000_000})
 	n := w.start("n1", "boot")
-	settleDown(w)
-	w.setOff["n1"] = -2 * time.Second
+	converge(w)
+	w.clockOffset["n1"] = -2 * time.Second
 	w.clock.Advance(DefaultSettings().LimitTTL + time.Second)
 	is.True(n.share.Status("a").Limit < n.share.Status("a").Ceiling)
 	w.clock.Advance(time.Second)
 	is.Equal(n.share.Status("a").Limit, n.share.Status("a").Ceiling)
 }
 
-// Another node reports from a time that this instance's time of day hasn't reached: it was
-// set back, and what it says about the time since the last report is worth nothing.
+// Another node's report has a timestamp that this instance's wall clock hasn't reached: it was
+// set back, and the time it shows since the last report can't be used.
 func TestDetectsWallClockBehind(t *testing.T) {
 	is := is.New(t)
 	other := &Report{SentTimeMs: 10_000}
@@ -183,8 +185,8 @@
 	is.True(ClockIsBehind(9*time.Second, other))
 }
 
-// An account has used all that it prepaid. Telling its caller to come back would only
-// make it try in vain; a top-up makes the account good again at once.
+// An account has used its prepaid total. A caller told to retry would retry in vain; a top-up
+// makes the account usable again at once.
 func TestExhaustedIsCertain(t *testing.T) {
 	is := is.New(t)
 	s, _ := grantedShare(0)
@@ -194,8 +196,8 @@
 	is.Equal(s.Reserve("a", 1_000, 1_000_500), Insufficient)
 }
 
-// Two grants arrive in the wrong order. The older one must not raise the ceiling again
-// that the newer one lowered, since its tokens are with another node by now.
+// Two grants arrive out of order. The older one must not raise the ceiling that the newer one
+// lowered, since its tokens are with another node by now.
 func TestOlderGrantIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s, _ := grantedShare(100_000)
@@ -205,9 +207,9 @@
 	is.True(!s.Apply(Grant{Incarnation: "other", Epoch: 9}))
 }
 
-// A prompt is longer than the drawn limit runs ahead of use. One report must be enough
-// to serve it; while reports named the usual limit only, long prompts were refused on
-// every node although their account held plenty.
+// A prompt is longer than the limit's headroom. One report must be enough to serve it. When
+// reports carried only the usual limit, every node refused long prompts although the account
+// had plenty.
 func TestOneReportRaisesLimitForLongPrompt(t *testing.T) {
 	is := is.New(t)
 	s, _ := grantedShare(200_000)
@@ -220,9 +222,9 @@
 	is.Equal(s.Lend("a", 70_000, true), Reserved)
 }
 
-// The store is away and a long prompt is beyond the limit that has grown so far. Its caller,
-// or the node that asked for a loan, must be told at once: waiting for a report that can't
-// be acknowledged takes the time in which another node would serve it.
+// The store is unreachable and a long prompt exceeds the limit so far. Its caller, or the
+// borrowing node, must be told at once: waiting for a report that can't be acknowledged takes
+// the time in which another node would serve it.
 func TestDoesNotWaitForReportWhenPartitioned(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(200_000)
@@ -234,15 +236,15 @@
 	is.True(s.Lendable("a") < 60_000)
 }
 
-// Most nodes of a large fleet hold tokens that nobody uses. Each report that repeats the
-// last one costs the store a call; a node with callers must go on reporting.
+// Most nodes of a large fleet hold tokens that nobody uses. Each report that repeats the last
+// one costs a call to the store; a node with callers must keep reporting.
 func TestUnchangedWhileUnused(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(100_000)
 	report(s)
 	is.True(s.Unchanged())
 	s.Reserve("a", 10_000, 1_000_000)
-	is.True(!s.Unchanged()) // there is a caller
+	is.True(!s.Unchanged()) // there is demand
 	report(s)
 	is.Equal(s.Reserve("a", 1_000, 1_000_000), Reserved)
 	clock.Advance(time.Minute)
@@ -256,8 +258,8 @@
 	is.True(s.Unchanged())
 }
 
-// Guards against a node that takes a new grant for no news: without the store it could
-// neither use nor lend any of it for ten seconds.
+// A raised ceiling must count as a change. Otherwise a node without the store could neither use
+// nor lend any of it for ten seconds.
 func TestRaisedCeilingIsReportedSoon(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(0)
@@ -268,17 +270,17 @@
 	is.Equal(s.Lendable("a"), int64(60_000)) // after a report, which a borrower waits for
 	report(s)
 	is.True(s.Unchanged())
-	s.Compose() // the store is away
+	s.Compose() // the store is unreachable
 	clock.Advance(5 * time.Second)
 	is.Equal(s.Lend("a", 9_000, true), Reserved)
 	s.Apply(Grant{Node: "n1", Incarnation: "i1", Epoch: 3, Lines: []GrantLine{{Account: "a", Ceiling: 40_000, Remaining: 1_000_000, Prepaid: 1_000_000}}})
 	s.Settle("a", 9_000, 0)
 	s.Acknowledge()
-	is.True(s.Unchanged()) // a lowered one can wait for the usual report
+	is.True(s.Unchanged()) // a lowered ceiling can wait for the usual report
 }
 
-// A node that could not cover a request looks for its next grant as often as it can, so that
-// the caller who comes back finds it; one that has enough reads more rarely.
+// A node that couldn't cover a request polls for its next grant as often as it can, so that the
+// retrying caller finds it; a node that has enough polls more rarely.
 func TestRecordsShortfall(t *testing.T) {
 	is := is.New(t)
 	s, clock := grantedShare(10_000)
