--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -19,77 +19,77 @@
 	settings Settings
 	clock    clockwork.Clock
 	random   func() uint64
-	// changed, when set, is told when an upstream's breaker changes.
-	changed func(upstream string, state health.State)
+	// onHealthChange, when set, is called when an upstream's breaker changes state.
+	onHealthChange func(upstream string, state health.State)
 
-	index    *cache.Index
-	tickets  sync.Pool
-	services atomic.Pointer[map[string]*service]
-	gaps     atomic.Uint64
+	index     *cache.Index
+	attempts  sync.Pool
+	services  atomic.Pointer[map[string]*service]
+	eventGaps atomic.Uint64
 
-	mu      sync.Mutex
-	holders [cache.MaxHolders]*target
+	mu          sync.Mutex
+	cacheOwners [cache.MaxEngines]*target
 }
 
 var _ Picker = (*Balancer)(nil)
 
-// NewBalancer returns a balancer that knows no upstream yet. random must be safe for
-// concurrent use if the balancer is used so; changed may be nil.
-func NewBalancer(settings Settings, clock clockwork.Clock, random func() uint64, changed func(upstream string, state health.State)) *Balancer {
-	b := &Balancer{settings: settings, clock: clock, random: random, changed: changed, index: cache.NewIndex(settings.PrefixMemory)}
-	b.tickets.New = func() any {
-		t := &ticket{balancer: b}
-		t.done = t.finish
-		return t
+// NewBalancer returns a balancer without upstreams. random must be safe for concurrent use
+// if the balancer is used concurrently; onHealthChange may be nil.
+func NewBalancer(settings Settings, clock clockwork.Clock, random func() uint64, onHealthChange func(upstream string, state health.State)) *Balancer {
+	b := &Balancer{settings: settings, clock: clock, random: random, onHealthChange: onHealthChange, index: cache.NewIndex(settings.PrefixTTL)}
+	b.attempts.New = func() any {
+		a := &attempt{balancer: b}
+		a.done = a.finish
+		return a
 	}
 	b.services.Store(&map[string]*service{})
 	return b
 }
 
-// EventGaps returns how many gaps were seen in cache events.
-func (b *Balancer) EventGaps() uint64 { return b.gaps.Load() }
+// EventGaps returns the number of gaps detected in the sequences of cache events.
+func (b *Balancer) EventGaps() uint64 { return b.eventGaps.Load() }
 
 // Pick implements Picker.
-func (b *Balancer) Pick(ask Ask, candidates []*operatorv1.Upstream) (Pick, error) {
-	s := (*b.services.Load())[ask.Service]
-	if s == nil || !s.table.Load().of(candidates) {
-		s = b.rebuild(ask.Service, candidates)
-	}
-	c := choice{balancer: b, service: s, table: s.table.Load(), ask: ask, now: b.clock.Now()}
-	at := c.choose()
-	if at < 0 {
-		return Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service).After(c.comeBack())
-	}
-	return b.issue(&c, at), nil
-}
-
-// issue books the request on the chosen upstream.
-func (b *Balancer) issue(c *choice, at int) Pick {
-	t := c.table.entries[at].target
-	held := b.tickets.Get().(*ticket)
-	held.target, held.at, held.probe, held.answered = t, c.now, c.probe, false
-	held.service, held.local = c.service, c.table.candidates[at].GetRegion() == c.ask.Region
-	if held.local {
-		c.service.local.Add(1)
-	}
-	held.pace = t.currentPace(c.now)
-	held.predicted = c.predict(t)
-	held.tokens = int64(c.uncached(t))
-	if t.owing.Add(1) == 1 {
-		t.progress.Store(c.now.UnixNano())
+func (b *Balancer) Pick(request Request, candidates []*operatorv1.Upstream) (PickResult, error) {
+	s := (*b.services.Load())[request.Service]
+	if s == nil || !s.table.Load().builtFrom(candidates) {
+		s = b.rebuildTable(request.Service, candidates)
+	}
+	c := pickCall{balancer: b, service: s, table: s.table.Load(), request: request, now: b.clock.Now()}
+	index := c.selectUpstream()
+	if index < 0 {
+		return PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", request.Service).After(c.retryAfter())
+	}
+	return b.startAttempt(&c, index), nil
+}
+
+// startAttempt adds the request to the counters of the chosen upstream.
+func (b *Balancer) startAttempt(c *pickCall, index int) PickResult {
+	t := c.table.entries[index].target
+	a := b.attempts.Get().(*attempt)
+	a.target, a.start, a.probe, a.answered = t, c.now, c.probe, false
+	a.service, a.sameRegion = c.service, c.table.candidates[index].GetRegion() == c.request.Region
+	if a.sameRegion {
+		c.service.localInFlight.Add(1)
+	}
+	a.slowdown = t.currentSlowdown(c.now)
+	a.predicted = c.predict(t)
+	a.tokens = int64(c.uncached(t))
+	if t.awaitingFirstToken.Add(1) == 1 {
+		t.lastProgress.Store(c.now.UnixNano())
 	}
 	t.requests.add(1, c.now)
-	t.pending.add(held.tokens, c.now)
-	if t.holder != noHolder {
-		for _, hash := range c.ask.Prefix[min(c.depth(t.holder), len(c.ask.Prefix)):] {
-			b.index.Add(hash, t.holder, c.now)
+	t.pending.add(a.tokens, c.now)
+	if t.cacheID != noCacheID {
+		for _, hash := range c.request.Prefix[min(c.matchLength(t.cacheID), len(c.request.Prefix)):] {
+			b.index.Add(hash, t.cacheID, c.now)
 		}
 	}
-	return Pick{Upstream: c.table.candidates[at], Done: held.done, ticket: held, generation: held.generation.Load()}
+	return PickResult{Upstream: c.table.candidates[index], Done: a.done, attempt: a, generation: a.generation.Load()}
 }
 
-// rebuild replaces a service's table. Upstreams that stay keep what is known of them.
-func (b *Balancer) rebuild(name string, candidates []*operatorv1.Upstream) *service {
+// rebuildTable replaces a service's table. Upstreams that stay keep their state.
+func (b *Balancer) rebuildTable(name string, candidates []*operatorv1.Upstream) *service {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	services := *b.services.Load()
@@ -100,146 +100,146 @@
 		b.addService(name, s)
 		return s
 	}
-	if old := s.table.Load(); !old.of(candidates) {
+	if old := s.table.Load(); !old.builtFrom(candidates) {
 		s.table.Store(b.newTable(s, old, candidates))
 	}
 	return s
 }
 
 func (b *Balancer) addService(name string, s *service) {
-	grown := map[string]*service{name: s}
-	for other, held := range *b.services.Load() {
-		grown[other] = held
+	services := map[string]*service{name: s}
+	for other, existing := range *b.services.Load() {
+		services[other] = existing
 	}
-	b.services.Store(&grown)
+	b.services.Store(&services)
 }
 
 func (b *Balancer) newTable(s *service, old *table, candidates []*operatorv1.Upstream) *table {
-	t := &table{candidates: candidates, byName: make(map[string]*target, len(candidates)), regions: map[string]*regionLoad{}}
+	t := &table{candidates: candidates, byName: make(map[string]*target, len(candidates)), regionMeans: map[string]*meanLoad{}}
 	if old != nil {
-		t.regions = maps.Clone(old.regions)
+		t.regionMeans = maps.Clone(old.regionMeans)
 	}
 	for i, u := range candidates {
-		var held *target
+		var known *target
 		if old != nil {
-			held = old.kept(u)
+			known = old.unchangedTarget(u)
 		}
-		if held == nil {
-			held = b.newTarget(s, u, t.region(u.GetRegion()), old != nil)
+		if known == nil {
+			known = b.newTarget(s, u, t.regionMean(u.GetRegion()), old != nil)
 		}
-		t.entries = append(t.entries, entry{target: held, region: held.region, holder: held.holder, draining: u.GetDraining()})
-		t.byName[candidates[i].GetName()] = held
+		t.entries = append(t.entries, entry{target: known, regionMean: known.regionMean, cacheID: known.cacheID, draining: u.GetDraining()})
+		t.byName[candidates[i].GetName()] = known
 	}
-	t.seenFrom = t.neighbourhoods()
+	t.regionViews = t.buildRegionViews()
 	if old != nil {
-		b.dropTargets(s, old, t)
+		b.removeTargets(s, old, t)
 	}
 	return t
 }
 
-// kept returns the target of an upstream that is the same as before. Under another
-// address it is another process, of which nothing is known.
-func (t *table) kept(u *operatorv1.Upstream) *target {
-	for i, before := range t.candidates {
-		if before.GetName() == u.GetName() && before.GetAddress() == u.GetAddress() &&
-			before.GetRegion() == u.GetRegion() && before.GetSlots() == u.GetSlots() {
+// unchangedTarget returns the existing target of an upstream, or nil if the upstream is new
+// or changed. At another address it is another process, of which nothing is known.
+func (t *table) unchangedTarget(u *operatorv1.Upstream) *target {
+	for i, old := range t.candidates {
+		if old.GetName() == u.GetName() && old.GetAddress() == u.GetAddress() &&
+			old.GetRegion() == u.GetRegion() && old.GetSlots() == u.GetSlots() {
 			return t.entries[i].target
 		}
 	}
 	return nil
 }
 
-func (t *table) region(name string) *regionLoad {
-	if t.regions[name] == nil {
-		t.regions[name] = &regionLoad{}
+func (t *table) regionMean(name string) *meanLoad {
+	if t.regionMeans[name] == nil {
+		t.regionMeans[name] = &meanLoad{}
 	}
-	return t.regions[name]
+	return t.regionMeans[name]
 }
 
-// newTarget returns an upstream's target. One that joins a running service is spared
-// at first; those known from the start are not.
-func (b *Balancer) newTarget(s *service, u *operatorv1.Upstream, region *regionLoad, joins bool) *target {
-	since := time.Time{}
-	if joins {
-		since = b.clock.Now()
+// newTarget returns a target for an upstream. An upstream that joins a running service gets
+// a slow start; those present from the start don't.
+func (b *Balancer) newTarget(s *service, u *operatorv1.Upstream, regionMean *meanLoad, joining bool) *target {
+	joined := time.Time{}
+	if joining {
+		joined = b.clock.Now()
 	}
 	name := u.GetName()
 	var t *target
 	breaker := health.NewBreaker(b.random, func(state health.State) {
-		s.healthChanged(t, state)
-		if b.changed != nil {
-			b.changed(name, state)
+		s.breakerChanged(t, state)
+		if b.onHealthChange != nil {
+			b.onHealthChange(name, state)
 		}
 	})
-	t = newTarget(u, noHolder, since, breaker, region)
-	for i, taken := range b.holders {
-		if taken == nil {
-			b.holders[i] = t
-			t.holder = i
+	t = newTarget(u, noCacheID, joined, breaker, regionMean)
+	for i, owner := range b.cacheOwners {
+		if owner == nil {
+			b.cacheOwners[i] = t
+			t.cacheID = i
 			break
 		}
 	}
 	return t
 }
 
-// dropTargets forgets the upstreams that aren't in the next table.
-func (b *Balancer) dropTargets(s *service, old, next *table) {
+// removeTargets drops the state of the upstreams that aren't in the next table.
+func (b *Balancer) removeTargets(s *service, old, next *table) {
 	for _, e := range old.entries {
 		t := e.target
 		if next.byName[t.name] == t {
 			continue
 		}
-		s.left(t)
-		if t.holder != noHolder {
-			b.index.Forget(t.holder)
-			b.holders[t.holder] = nil
+		s.removeTarget(t)
+		if t.cacheID != noCacheID {
+			b.index.RemoveEngine(t.cacheID)
+			b.cacheOwners[t.cacheID] = nil
 		}
 	}
 }
 
-// Report takes in a load report.
+// Report stores a load report of one upstream.
 func (b *Balancer) Report(serviceName, upstream string, report LoadReport) {
 	s, t := b.find(serviceName, upstream)
 	if t == nil {
 		return
 	}
-	t.hear(report, b.clock.Now())
-	s.updateMeans(t.region)
+	t.setReport(report, b.clock.Now())
+	s.updateMean(t.regionMean)
 }
 
-// CacheEvents takes in cache events of one upstream, in the order of their sequence.
+// CacheEvents applies cache events of one upstream, in the order of their sequence.
 func (b *Balancer) CacheEvents(serviceName, upstream string, events []CacheEvent) {
 	_, t := b.find(serviceName, upstream)
-	if t == nil || t.holder == noHolder {
+	if t == nil || t.cacheID == noCacheID {
 		return
 	}
 	now := b.clock.Now()
 	for _, e := range events {
-		b.follow(t, e.Sequence)
+		b.trackSequence(t, e.Sequence)
 		if e.Stored {
-			b.index.Add(e.Hash, t.holder, now)
+			b.index.Add(e.Hash, t.cacheID, now)
 		} else {
-			b.index.Remove(e.Hash, t.holder)
+			b.index.Remove(e.Hash, t.cacheID)
 		}
 	}
 }
 
-// follow notes gaps. A sequence that starts again means that the engine restarted
-// with an empty cache: its old prefixes would draw requests that it must prefill.
-func (b *Balancer) follow(t *target, sequence uint64) {
-	last := t.events.Swap(sequence)
+// trackSequence counts gaps. A sequence that restarts means that the engine restarted with an
+// empty cache: its old prefixes would attract requests that it has to prefill in full.
+func (b *Balancer) trackSequence(t *target, sequence uint64) {
+	last := t.lastEvent.Swap(sequence)
 	switch {
 	case sequence <= last:
-		b.index.Forget(t.holder)
+		b.index.RemoveEngine(t.cacheID)
 	case sequence != last+1 && last != 0:
-		b.gaps.Add(1)
+		b.eventGaps.Add(1)
 	}
 }
 
-// LastEvent returns the sequence of the latest cache event heard of an upstream.
+// LastEvent returns the sequence of the latest cache event received from an upstream.
 func (b *Balancer) LastEvent(serviceName, upstream string) uint64 {
 	if _, t := b.find(serviceName, upstream); t != nil {
-		return t.events.Load()
+		return t.lastEvent.Load()
 	}
 	return 0
 }
--- a/routing/cache/doc.go
+++ b/routing/cache/doc.go
@@ -1,5 +1,6 @@
-// Package cache remembers which engines probably hold which prompt prefixes.
+// Package cache tracks which engines probably have which prompt prefixes cached.
 //
-// It is a hint: events come late and with gaps, engines drop blocks unheard, and the
-// table forgets under pressure. A wrong hint costs a prefill, never an answer.
+// The index is only a hint: events arrive late and with gaps, engines evict blocks without an
+// event, and the index itself evicts entries when full. A wrong hint costs a prefill, never
+// a wrong answer.
 package cache
--- a/routing/cache/index.go
+++ b/routing/cache/index.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// MaxHolders is the most engines that the index tells apart.
-	MaxHolders  = 256
-	holderWords = MaxHolders / 64
+	// MaxEngines is the most engines that the index can track.
+	MaxEngines  = 256
+	engineWords = MaxEngines / 64
 	ways        = 4
 	buckets     = 1 << 14
-	// touchEvery bounds how often asking for a block writes to its entry.
-	touchEvery = time.Second
+	// touchInterval is the shortest interval between lookups that update an entry's lastUsed.
+	touchInterval = time.Second
 )
 
-// Depths holds, for each engine, how many leading blocks of a prompt it holds.
-type Depths [MaxHolders]uint8
+// MatchLengths holds, for each engine, the number of leading blocks of a prompt that it has
+// cached.
+type MatchLengths [MaxEngines]uint8
 
-// MaxDepth is the most leading blocks that are looked at.
-const MaxDepth = 255
+// MaxMatchLength is the most leading blocks that are compared.
+const MaxMatchLength = 255
 
-// Index maps block hashes to engines. Its memory is fixed and it is safe for
-// concurrent use without locks; a race between two writers can leave a wrong hint.
+// Index maps block hashes to engines. Its memory is fixed. It is safe for concurrent use
+// without locks; a race between two writers can leave a wrong hint.
 type Index struct {
-	keep    time.Duration
+	ttl     time.Duration
 	entries [buckets][ways]entry
 }
 
 type entry struct {
-	hash    atomic.Uint64
-	touched atomic.Int64
-	holders [holderWords]atomic.Uint64
+	hash     atomic.Uint64
+	lastUsed atomic.Int64
+	engines  [engineWords]atomic.Uint64
 }
 
-// NewIndex returns an empty index that forgets a block not heard of for keep. Without
-// that an engine that dropped a block, its event lost in a gap, would draw requests
-// for ever, which would show as a falling share of cache hits.
-func NewIndex(keep time.Duration) *Index { return &Index{keep: keep} }
+// NewIndex returns an empty index whose entries expire after ttl without use. Otherwise an
+// engine that evicted a block, with the event lost in a gap, would attract requests for ever,
+// visible as a falling cache hit rate.
+func NewIndex(ttl time.Duration) *Index { return &Index{ttl: ttl} }
 
 func (x *Index) find(hash uint64) *entry {
 	bucket := &x.entries[hash%buckets]
@@ -50,89 +51,89 @@
 	return nil
 }
 
-// Add notes that an engine holds a block, or will once it has prefilled it.
-func (x *Index) Add(hash uint64, holder int, now time.Time) {
+// Add records that an engine has a block cached, or will once it has prefilled it.
+func (x *Index) Add(hash uint64, engine int, now time.Time) {
 	e := x.find(hash)
-	if e == nil || x.old(e, now) {
+	if e == nil || x.expired(e, now) {
 		e = x.replace(hash, e, now)
 	}
-	e.touched.Store(now.UnixNano())
-	e.holders[holder/64].Or(1 << (holder % 64))
+	e.lastUsed.Store(now.UnixNano())
+	e.engines[engine/64].Or(1 << (engine % 64))
 }
 
-// replace empties the entry given, or the one of the bucket touched longest ago.
+// replace resets the given entry, or the least recently used one of the bucket if e is nil.
 func (x *Index) replace(hash uint64, e *entry, now time.Time) *entry {
 	bucket := &x.entries[hash%buckets]
 	for i := range bucket {
-		if e == nil || (e.hash.Load() != hash && bucket[i].touched.Load() < e.touched.Load()) {
+		if e == nil || (e.hash.Load() != hash && bucket[i].lastUsed.Load() < e.lastUsed.Load()) {
 			e = &bucket[i]
 		}
 	}
 	e.hash.Store(hash)
-	for w := range e.holders {
-		e.holders[w].Store(0)
+	for w := range e.engines {
+		e.engines[w].Store(0)
 	}
-	e.touched.Store(now.UnixNano())
+	e.lastUsed.Store(now.UnixNano())
 	return e
 }
 
-func (x *Index) old(e *entry, now time.Time) bool {
-	return now.UnixNano()-e.touched.Load() > int64(x.keep)
+func (x *Index) expired(e *entry, now time.Time) bool {
+	return now.UnixNano()-e.lastUsed.Load() > int64(x.ttl)
 }
 
-// Remove notes that an engine dropped a block.
-func (x *Index) Remove(hash uint64, holder int) {
+// Remove records that an engine evicted a block.
+func (x *Index) Remove(hash uint64, engine int) {
 	if e := x.find(hash); e != nil {
-		e.holders[holder/64].And(^uint64(1 << (holder % 64)))
+		e.engines[engine/64].And(^uint64(1 << (engine % 64)))
 	}
 }
 
-// Forget drops everything known of an engine.
-func (x *Index) Forget(holder int) {
+// RemoveEngine removes an engine from all entries.
+func (x *Index) RemoveEngine(engine int) {
 	for b := range x.entries {
 		for w := range x.entries[b] {
-			x.entries[b][w].holders[holder/64].And(^uint64(1 << (holder % 64)))
+			x.entries[b][w].engines[engine/64].And(^uint64(1 << (engine % 64)))
 		}
 	}
 }
 
-// Depths fills in how many leading blocks of the prefix each engine holds. A block
-// that is asked for is heard of.
-func (x *Index) Depths(prefix []uint64, now time.Time, into *Depths) {
-	alive := [holderWords]uint64{}
-	for w := range alive {
-		alive[w] = ^uint64(0)
+// Match fills in how many leading blocks of the prefix each engine has cached. A lookup
+// counts as a use of the blocks found.
+func (x *Index) Match(prefix []uint64, now time.Time, lengths *MatchLengths) {
+	matching := [engineWords]uint64{}
+	for w := range matching {
+		matching[w] = ^uint64(0)
 	}
-	depth := 0
-	for ; depth < min(len(prefix), MaxDepth); depth++ {
-		e := x.find(prefix[depth])
-		if e == nil || x.old(e, now) {
+	length := 0
+	for ; length < min(len(prefix), MaxMatchLength); length++ {
+		e := x.find(prefix[length])
+		if e == nil || x.expired(e, now) {
 			break
 		}
-		if now.UnixNano()-e.touched.Load() > int64(touchEvery) {
-			e.touched.Store(now.UnixNano())
+		if now.UnixNano()-e.lastUsed.Load() > int64(touchInterval) {
+			e.lastUsed.Store(now.UnixNano())
 		}
-		left := uint64(0)
-		for w := range alive {
-			holders := alive[w] & e.holders[w].Load()
-			set(into, w, alive[w]&^holders, depth)
-			alive[w] = holders
-			left |= holders
+		remaining := uint64(0)
+		for w := range matching {
+			still := matching[w] & e.engines[w].Load()
+			setLengths(lengths, w, matching[w]&^still, length)
+			matching[w] = still
+			remaining |= still
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
-	for w := range alive {
-		set(into, w, alive[w], depth)
+	for w := range matching {
+		setLengths(lengths, w, matching[w], length)
 	}
 }
 
-func set(into *Depths, word int, holders uint64, depth int) {
-	if depth == 0 {
+func setLengths(lengths *MatchLengths, word int, engines uint64, length int) {
+	if length == 0 {
 		return
 	}
-	for ; holders != 0; holders &= holders - 1 {
-		into[word*64+bits.TrailingZeros64(holders)] = uint8(depth)
+	for ; engines != 0; engines &= engines - 1 {
+		lengths[word*64+bits.TrailingZeros64(engines)] = uint8(length)
 	}
 }
--- a/routing/health/breaker.go
+++ b/routing/health/breaker.go
@@ -9,14 +9,14 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is where a breaker stands.
+// State is the state of a circuit breaker.
 type State string
 
 // The states of a breaker.
 const (
-	// Closed lets everything through.
+	// Closed lets all requests through.
 	Closed State = "closed"
-	// Open lets nothing through until its pause is over.
+	// Open lets nothing through until its open period ends.
 	Open State = "open"
 	// HalfOpen lets one probe through at a time.
 	HalfOpen State = "half-open"
@@ -31,44 +31,45 @@
 )
 
 const (
-	// tripAfter failures in a row open a breaker.
-	tripAfter = 3
-	// tripFailures among the latest 16 answers open a breaker as well.
-	tripFailures = 8
-	// recoverAfter probes in a row close it.
-	recoverAfter = 2
-	firstPause   = 2 * time.Second
-	longestPause = time.Minute
-	// calmAfter is how long a closed breaker must hold before its next pause starts
-	// again from firstPause. Without it an engine that fails now and then would be let
-	// in and out every few seconds, and callers would notice each time.
-	calmAfter = 2 * time.Minute
+	// maxConsecutiveFailures is how many failures in a row open a breaker.
+	maxConsecutiveFailures = 3
+	// maxWindowFailures is how many failures among the latest 16 outcomes open it as well.
+	maxWindowFailures = 8
+	// probesToClose is how many successful probes in a row close it.
+	probesToClose   = 2
+	minOpenDuration = 2 * time.Second
+	maxOpenDuration = time.Minute
+	// backoffResetAfter is how long a breaker must stay closed before its next open period
+	// starts again from minOpenDuration. Otherwise a breaker would flap every few seconds on
+	// an engine that fails intermittently, and callers would see failures each time.
+	backoffResetAfter = 2 * time.Minute
 )
 
-// Breaker keeps requests from an upstream that fails. Admits is lock-free; the rest
-// is rare. It is safe for concurrent use.
+// Breaker is a circuit breaker that keeps requests from a failing upstream. IsClosed and
+// MayProbe are lock-free; the other methods are called at most a few times per request. It is
+// safe for concurrent use.
 type Breaker struct {
-	// passing is set while closed, so that a pick needs one atomic load.
-	passing atomic.Bool
-	until   atomic.Int64
-	probing atomic.Bool
-
-	mu       sync.Mutex
-	machine  *stateless.StateMachine
-	random   func() uint64
-	changed  func(State)
-	failures int
-	window   uint16
-	good     int
-	pause    time.Duration
-	closedAt time.Time
+	// closed mirrors the state machine, so that a pick needs only one atomic load.
+	closed        atomic.Bool
+	openUntil     atomic.Int64
+	probeInFlight atomic.Bool
+
+	mu             sync.Mutex
+	machine        *stateless.StateMachine
+	random         func() uint64
+	onChange       func(State)
+	failures       int
+	outcomes       uint16
+	probeSuccesses int
+	openDuration   time.Duration
+	closedAt       time.Time
 }
 
-// NewBreaker returns a closed breaker. random spreads the pauses of several nodes;
-// changed, when set, is told of each new state.
-func NewBreaker(random func() uint64, changed func(State)) *Breaker {
-	b := &Breaker{random: random, changed: changed}
-	b.passing.Store(true)
+// NewBreaker returns a closed breaker. random provides the jitter that spreads the probes of
+// several nodes; onChange, when set, is called with each new state.
+func NewBreaker(random func() uint64, onChange func(State)) *Breaker {
+	b := &Breaker{random: random, onChange: onChange}
+	b.closed.Store(true)
 	b.machine = stateless.NewStateMachine(Closed)
 	b.machine.Configure(Closed).Permit(triggerTrip, Open).Ignore(triggerProbe).Ignore(triggerRecover)
 	b.machine.Configure(Open).Permit(triggerProbe, HalfOpen).Ignore(triggerTrip).Ignore(triggerRecover)
@@ -76,24 +77,24 @@
 	return b
 }
 
-// State returns where the breaker stands.
+// State returns the breaker's current state.
 func (b *Breaker) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.machine.MustState().(State)
 }
 
-// Passing tells whether the breaker is closed.
-func (b *Breaker) Passing() bool { return b.passing.Load() }
+// IsClosed reports whether the breaker is closed.
+func (b *Breaker) IsClosed() bool { return b.closed.Load() }
 
-// MayProbe tells whether an open breaker's pause is over and no probe is out.
+// MayProbe reports whether the open period is over and no probe is in flight.
 func (b *Breaker) MayProbe(now time.Time) bool {
-	return !b.passing.Load() && !b.probing.Load() && now.UnixNano() >= b.until.Load()
+	return !b.closed.Load() && !b.probeInFlight.Load() && now.UnixNano() >= b.openUntil.Load()
 }
 
-// BeginProbe claims the one probe; false if another request was faster.
+// BeginProbe claims the only probe; it returns false if another request has claimed it.
 func (b *Breaker) BeginProbe() bool {
-	if !b.probing.CompareAndSwap(false, true) {
+	if !b.probeInFlight.CompareAndSwap(false, true) {
 		return false
 	}
 	b.mu.Lock()
@@ -102,35 +103,35 @@
 	return true
 }
 
-// AbandonProbe frees the probe without a verdict, as when its caller left.
-func (b *Breaker) AbandonProbe() { b.probing.Store(false) }
+// AbandonProbe releases the probe without an outcome, for example when its caller left.
+func (b *Breaker) AbandonProbe() { b.probeInFlight.Store(false) }
 
-// Succeeded notes a good answer. Only probes count while the breaker isn't closed:
-// a request sent before the trouble proves nothing.
-func (b *Breaker) Succeeded(now time.Time, probe bool) {
+// RecordSuccess records a success. Only probes count while the breaker isn't closed: a request
+// sent before the breaker opened doesn't show that the upstream recovered.
+func (b *Breaker) RecordSuccess(now time.Time, probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.machine.MustState() == Closed {
 		b.failures = 0
-		b.window <<= 1
+		b.outcomes <<= 1
 		return
 	}
 	if !probe {
 		return
 	}
-	b.probing.Store(false)
-	b.good++
-	if b.good < recoverAfter {
+	b.probeInFlight.Store(false)
+	b.probeSuccesses++
+	if b.probeSuccesses < probesToClose {
 		return
 	}
-	b.window, b.failures, b.closedAt = 0, 0, now
+	b.outcomes, b.failures, b.closedAt = 0, 0, now
 	b.fire(triggerRecover)
-	b.passing.Store(true)
+	b.closed.Store(true)
 }
 
-// Failed notes a failure. A grave one, such as another request's answer, opens the
-// breaker at once.
-func (b *Breaker) Failed(now time.Time, probe, grave bool) {
+// RecordFailure records a failure. A critical one, such as the answer to another request,
+// opens the breaker immediately.
+func (b *Breaker) RecordFailure(now time.Time, probe, critical bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.machine.MustState() != Closed {
@@ -140,35 +141,35 @@
 		return
 	}
 	b.failures++
-	b.window = b.window<<1 | 1
-	if grave || b.failures >= tripAfter || bits.OnesCount16(b.window) >= tripFailures {
+	b.outcomes = b.outcomes<<1 | 1
+	if critical || b.failures >= maxConsecutiveFailures || bits.OnesCount16(b.outcomes) >= maxWindowFailures {
 		b.trip(now)
 	}
 }
 
 func (b *Breaker) trip(now time.Time) {
 	switch {
-	case b.pause == 0 || (b.machine.MustState() == Closed && now.Sub(b.closedAt) > calmAfter):
-		b.pause = firstPause
+	case b.openDuration == 0 || (b.machine.MustState() == Closed && now.Sub(b.closedAt) > backoffResetAfter):
+		b.openDuration = minOpenDuration
 	default:
-		b.pause = min(2*b.pause, longestPause)
+		b.openDuration = min(2*b.openDuration, maxOpenDuration)
 	}
-	b.good, b.failures = 0, 0
-	// Up to half as much again, or all nodes would probe at the same moment.
-	jitter := time.Duration(b.random() % uint64(b.pause/2))
-	b.until.Store(now.Add(b.pause + jitter).UnixNano())
-	b.passing.Store(false)
-	b.probing.Store(false)
+	b.probeSuccesses, b.failures = 0, 0
+	// Jitter of up to half the period, or all nodes would probe at the same moment.
+	jitter := time.Duration(b.random() % uint64(b.openDuration/2))
+	b.openUntil.Store(now.Add(b.openDuration + jitter).UnixNano())
+	b.closed.Store(false)
+	b.probeInFlight.Store(false)
 	b.fire(triggerTrip)
 }
 
-// fire moves the state machine. Every trigger is permitted or ignored in every
-// state, so it can't fail.
+// fire applies a trigger to the state machine. Every trigger is permitted or ignored in
+// every state, so it can't fail.
 func (b *Breaker) fire(t trigger) {
 	before := b.machine.MustState()
 	_ = b.machine.Fire(t)
 	after := b.machine.MustState()
-	if b.changed != nil && before != after {
-		b.changed(after.(State))
+	if b.onChange != nil && before != after {
+		b.onChange(after.(State))
 	}
 }
--- a/routing/health/doc.go
+++ b/routing/health/doc.go
@@ -1,2 +1,2 @@
-// Package health judges upstreams by how their answers went, without asking them.
+// Package health tracks the health of upstreams passively, from the outcome of their requests.
 package health
--- a/routing/health/flapping_test.go
+++ b/routing/health/flapping_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// halfDead is ten minutes of an upstream that fails half of what it gets, asked ten times
-// a second; it counts what callers and the time line see.
-func halfDead(seed uint64) (openings, closings, failed int) {
+// simulateHalfFailing simulates ten minutes of an upstream that fails half of its requests, at ten
+// requests a second, and counts the state changes and failed requests.
+func simulateHalfFailing(seed uint64) (openings, closings, failed int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	b := NewBreaker(random.Uint64, func(s State) {
 		switch s {
@@ -22,25 +22,25 @@
 	})
 	for now := start; now.Before(start.Add(10 * time.Minute)); now = now.Add(100 * time.Millisecond) {
 		probe := b.MayProbe(now) && b.BeginProbe()
-		if !probe && !b.Passing() {
+		if !probe && !b.IsClosed() {
 			continue
 		}
 		if random.IntN(2) == 0 {
-			b.Succeeded(now, probe)
+			b.RecordSuccess(now, probe)
 			continue
 		}
 		failed++
-		b.Failed(now, probe, false)
+		b.RecordFailure(now, probe, false)
 	}
 	return openings, closings, failed
 }
 
-// An engine fails half of what it gets for ten minutes. Let in and out every few seconds
-// it would hurt a caller each time; of 6,000 requests some 3,000 would fail there.
-func TestAHalfDeadUpstreamHardlyFlaps(t *testing.T) {
+// An engine fails half of its requests for ten minutes. If the breaker flapped every few seconds,
+// callers would see failures each time, and about 3,000 of 6,000 requests would fail.
+func TestHalfFailingUpstreamRarelyFlaps(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(50) {
-		openings, closings, failed := halfDead(seed)
+		openings, closings, failed := simulateHalfFailing(seed)
 		is.True(openings <= 13)
 		is.True(closings <= 7)
 		is.True(failed <= 70)
--- a/routing/history.go
+++ b/routing/history.go
@@ -10,10 +10,10 @@
 	historyTicks = 64
 )
 
-// history is a count with its recent past, so that a late report can be compared with
-// what the count was when its sample was taken. Without that the node's own requests
-// would be taken for other nodes' work, or the other way round, and it would herd on
-// engines that it had just filled itself. Racing writers may blur a tick.
+// history is a counter with its recent values, so that a late report can be compared with the
+// count at the time of its sample. Otherwise the node's own requests would be attributed to
+// other nodes, or the reverse, and the node would herd on engines that it had just filled
+// itself. Concurrent writers may make one tick inexact.
 type history struct {
 	current atomic.Int64
 	past    [historyTicks]historyEntry
@@ -25,7 +25,7 @@
 	after  atomic.Int64
 }
 
-func (h *history) now() int64 { return h.current.Load() }
+func (h *history) value() int64 { return h.current.Load() }
 
 func (h *history) add(delta int64, at time.Time) {
 	value := h.current.Add(delta)
@@ -37,9 +37,9 @@
 	entry.after.Store(value)
 }
 
-// at returns what the count was at a time within the last seconds.
-func (h *history) at(then, now time.Time) int64 {
-	tick := then.UnixNano() / int64(historyTick)
+// valueAt returns the count at a time within the last historyTick * historyTicks (3.2 s).
+func (h *history) valueAt(at, now time.Time) int64 {
+	tick := at.UnixNano() / int64(historyTick)
 	if entry := &h.past[tick%historyTicks]; entry.tick.Load() == tick {
 		return entry.after.Load()
 	}
--- a/routing/load.go
+++ b/routing/load.go
@@ -7,9 +7,9 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// LoadReport is what an engine says of itself. It lags.
+// LoadReport is the load that an engine reports. It lags behind the actual load.
 type LoadReport struct {
-	// Age of the sample when the report arrived. Clocks of engines aren't trusted.
+	// Age of the sample when the report arrived. The clocks of engines aren't trusted.
 	Age     time.Duration
 	Running int
 	Waiting int
@@ -17,30 +17,30 @@
 	PendingTokens int
 	// MemoryUsed is the share of KV memory that running requests use.
 	MemoryUsed float64
-	// Models that the engine holds; empty when it doesn't say.
+	// Models that the engine has loaded; empty when it doesn't report them.
 	Models []LoadedModel
 }
 
-// LoadedModel is a model that an engine holds.
+// LoadedModel is a model that an engine has loaded, with its adapters.
 type LoadedModel struct {
 	Model    string
 	Version  string
 	Adapters []string
 }
 
-// LoadSource reads load reports.
+// LoadSource fetches load reports.
 type LoadSource interface {
-	Load(ctx context.Context, of *operatorv1.Upstream) (LoadReport, error)
+	Load(ctx context.Context, upstream *operatorv1.Upstream) (LoadReport, error)
 }
 
-// CacheEvent tells that a block was stored in or dropped from a prefix cache.
+// CacheEvent reports that a block was stored in or evicted from a prefix cache.
 type CacheEvent struct {
 	Sequence uint64
 	Hash     uint64
 	Stored   bool
 }
 
-// CacheEventSource reads cache events. They come late, and some never do.
+// CacheEventSource fetches cache events. They arrive late, and some are lost.
 type CacheEventSource interface {
-	CacheEvents(ctx context.Context, of *operatorv1.Upstream, after uint64) ([]CacheEvent, error)
+	CacheEvents(ctx context.Context, upstream *operatorv1.Upstream, after uint64) ([]CacheEvent, error)
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -6,53 +6,53 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Ask describes the request that an upstream is wanted for.
-type Ask struct {
+// Request describes a request to be routed.
+type Request struct {
 	Service string
 	Model   string
 	// Version and Adapter, when set, restrict the choice to engines that report them.
 	Version string
 	Adapter string
-	// Region of the node that asks.
+	// Region of the node that routes the request.
 	Region string
-	// Account and Team share capacity fairly in admission.
+	// Account and Team are the units of fair sharing in admission.
 	Account string
 	Team    string
 	// Weight is the account's relative share; 0 means 1.
 	Weight uint32
 	// Priority orders an account's requests: higher goes first.
 	Priority int
-	// PromptTokens and AnswerTokens are estimates; 0 is taken as unknown.
+	// PromptTokens and AnswerTokens are estimates; 0 means unknown.
 	PromptTokens int
 	AnswerTokens int
-	// Prefix holds the chained hash of each whole block of the prompt.
+	// Prefix holds the chained hash of each full block of the prompt.
 	Prefix []uint64
 	// Deadline for the first token; zero for none.
 	Deadline time.Time
-	// Tried holds the names of upstreams that failed this request already.
+	// Tried holds the names of upstreams that already failed this request.
 	Tried map[string]bool
 }
 
-// Pick is an upstream chosen. Done must be called exactly once when the request
-// leaves it.
-type Pick struct {
+// PickResult is the chosen upstream. Done must be called exactly once, when the request
+// has left the upstream.
+type PickResult struct {
 	Upstream *operatorv1.Upstream
 	Done     func(err error)
 
-	ticket     *ticket
+	attempt    *attempt
 	generation uint64
 }
 
-// FirstToken tells that the upstream has begun to answer. Callers that never say so
-// are judged by Done alone.
-func (p Pick) FirstToken() {
-	if p.ticket != nil {
-		p.ticket.firstToken(p.generation)
+// FirstToken records that the upstream has begun to answer. Without this call the request
+// is measured by Done alone.
+func (r PickResult) FirstToken() {
+	if r.attempt != nil {
+		r.attempt.firstToken(r.generation)
 	}
 }
 
-// Picker chooses an upstream among candidates; it fails with NoUpstream. The
-// candidates of a service must be the same slice until its configuration changes.
+// Picker chooses an upstream among candidates; it fails with NoUpstream. The candidates of
+// a service must be passed as the same slice until its configuration changes.
 type Picker interface {
-	Pick(ask Ask, candidates []*operatorv1.Upstream) (Pick, error)
+	Pick(request Request, candidates []*operatorv1.Upstream) (PickResult, error)
 }
--- a/routing/prefix/doc.go
+++ b/routing/prefix/doc.go
@@ -1,3 +1,3 @@
-// Package prefix names the leading blocks of a prompt, so that routers and engines mean
-// the same by a cached prefix without sharing a tokenizer.
+// Package prefix hashes the leading blocks of a prompt, so that routers and engines identify
+// a cached prefix alike without sharing a tokenizer.
 package prefix
--- a/routing/prefix/hash.go
+++ b/routing/prefix/hash.go
@@ -11,20 +11,20 @@
 	BlockBytes = 256
 	// BytesPerToken is an estimate for prose.
 	BytesPerToken = 4
-	// MaxBlocks bounds how much of a prompt is looked at.
+	// MaxBlocks bounds how much of a prompt is hashed.
 	MaxBlocks = 128
 )
 
-// Hasher takes a prompt's text piece by piece. The hash of a block is xxHash64 over the
-// hash of the block before (eight bytes, little endian, zero for the first) and the
-// block's bytes. A last block that isn't full has no hash.
+// Hasher hashes a prompt's text incrementally. The hash of a block is xxHash64 over the hash
+// of the previous block (eight bytes, little endian, zero for the first) and the block's
+// bytes. An incomplete last block has no hash.
 type Hasher struct {
 	block  []byte
 	hashes []uint64
 	length int
 }
 
-// Write adds text.
+// Write appends text to the prompt.
 func (h *Hasher) Write(text string) {
 	h.length += len(text)
 	for len(text) > 0 && len(h.hashes) < MaxBlocks {
@@ -32,12 +32,12 @@
 		h.block = append(h.block, text[:n]...)
 		text = text[n:]
 		if len(h.block) == BlockBytes {
-			h.close()
+			h.finishBlock()
 		}
 	}
 }
 
-func (h *Hasher) close() {
+func (h *Hasher) finishBlock() {
 	previous := uint64(0)
 	if n := len(h.hashes); n > 0 {
 		previous = h.hashes[n-1]
@@ -50,7 +50,7 @@
 	h.block = h.block[:0]
 }
 
-// Hashes returns the chained hash of each whole block so far.
+// Hashes returns the chained hash of each full block so far.
 func (h *Hasher) Hashes() []uint64 { return h.hashes }
 
 // Tokens returns an estimate of the prompt's tokens so far.
--- a/routing/pressure.go
+++ b/routing/pressure.go
@@ -1,49 +1,48 @@
 package routing
 
-// Pressure is what a service's upstreams say of themselves, summed up.
+// Pressure is the load that a service's upstreams report, summed up.
 type Pressure struct {
-	// Running requests, and those that wait behind them.
+	// Running and Waiting are the numbers of running and queued requests.
 	Running float64
 	Waiting float64
-	// Slots of the upstreams that reported; none when nothing is known.
+	// Slots is the total of the upstreams that reported; 0 when none did.
 	Slots float64
 }
 
-// Pressure sums up the latest reports of a service's upstreams in a region and
-// outside of it. Only those count that take work and whose
-// report is fresh: the last words of an engine that hangs would otherwise hold the
-// admission of the whole service down.
-func (b *Balancer) Pressure(serviceName, region string) (here, elsewhere Pressure) {
+// Pressure sums up the latest reports of a service's upstreams inside and outside of a
+// region. It counts only upstreams that accept requests and whose report is fresh: the last
+// report of an engine that hangs would otherwise throttle admission to the whole service.
+func (b *Balancer) Pressure(serviceName, region string) (local, remote Pressure) {
 	s := (*b.services.Load())[serviceName]
 	if s == nil {
 		return Pressure{}, Pressure{}
 	}
 	table := s.table.Load()
-	home := table.regions[region]
+	localRegion := table.regionMeans[region]
 	now := b.clock.Now()
 	for i := range table.entries {
 		e := &table.entries[i]
 		r := e.target.report.Load()
-		if e.draining || r == nil || now.Sub(r.sampled) > b.settings.FreshReport {
+		if e.draining || r == nil || now.Sub(r.sampled) > b.settings.MaxReportAge {
 			continue
 		}
-		if !e.target.breaker.Passing() || e.target.stalled(b.settings.StallAfter, now) {
+		if !e.target.breaker.IsClosed() || e.target.stalled(b.settings.StallTimeout, now) {
 			continue
 		}
-		p := &elsewhere
-		if e.region == home {
-			p = &here
+		p := &remote
+		if e.regionMean == localRegion {
+			p = &local
 		}
-		// One engine with a long queue is a matter for the choice, not for admission.
+		// A long queue at one engine is handled by routing, not by admission.
 		p.Waiting += min(float64(r.Waiting), e.target.slots)
 		p.Running += float64(r.Running)
 		p.Slots += e.target.slots
 	}
-	return here, elsewhere
+	return local, remote
 }
 
-// LimitLocal sets how many of this node's requests of a service should be at the
-// upstreams of its own region at most. Those above go to another region that has room.
+// LimitLocal sets the most requests of a service that this node should have in flight in its
+// own region. Requests above the limit spill to a region with free slots.
 func (b *Balancer) LimitLocal(serviceName string, limit int) {
 	if s := (*b.services.Load())[serviceName]; s != nil {
 		s.localLimit.Store(int64(limit))
--- a/routing/sample.go
+++ b/routing/sample.go
@@ -1,70 +1,70 @@
 package routing
 
-// deepChoices is how many of the upstreams that hold most of the prompt are compared.
-const deepChoices = 2
+// cachedChoices is how many of the upstreams with the longest cached prefix are compared.
+const cachedChoices = 2
 
-// sample keeps a few upstreams of many, chosen at random by the smallest rolls, and
-// two of those that hold most of the prompt.
+// sample keeps a few random upstreams and cachedChoices random ones of those with the longest
+// cached prefix.
 type sample struct {
-	random lottery
-	deep   lottery
-	depth  int
-	at     [maxChoices + deepChoices]int
+	random      reservoir
+	cached      reservoir
+	matchLength int
+	buffer      [maxChoices + cachedChoices]int
 }
 
-// wants tells whether an upstream would enter the sample.
-func (s *sample) wants(roll uint64, depth, choices int) bool {
-	return s.random.wants(roll, choices) || s.isDeep(roll, depth)
+// accepts reports whether an upstream would enter the sample.
+func (s *sample) accepts(key uint64, matchLength, choices int) bool {
+	return s.random.accepts(key, choices) || s.acceptsCached(key, matchLength)
 }
 
-func (s *sample) isDeep(roll uint64, depth int) bool {
-	return depth > s.depth || (depth > 0 && depth == s.depth && s.deep.wants(roll, deepChoices))
+func (s *sample) acceptsCached(key uint64, matchLength int) bool {
+	return matchLength > s.matchLength || (matchLength > 0 && matchLength == s.matchLength && s.cached.accepts(key, cachedChoices))
 }
 
-func (s *sample) offer(at int, roll uint64, depth, choices int) {
-	if s.isDeep(roll, depth) {
-		if depth > s.depth {
-			s.deep.count = 0
+func (s *sample) offer(index int, key uint64, matchLength, choices int) {
+	if s.acceptsCached(key, matchLength) {
+		if matchLength > s.matchLength {
+			s.cached.count = 0
 		}
-		s.depth = depth
-		s.deep.offer(at, roll, deepChoices)
+		s.matchLength = matchLength
+		s.cached.offer(index, key, cachedChoices)
 	}
-	s.random.offer(at, roll, choices)
+	s.random.offer(index, key, choices)
 }
 
-// candidates returns the sampled indexes; one may occur twice.
+// candidates returns the sampled indexes; an index may occur twice.
 func (s *sample) candidates() []int {
-	n := copy(s.at[:], s.random.at[:s.random.count])
-	n += copy(s.at[n:], s.deep.at[:s.deep.count])
-	return s.at[:n]
+	n := copy(s.buffer[:], s.random.indexes[:s.random.count])
+	n += copy(s.buffer[n:], s.cached.indexes[:s.cached.count])
+	return s.buffer[:n]
 }
 
-// lottery keeps the few with the smallest rolls.
-type lottery struct {
-	rolls [maxChoices]uint64
-	at    [maxChoices]int
-	count int
-	worst int
+// reservoir is a random sample: it keeps the upstreams with the smallest random keys.
+type reservoir struct {
+	keys    [maxChoices]uint64
+	indexes [maxChoices]int
+	count   int
+	largest int
 }
 
-func (l *lottery) wants(roll uint64, choices int) bool {
-	return l.count < min(choices, maxChoices) || roll < l.rolls[l.worst]
+func (r *reservoir) accepts(key uint64, choices int) bool {
+	return r.count < min(choices, maxChoices) || key < r.keys[r.largest]
 }
 
-func (l *lottery) offer(at int, roll uint64, choices int) {
+func (r *reservoir) offer(index int, key uint64, choices int) {
 	switch {
-	case l.count < min(choices, maxChoices):
-		l.rolls[l.count], l.at[l.count] = roll, at
-		l.count++
-	case roll < l.rolls[l.worst]:
-		l.rolls[l.worst], l.at[l.worst] = roll, at
+	case r.count < min(choices, maxChoices):
+		r.keys[r.count], r.indexes[r.count] = key, index
+		r.count++
+	case key < r.keys[r.largest]:
+		r.keys[r.largest], r.indexes[r.largest] = key, index
 	default:
 		return
 	}
-	l.worst = 0
-	for i := 1; i < l.count; i++ {
-		if l.rolls[i] > l.rolls[l.worst] {
-			l.worst = i
+	r.largest = 0
+	for i := 1; i < r.count; i++ {
+		if r.keys[i] > r.keys[r.largest] {
+			r.largest = i
 		}
 	}
 }
--- a/routing/score/doc.go
+++ b/routing/score/doc.go
@@ -1,3 +1,3 @@
-// Package score predicts when an upstream would answer: pure functions over what a
-// node knows of it.
+// Package score predicts an upstream's time to first token, with pure functions over the
+// node's state of it.
 package score
--- a/routing/score/load.go
+++ b/routing/score/load.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Load is what a node knows of an upstream's load. Own counts are exact and of now;
-// reported ones are those of the latest report.
+// Load is a node's knowledge of an upstream's load. Own is exact and current; Reported is
+// from the latest report.
 type Load struct {
 	Own float64
-	// OwnThen is the node's own count at the time of the report's sample.
-	OwnThen  float64
-	Reported float64
-	// Mean of the foreign load over the region's upstreams.
-	Mean float64
+	// OwnAtSample is Own at the time of the report's sample.
+	OwnAtSample float64
+	Reported    float64
+	// MeanOtherNodes is the mean of OtherNodes over the region's upstreams.
+	MeanOtherNodes float64
 }
 
-// Trust returns how much a report's sample of that age is worth, from 1 to 0, with the
-// time constant fade.
-func Trust(age, fade time.Duration) float64 { return math.Exp(-float64(age) / float64(fade)) }
+// ReportWeight returns the weight of a report whose sample has that age: it decays
+// exponentially from 1 to 0.
+func ReportWeight(age, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(timeConstant))
+}
 
-// Estimate returns own load plus that of other nodes. What a report says of other
-// nodes gives way to the mean as it is trusted less: an old report of an idle engine
-// would draw every node to it, seen as bursts of waiting requests on one engine after
-// another.
-func (l Load) Estimate(trust float64) float64 {
-	return l.Own + trust*l.Foreign() + (1-trust)*l.Mean
+// Estimate returns the own load plus that of other nodes. As the report's weight falls, its
+// load of other nodes is replaced by the mean: an old report of an idle engine would attract
+// every node, visible as bursts of waiting requests on one engine after another.
+func (l Load) Estimate(weight float64) float64 {
+	return l.Own + weight*l.OtherNodes() + (1-weight)*l.MeanOtherNodes
 }
 
-// Foreign returns the part of the reported load that wasn't this node's own.
-func (l Load) Foreign() float64 { return max(0, l.Reported-l.OwnThen) }
+// OtherNodes returns the part of the reported load that came from other nodes.
+func (l Load) OtherNodes() float64 { return max(0, l.Reported-l.OwnAtSample) }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -9,45 +9,47 @@
 // Settings of a Balancer.
 type Settings struct {
 	Costs score.Costs
-	// Choices is how many random upstreams are compared, beside the one that holds
-	// most of the prompt.
+	// Choices is how many random upstreams are compared, in addition to those with the
+	// longest cached prefix.
 	Choices int
-	// Fade is the time constant with which a load report loses its weight.
-	Fade time.Duration
-	// BlockTokens is the number of prompt tokens in one block of Ask.Prefix.
+	// ReportDecay is the time constant with which a load report loses its weight.
+	ReportDecay time.Duration
+	// BlockTokens is the number of prompt tokens in one block of Request.Prefix.
 	BlockTokens int
-	// PrefixMemory is how long a prefix is thought to stay where it was last heard of.
-	PrefixMemory time.Duration
-	// LinkPenalty is how much sooner an upstream of another region must be expected
-	// to answer to be taken before one of this region.
-	LinkPenalty time.Duration
-	// LinkPerToken is the time that a prompt token takes on the link.
-	LinkPerToken time.Duration
-	// SlowStart is how long a new upstream is spared.
+	// PrefixTTL is how long a prefix is assumed to stay cached after it was last seen.
+	PrefixTTL time.Duration
+	// CrossRegionPenalty is how much sooner an upstream of another region must be expected
+	// to answer to be preferred to one of this region.
+	CrossRegionPenalty time.Duration
+	// CrossRegionPerToken is the time to send one prompt token over the link.
+	CrossRegionPerToken time.Duration
+	// SlowStart is how long a new upstream gets fewer requests than the others.
 	SlowStart time.Duration
-	// StallAfter is how long an upstream may owe first tokens without giving one.
-	StallAfter time.Duration
-	// FreshReport is how old a report's sample may be to count in Pressure.
-	FreshReport time.Duration
-	// MaxStalled is the largest share of a service's upstreams set aside for being
-	// stalled. Without the cap a pause of this node itself would look like a stall of
-	// every upstream, and all work would go to the last one left.
-	MaxStalled float64
+	// StallTimeout is how long requests may await a first token without any progress before
+	// the upstream counts as stalled.
+	StallTimeout time.Duration
+	// MaxReportAge is the oldest sample that counts in Pressure and allows spilling to
+	// another region.
+	MaxReportAge time.Duration
+	// MaxStalledShare is the largest share of a service's upstreams that may be excluded as
+	// stalled. Without the cap a pause of this node would look like a stall of every
+	// upstream, and all requests would go to the last one left.
+	MaxStalledShare float64
 }
 
-// DefaultSettings returns the settings that the experiment of design note 05 favours.
+// DefaultSettings returns the settings that did best in the experiment of design note 05.
 func DefaultSettings() Settings {
 	return Settings{
-		Costs:        score.DefaultCosts(),
-		Choices:      2,
-		Fade:         500 * time.Millisecond,
-		BlockTokens:  64,
-		PrefixMemory: 5 * time.Minute,
-		LinkPenalty:  time.Second,
-		LinkPerToken: time.Microsecond,
-		SlowStart:    10 * time.Second,
-		StallAfter:   3 * time.Second,
-		FreshReport:  5 * time.Second,
-		MaxStalled:   1.0 / 3,
+		Costs:               score.DefaultCosts(),
+		Choices:             2,
+		ReportDecay:         500 * time.Millisecond,
+		BlockTokens:         64,
+		PrefixTTL:           5 * time.Minute,
+		CrossRegionPenalty:  time.Second,
+		CrossRegionPerToken: time.Microsecond,
+		SlowStart:           10 * time.Second,
+		StallTimeout:        3 * time.Second,
+		MaxReportAge:        5 * time.Second,
+		MaxStalledShare:     1.0 / 3,
 	}
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -12,143 +12,143 @@
 
 const (
 	defaultSlots = 16
-	// firstService is the mean time of a request before any is measured.
-	firstService  = 5.0
-	serviceWeight = 0.05
-	paceWeight    = 0.15
-	// paceFade is the time constant with which a pace is forgotten: an upstream that
-	// was slow gets no work, so nothing else would show that it recovered.
-	paceFade    = 30 * time.Second
-	slowestPace = 16.0
-	noHolder    = -1
+	// initialServiceTime is the mean time of a request before any is measured.
+	initialServiceTime = 5.0
+	serviceTimeWeight  = 0.05
+	slowdownWeight     = 0.15
+	// slowdownDecay is the time constant with which a measured slowdown decays: a slow
+	// upstream gets no requests, so nothing else would show that it recovered.
+	slowdownDecay = 30 * time.Second
+	maxSlowdown   = 16.0
+	noCacheID     = -1
 )
 
-// target is what a node knows of one upstream. All fields are safe for concurrent use.
+// target is this node's state of one upstream. All fields are safe for concurrent use.
 type target struct {
 	name  string
 	slots float64
-	// holder is the upstream's number in the prefix index.
-	holder  int
-	since   time.Time
-	breaker *health.Breaker
-	region  *regionLoad
-	// wellness is how the target stands in its service's count of sick ones.
-	wellness atomic.Int32
+	// cacheID is the upstream's number in the prefix index.
+	cacheID    int
+	joined     time.Time
+	breaker    *health.Breaker
+	regionMean *meanLoad
+	// healthState is one of targetHealthy, targetUnhealthy and targetRemoved.
+	healthState atomic.Int32
 
 	requests history
-	// pending counts prompt tokens sent whose first token hasn't come.
+	// pending counts the prompt tokens of requests that await their first token.
 	pending history
-	// owing counts requests whose first token hasn't come.
-	owing    atomic.Int64
-	progress atomic.Int64
+	// awaitingFirstToken counts the requests themselves.
+	awaitingFirstToken atomic.Int64
+	lastProgress       atomic.Int64
 
-	report  atomic.Pointer[heardReport]
-	service average // seconds
-	pace    average // logarithm
-	paceAt  atomic.Int64
+	report      atomic.Pointer[receivedReport]
+	serviceTime ewma // in seconds
+	logSlowdown ewma // natural logarithm
+	slowdownAt  atomic.Int64
 
-	events atomic.Uint64
+	lastEvent atomic.Uint64
 }
 
-// heardReport is a load report with what this node had there at the time of its sample.
-type heardReport struct {
+// receivedReport is a load report with this node's own load at the time of its sample.
+type receivedReport struct {
 	LoadReport
 	sampled     time.Time
 	ownRequests float64
 	ownPending  float64
 }
 
-func newTarget(u *operatorv1.Upstream, holder int, since time.Time, breaker *health.Breaker, region *regionLoad) *target {
-	t := &target{name: u.GetName(), slots: float64(u.GetSlots()), holder: holder, since: since, breaker: breaker, region: region}
+func newTarget(u *operatorv1.Upstream, cacheID int, joined time.Time, breaker *health.Breaker, regionMean *meanLoad) *target {
+	t := &target{name: u.GetName(), slots: float64(u.GetSlots()), cacheID: cacheID, joined: joined, breaker: breaker, regionMean: regionMean}
 	if t.slots == 0 {
 		t.slots = defaultSlots
 	}
-	t.service.store(firstService)
+	t.serviceTime.store(initialServiceTime)
 	return t
 }
 
-func (t *target) hear(report LoadReport, now time.Time) {
+func (t *target) setReport(report LoadReport, now time.Time) {
 	sampled := now.Add(-report.Age)
-	t.report.Store(&heardReport{
+	t.report.Store(&receivedReport{
 		LoadReport:  report,
 		sampled:     sampled,
-		ownRequests: float64(t.requests.at(sampled, now)),
-		ownPending:  float64(t.pending.at(sampled, now)),
+		ownRequests: float64(t.requests.valueAt(sampled, now)),
+		ownPending:  float64(t.pending.valueAt(sampled, now)),
 	})
 }
 
-// foreign returns the requests and pending tokens of other nodes in the latest report.
-func (t *target) foreign() (requests, pending float64, known bool) {
+// otherNodesLoad returns other nodes' requests and pending tokens as of the latest report.
+func (t *target) otherNodesLoad() (requests, pending float64, known bool) {
 	r := t.report.Load()
 	if r == nil {
 		return 0, 0, false
 	}
-	return t.requestLoad(r, 0).Foreign(), t.pendingLoad(r, 0).Foreign(), true
+	return t.requestLoad(r, 0).OtherNodes(), t.pendingLoad(r, 0).OtherNodes(), true
 }
 
-func (t *target) requestLoad(r *heardReport, mean float64) score.Load {
-	l := score.Load{Own: float64(t.requests.now()), Mean: mean}
+func (t *target) requestLoad(r *receivedReport, mean float64) score.Load {
+	l := score.Load{Own: float64(t.requests.value()), MeanOtherNodes: mean}
 	if r != nil {
-		l.OwnThen, l.Reported = r.ownRequests, float64(r.Running+r.Waiting)
+		l.OwnAtSample, l.Reported = r.ownRequests, float64(r.Running+r.Waiting)
 	}
 	return l
 }
 
-func (t *target) pendingLoad(r *heardReport, mean float64) score.Load {
-	l := score.Load{Own: float64(t.pending.now()), Mean: mean}
+func (t *target) pendingLoad(r *receivedReport, mean float64) score.Load {
+	l := score.Load{Own: float64(t.pending.value()), MeanOtherNodes: mean}
 	if r != nil {
-		l.OwnThen, l.Reported = r.ownPending, float64(r.PendingTokens)
+		l.OwnAtSample, l.Reported = r.ownPending, float64(r.PendingTokens)
 	}
 	return l
 }
 
-// stalled tells whether the upstream owes first tokens and has given none for long: it
-// hangs, which its requests' own timeouts would show much later.
-func (t *target) stalled(after time.Duration, now time.Time) bool {
-	return t.owing.Load() > 0 && now.UnixNano()-t.progress.Load() > int64(after)
+// stalled reports whether requests await their first token and the upstream has made no
+// progress for longer than timeout. This detects a hang long before the requests time out.
+func (t *target) stalled(timeout time.Duration, now time.Time) bool {
+	return t.awaitingFirstToken.Load() > 0 && now.UnixNano()-t.lastProgress.Load() > int64(timeout)
 }
 
-// currentPace returns how many times slower than predicted the upstream is.
-func (t *target) currentPace(now time.Time) float64 {
-	if t.pace.load() == 0 {
+// currentSlowdown returns the measured slowdown, decayed toward 1 since the last measurement.
+func (t *target) currentSlowdown(now time.Time) float64 {
+	if t.logSlowdown.load() == 0 {
 		return 1
 	}
-	age := float64(now.UnixNano() - t.paceAt.Load())
-	return math.Exp(t.pace.load() * math.Exp(-age/float64(paceFade)))
+	age := float64(now.UnixNano() - t.slowdownAt.Load())
+	return math.Exp(t.logSlowdown.load() * math.Exp(-age/float64(slowdownDecay)))
 }
 
-func (t *target) learnPace(predicted, took time.Duration, pace float64, now time.Time) {
-	ratio := float64(took) / float64(max(predicted, time.Millisecond)) * pace
-	ratio = min(max(ratio, 1/slowestPace), slowestPace)
-	t.pace.store(math.Log(t.currentPace(now)))
-	t.pace.observe(math.Log(ratio), paceWeight)
-	t.paceAt.Store(now.UnixNano())
+func (t *target) observeSlowdown(predicted, actual time.Duration, slowdown float64, now time.Time) {
+	ratio := float64(actual) / float64(max(predicted, time.Millisecond)) * slowdown
+	ratio = min(max(ratio, 1/maxSlowdown), maxSlowdown)
+	t.logSlowdown.store(math.Log(t.currentSlowdown(now)))
+	t.logSlowdown.observe(math.Log(ratio), slowdownWeight)
+	t.slowdownAt.Store(now.UnixNano())
 }
 
-// holds tells whether the upstream can serve the model asked for. One that doesn't
-// say what it holds is taken to hold it.
-func (t *target) holds(ask *Ask) bool {
+// serves reports whether the upstream has the requested model loaded. An upstream that
+// doesn't report its models is assumed to have it.
+func (t *target) serves(request *Request) bool {
 	r := t.report.Load()
-	if r == nil || len(r.Models) == 0 || ask.Model == "" {
+	if r == nil || len(r.Models) == 0 || request.Model == "" {
 		return true
 	}
 	for i := range r.Models {
-		if r.Models[i].serves(ask) {
+		if r.Models[i].matches(request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *LoadedModel) serves(ask *Ask) bool {
-	if m.Model != ask.Model || (ask.Version != "" && ask.Version != m.Version) {
+func (m *LoadedModel) matches(request *Request) bool {
+	if m.Model != request.Model || (request.Version != "" && request.Version != m.Version) {
 		return false
 	}
-	if ask.Adapter == "" {
+	if request.Adapter == "" {
 		return true
 	}
 	for _, adapter := range m.Adapters {
-		if adapter == ask.Adapter {
+		if adapter == request.Adapter {
 			return true
 		}
 	}
