--- a/shedding/doc.go
+++ b/shedding/doc.go
@@ -1,11 +1,12 @@
-// Package shedding decides which prompts are refused before they are sent anywhere, since
-// upstreams answer too late.
+// Package shedding decides which prompts are rejected before they are sent to an upstream,
+// because upstreams respond too late.
 //
-// The load that it answers is a crowd: more prompts come than engines read, for longer than
-// a queue can even out. Queued, all of them are late, those that can still be served on time
-// too, and the queues outlast the crowd by their length. Refused at once, with a time to
-// return after it, a part gives way and the rest is on time.
+// It handles sustained overload: more prompts arrive than engines can prefill, for longer than
+// a queue can absorb. If all are queued, all are late, including those that could have been
+// served on time, and the queues outlast the overload by their length. If some are rejected
+// immediately with a retry delay, the others are served on time.
 //
-// The evidence is the waits that this node saw itself: of the answers that began lately, and
-// of requests that nothing came back for yet. It needs no speed or size of any upstream.
+// The only input is the waits that this node observed itself: those of recently started
+// responses, and those of requests without any response yet. The speed and size of the
+// upstreams needn't be known.
 package shedding
--- a/shedding/policy_test.go
+++ b/shedding/policy_test.go
@@ -17,22 +17,22 @@
 	return waits
 }
 
-// One upstream of several is late. Refusing for it would turn callers away from the others,
-// which are free.
-func TestOneLateUpstreamRefusesNobody(t *testing.T) {
+// One upstream of several is slow. Rejecting prompts because of it would keep callers from the
+// others, which are free.
+func TestOneSlowUpstreamDoesNotShed(t *testing.T) {
 	is := is.New(t)
-	is.True(DefaultPolicy().Admit(Usual(seconds(9, 0.1, 0.2, 0)), objective, 1))
-	is.True(DefaultPolicy().Admit(Usual(nil), objective, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(seconds(9, 0.1, 0.2, 0)), objective, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(nil), objective, 1))
 }
 
-// Most upstreams are late under a crowd. The later they are, the fewer are let in, and some
-// always are: without them nobody would notice that the crowd is over.
-func TestFewerAreLetInTheLaterUpstreamsAre(t *testing.T) {
+// Most upstreams are slow under overload. The longer the wait, the fewer prompts are admitted, but
+// never none: without any, the node couldn't detect the end of the overload.
+func TestAdmittedShareFallsWithWait(t *testing.T) {
 	is := is.New(t)
 	admitted := func(wait float64) int {
 		n := 0
-		for draw := 0.0; draw < 1; draw += 0.001 {
-			if DefaultPolicy().Admit(Usual(seconds(wait, wait, wait)), objective, draw) {
+		for random := 0.0; random < 1; random += 0.001 {
+			if DefaultPolicy().Admit(MedianWait(seconds(wait, wait, wait)), objective, random) {
 				n++
 			}
 		}
@@ -44,17 +44,17 @@
 	is.True(admitted(4) > 0)
 }
 
-// A thousand callers are refused within a second. Told to return together, they would be the
-// next crowd.
-func TestRefusedCallersReturnSpread(t *testing.T) {
+// A thousand callers are rejected within a second. With the same retry delay, they would cause the
+// next overload.
+func TestRetryDelaysAreSpread(t *testing.T) {
 	is := is.New(t)
 	p := DefaultPolicy()
-	is.Equal(p.Return(0), p.Soonest)
-	is.Equal(p.Return(1)-p.Return(0), p.Spread)
+	is.Equal(p.RetryAfter(0), p.MinRetryDelay)
+	is.Equal(p.RetryAfter(1)-p.RetryAfter(0), p.RetryJitter)
 }
 
-// A route without an objective is never late.
-func TestNoObjectiveRefusesNobody(t *testing.T) {
+// A route without an objective never sheds, however long the waits are.
+func TestNoObjectiveNeverSheds(t *testing.T) {
 	is := is.New(t)
-	is.True(DefaultPolicy().Admit(Usual(seconds(9, 9)), 0, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(seconds(9, 9)), 0, 1))
 }
