--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,6 +1,6 @@
-// Package placement chooses the upstream for a request: filter those that may take it,
-// score each by the time until it would answer, pick the best.
+// Package placement chooses the upstream for a request: filter the eligible ones, score each by
+// its expected time to answer, and pick the best.
 //
-// The decision is pure over a Query and what the node knows of each upstream; it reads
-// no socket and no clock of its own.
+// The decision depends only on a Request and the node's state of each upstream and prompt
+// cache; the package does no I/O and reads no clock.
 package placement
--- a/placement/picker.go
+++ b/placement/picker.go
@@ -11,42 +11,42 @@
 // Picker chooses upstreams. It is safe for concurrent use.
 type Picker struct {
 	settings Settings
-	memory   *Memory
+	cache    *CacheTracker
 	// regions maps each data centre to its region.
 	regions map[string]string
 }
 
 // NewPicker returns a picker; regions maps each data centre to its region.
 func NewPicker(settings Settings, regions map[string]string) *Picker {
-	return &Picker{settings: settings, memory: NewMemory(settings.CacheFor), regions: regions}
+	return &Picker{settings: settings, cache: NewCacheTracker(settings.CacheTTL), regions: regions}
 }
 
-// Choice is a chosen upstream with what decided it, for logs.
-type Choice struct {
+// PickResult is a chosen upstream, with the reasons for the choice for logs.
+type PickResult struct {
 	Upstream *directory.Upstream
-	// Expected is the score: the expected time to the answer.
+	// Expected is the score: the expected time to the answer, penalties included.
 	Expected time.Duration
-	// Unread is how many of the prompt's tokens the upstream probably has to read.
-	Unread int
-	// Candidates is how many upstreams were weighed.
+	// Uncached estimates how many prompt tokens the upstream has to prefill.
+	Uncached int
+	// Candidates is the number of upstreams that were scored.
 	Candidates int
 }
 
-// Pick returns the upstream with the lowest score, or false if there is none. Upstreams
-// that don't answer at all are passed over while another is left.
-func (p *Picker) Pick(q *Query, upstreams []*directory.Upstream) (Choice, bool) {
-	best := Choice{}
+// Pick returns the upstream with the lowest score, or false if there is none. Unreachable
+// upstreams are only used if there is no other.
+func (p *Picker) Pick(r *Request, upstreams []*directory.Upstream) (PickResult, bool) {
+	best := PickResult{}
 	for _, lastResort := range []bool{false, true} {
-		home := p.home(q, upstreams)
+		affinity := p.affinityUpstream(r, upstreams)
 		for _, u := range upstreams {
-			if q.tried(u) || u.Dark(q.Now) != lastResort {
+			if r.wasTried(u) || u.Dark(r.Now) != lastResort {
 				continue
 			}
 			best.Candidates++
-			missing := p.missing(q, u, u == home)
-			if score := p.score(q, u, missing); best.Upstream == nil || score < best.Expected {
+			uncachedShared := p.uncachedShared(r, u, u == affinity)
+			if score := p.score(r, u, uncachedShared); best.Upstream == nil || score < best.Expected {
 				best.Upstream, best.Expected = u, score
-				best.Unread = q.PromptTokens - sharedTokens(q.shared()) + missing
+				best.Uncached = r.PromptTokens - sharedTokens(r.shared()) + uncachedShared
 			}
 		}
 		if best.Upstream != nil {
@@ -56,36 +56,36 @@
 	return best, false
 }
 
-// Observe notes that an upstream read a request's prompt.
-func (p *Picker) Observe(q *Query, u *directory.Upstream) {
-	p.memory.Observe(u.ID, u.Born, q.shared(), q.Now)
+// Observe records that an upstream has prefilled a request's prompt.
+func (p *Picker) Observe(r *Request, u *directory.Upstream) {
+	p.cache.Observe(u.ID, u.Born, r.shared(), r.Now)
 }
 
-// home is the engine that all nodes send a shared prompt to, so that they find it in one
-// engine's memory without telling each other. It is chosen by rendezvous hashing: when an
-// engine comes or goes, only its own prompts move. A long shared prompt has one home in
-// the fleet, a short one a home in each data centre.
-func (p *Picker) home(q *Query, upstreams []*directory.Upstream) *directory.Upstream {
-	shared := q.shared()
+// affinityUpstream returns the engine to which all nodes send a shared prompt, so that it is
+// cached on one engine without coordination. It is chosen by rendezvous hashing: when an engine
+// joins or leaves, only its own prompts move. A long shared prompt has one affinity upstream in
+// the fleet, a short one has one in each data centre.
+func (p *Picker) affinityUpstream(r *Request, upstreams []*directory.Upstream) *directory.Upstream {
+	shared := r.shared()
 	if len(shared) == 0 {
 		return nil
 	}
-	anywhere := sharedTokens(shared) >= p.settings.FleetHome
+	fleetWide := sharedTokens(shared) >= p.settings.FleetAffinityTokens
 	key := shared[len(shared)-1].ID
-	var home *directory.Upstream
-	var top uint64
+	var chosen *directory.Upstream
+	var topRank uint64
 	for _, u := range upstreams {
-		if !anywhere && u.DataCentre != q.DataCentre || u.Dark(q.Now) || u.DoubtedUntil != 0 {
+		if !fleetWide && u.DataCentre != r.DataCentre || u.Dark(r.Now) || u.DoubtedUntil != 0 {
 			continue
 		}
-		if rank := xxhash.Sum64String(key + "\x00" + u.ID); home == nil || rank > top {
-			home, top = u, rank
+		if rank := xxhash.Sum64String(key + "\x00" + u.ID); chosen == nil || rank > topRank {
+			chosen, topRank = u, rank
 		}
 	}
-	return home
+	return chosen
 }
 
-func sharedTokens(parts []Part) int {
+func sharedTokens(parts []PromptPart) int {
 	tokens := 0
 	for _, part := range parts {
 		tokens += part.Tokens
@@ -93,58 +93,57 @@
 	return tokens
 }
 
-// warmupPart divides what is left of an upstream's warm-up into the wait that a request
-// there must expect: one that is warming up works at a half or two thirds of its speed, so
-// a request of some hundred milliseconds loses a small part of the seconds left.
-const warmupPart = 8
+// warmupDivisor converts the remaining warm-up of an upstream into the expected delay of a
+// request: an upstream that is warming up runs at a half to two thirds of its speed, so a
+// request of some hundred milliseconds loses a small part of the remaining seconds.
+const warmupDivisor = 8
 
-func (p *Picker) score(q *Query, u *directory.Upstream, missing int) time.Duration {
+func (p *Picker) score(r *Request, u *directory.Upstream, uncachedShared int) time.Duration {
 	s := &p.settings
-	score := time.Duration(u.Failure(q.Now) * float64(s.Failure))
+	score := time.Duration(u.Failure(r.Now) * float64(s.FailurePenalty))
 	switch {
-	case u.DataCentre == q.DataCentre:
-	case p.regions[u.DataCentre] == q.Region:
+	case u.DataCentre == r.DataCentre:
+	case p.regions[u.DataCentre] == r.Region:
 		score += s.OtherDataCentre
 	default:
 		score += s.OtherRegion
 	}
 	if u.DoubtedUntil != 0 {
-		score += s.Doubted
+		score += s.SuspectPenalty
 	}
-	score += u.Warmup / warmupPart
-	score += p.loadTime(u)
-	// What has been silent for some time will be so for as long again, for all that is known:
-	// a request leaves a dark upstream long before the first of those that wait there is
-	// given up.
-	score += u.Silence(q.Now)
-	return score + p.promptTime(q, u, missing)
+	score += u.Warmup / warmupDivisor
+	score += p.loadDelay(u)
+	// An upstream is expected to stay silent for as long again as it has been. This diverts
+	// requests from a hung upstream long before the first one waiting there is given up.
+	score += u.Silence(r.Now)
+	return score + p.promptDelay(r, u, uncachedShared)
 }
 
-// loadTime is the wait that the upstream's present work adds. Its own figures cover all
-// nodes but are as old as the last answer; this node's open requests are exact, so the
-// larger of the two counts.
-func (p *Picker) loadTime(u *directory.Upstream) time.Duration {
+// loadDelay returns the delay from the upstream's current load. The load it reports covers all
+// nodes but is as old as its last answer; this node's in-flight count is exact, so the larger
+// of the two is used.
+func (p *Picker) loadDelay(u *directory.Upstream) time.Duration {
 	load := u.Load()
 	own := int(u.InFlight.Load())
 	running := max(load.Running, min(own, u.Slots))
 	waiting := max(load.Waiting, own-u.Slots)
-	return time.Duration(running)*p.settings.PerRunning + time.Duration(waiting)*p.settings.PerWaiting
+	return time.Duration(running)*p.settings.PerRunningRequest + time.Duration(waiting)*p.settings.PerWaitingRequest
 }
 
-// missing returns how many shared prompt tokens the upstream probably lacks.
-func (p *Picker) missing(q *Query, u *directory.Upstream, home bool) int {
-	if home || q.PromptTokens == 0 {
+// uncachedShared estimates how many shared prompt tokens the upstream doesn't have cached.
+func (p *Picker) uncachedShared(r *Request, u *directory.Upstream, affinity bool) int {
+	if affinity || r.PromptTokens == 0 {
 		return 0
 	}
-	return sharedTokens(q.shared()) - p.memory.Cached(u.ID, u.Born, q.shared(), q.Now)
+	return sharedTokens(r.shared()) - p.cache.Cached(u.ID, u.Born, r.shared(), r.Now)
 }
 
-// promptTime is the time to read the prompts ahead and what the engine lacks of this one.
-func (p *Picker) promptTime(q *Query, u *directory.Upstream, missing int) time.Duration {
-	if q.PromptTokens == 0 {
+// promptDelay returns the time to prefill the prompts ahead and the uncached part of this one.
+func (p *Picker) promptDelay(r *Request, u *directory.Upstream, uncachedShared int) time.Duration {
+	if r.PromptTokens == 0 {
 		return 0
 	}
-	own := q.PromptTokens - sharedTokens(q.shared())
-	ahead := p.settings.UnseenPrompts * float64(u.PromptInFlight.Load())
-	return time.Duration(float64(p.settings.PerPromptToken)*(ahead+float64(own))) + time.Duration(missing)*p.settings.PerSharedToken
+	own := r.PromptTokens - sharedTokens(r.shared())
+	ahead := p.settings.PendingPromptFactor * float64(u.PromptInFlight.Load())
+	return time.Duration(float64(p.settings.PerPromptToken)*(ahead+float64(own))) + time.Duration(uncachedShared)*p.settings.PerUncachedSharedToken
 }
--- a/placement/picker_test.go
+++ b/placement/picker_test.go
@@ -16,7 +16,7 @@
 	return &directory.Upstream{Entry: directory.Entry{ID: id, Service: "s", DataCentre: dataCentre, Slots: 4, State: directory.Ready}, Stats: &directory.Stats{}}
 }
 
-func nine() []*directory.Upstream {
+func nineUpstreams() []*directory.Upstream {
 	var list []*directory.Upstream
 	for i := range 9 {
 		list = append(list, upstream(fmt.Sprintf("u%d", i), string(rune('a'+i%3))))
@@ -24,93 +24,93 @@
 	return list
 }
 
-func query(dataCentre string, parts ...Part) *Query {
-	q := &Query{Now: time.Hour, DataCentre: dataCentre, Region: regions[dataCentre], Prefix: parts}
+func newRequest(dataCentre string, parts ...PromptPart) *Request {
+	r := &Request{Now: time.Hour, DataCentre: dataCentre, Region: regions[dataCentre], Prefix: parts}
 	for _, p := range parts {
-		q.PromptTokens += p.Tokens
+		r.PromptTokens += p.Tokens
 	}
-	return q
+	return r
 }
 
-func picked(t *testing.T, p *Picker, q *Query, list []*directory.Upstream) *directory.Upstream {
+func mustPick(t *testing.T, p *Picker, r *Request, list []*directory.Upstream) *directory.Upstream {
 	t.Helper()
-	c, ok := p.Pick(q, list)
+	c, ok := p.Pick(r, list)
 	if !ok {
 		t.Fatal("nothing picked")
 	}
 	return c.Upstream
 }
 
-// Nodes of three data centres send prompts that share a long part. Unless they all choose
-// the same engine without asking each other, each reads the part once more.
-func TestLongSharedPromptHasOneHome(t *testing.T) {
+// Nodes of three data centres send prompts that share a long part. Unless all choose the same
+// engine without coordination, each engine chosen prefills the part once more.
+func TestLongSharedPromptUsesOneUpstreamFleetWide(t *testing.T) {
 	is := is.New(t)
-	list := nine()
-	shared, own := Part{"shared", 5_000}, Part{"own", 800}
-	first := picked(t, NewPicker(DefaultSettings(), regions), query("a", shared, own), list)
+	list := nineUpstreams()
+	shared, own := PromptPart{"shared", 5_000}, PromptPart{"own", 800}
+	first := mustPick(t, NewPicker(DefaultSettings(), regions), newRequest("a", shared, own), list)
 	for _, dc := range []string{"b", "c"} {
-		is.Equal(picked(t, NewPicker(DefaultSettings(), regions), query(dc, shared, own), list).ID, first.ID)
+		is.Equal(mustPick(t, NewPicker(DefaultSettings(), regions), newRequest(dc, shared, own), list).ID, first.ID)
 	}
 }
 
-// A short shared part is cheaper to read once more than each request is to carry to
-// another data centre.
-func TestShortPromptStaysNear(t *testing.T) {
+// Prefilling a short shared part once more is cheaper than sending each request to another data
+// centre.
+func TestShortSharedPromptStaysInDataCentre(t *testing.T) {
 	is := is.New(t)
-	is.Equal(picked(t, NewPicker(DefaultSettings(), regions), query("b", Part{"shared", 100}, Part{"own", 50}), nine()).DataCentre, "b")
+	is.Equal(mustPick(t, NewPicker(DefaultSettings(), regions), newRequest("b", PromptPart{"shared", 100}, PromptPart{"own", 50}), nineUpstreams()).DataCentre, "b")
 }
 
-// One subject suddenly gets most of the traffic. Its home engine must not take it all
-// while eight others idle.
-func TestBusyHomeSpills(t *testing.T) {
+// One shared prompt suddenly gets most of the traffic. Its affinity upstream must not get all
+// of it while eight others are idle.
+func TestBusyAffinityUpstreamSpills(t *testing.T) {
 	is := is.New(t)
-	list := nine()
+	list := nineUpstreams()
 	p := NewPicker(DefaultSettings(), regions)
-	q := query("a", Part{"hot", 5_000}, Part{"own", 6_000})
-	home := picked(t, p, q, list)
-	home.PromptInFlight.Add(60_000)
-	is.True(picked(t, p, q, list).ID != home.ID)
+	r := newRequest("a", PromptPart{"hot", 5_000}, PromptPart{"own", 6_000})
+	affinity := mustPick(t, p, r, list)
+	affinity.PromptInFlight.Add(60_000)
+	is.True(mustPick(t, p, r, list).ID != affinity.ID)
 }
 
-// An engine fails some of its requests while its health check is good. After a few
-// failures requests go elsewhere, and after a while it gets another chance.
-func TestFailingUpstreamIsAvoidedForAWhile(t *testing.T) {
+// An engine fails some of its requests while it passes its health check. After failures requests
+// go elsewhere, and after a while the engine is tried again.
+func TestFailingUpstreamIsAvoidedTemporarily(t *testing.T) {
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("bad", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
 	list[0].Fail(time.Hour)
-	is.Equal(picked(t, p, query("a"), list).ID, "far")
-	later := query("a")
+	is.Equal(mustPick(t, p, newRequest("a"), list).ID, "far")
+	later := newRequest("a")
 	later.Now = time.Hour + 30*time.Second
-	is.Equal(picked(t, p, later, list).ID, "bad")
+	is.Equal(mustPick(t, p, later, list).ID, "bad")
 }
 
-// All upstreams of a service look dark, as after a short cut. One is tried all the same:
-// refusing everything would be wrong as soon as one is back.
-func TestDarkUpstreamsAreTheLastResort(t *testing.T) {
+// All upstreams left look unreachable, as after a brief network outage. One is tried nevertheless:
+// refusing requests would be wrong as soon as one has recovered.
+func TestUnreachableUpstreamIsLastResort(t *testing.T) {
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("dark", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
 	list[0].Unreachable(time.Hour)
-	is.Equal(picked(t, p, query("a"), list).ID, "far")
-	q := query("a")
-	q.Tried = []*directory.Upstream{list[1]}
-	is.Equal(picked(t, p, q, list).ID, "dark")
-	q.Tried = list
-	_, ok := p.Pick(q, list)
+	is.Equal(mustPick(t, p, newRequest("a"), list).ID, "far")
+	r := newRequest("a")
+	r.Tried = []*directory.Upstream{list[1]}
+	is.Equal(mustPick(t, p, r, list).ID, "dark")
+	r.Tried = list
+	_, ok := p.Pick(r, list)
 	is.True(!ok)
 }
 
-// BenchmarkPick is the cost of one choice among 140 engines.
+// BenchmarkPick measures one pick among 140 engines.
 func BenchmarkPick(b *testing.B) {
 	var list []*directory.Upstream
 	for i := range 140 {
 		list = append(list, upstream(fmt.Sprintf("u%d", i), string(rune('a'+i%3))))
 	}
 	p := NewPicker(DefaultSettings(), regions)
-	q := query("a", Part{"one", 512}, Part{"two", 4_870}, Part{"own", 6_000})
+	r := newRequest("a", PromptPart{"one", 512}, PromptPart{"two", 4_870}, PromptPart{"own", 6_000})
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Pick(q, list)
+		p.Pick(r, list)
 	}
 }
--- /dev/null
+++ b/placement/request.go
@@ -0,0 +1,43 @@
+package placement
+
+import (
+	"time"
+
+	"lavenderpin.dev/lavenderpin/directory"
+)
+
+// PromptPart is a part of a prompt that several requests may share.
+type PromptPart struct {
+	ID     string
+	Tokens int
+}
+
+// Request describes the request to be placed.
+type Request struct {
+	Now        time.Duration
+	DataCentre string
+	Region     string
+	// PromptTokens is the length of the prompt; zero for plain services.
+	PromptTokens int
+	// Prefix holds the prompt's parts in order. The last one belongs to this request alone.
+	Prefix []PromptPart
+	// Tried are the upstreams that the request was already sent to.
+	Tried []*directory.Upstream
+}
+
+// shared returns the parts that other requests may share.
+func (r *Request) shared() []PromptPart {
+	if len(r.Prefix) < 2 {
+		return nil
+	}
+	return r.Prefix[:len(r.Prefix)-1]
+}
+
+func (r *Request) wasTried(u *directory.Upstream) bool {
+	for _, t := range r.Tried {
+		if t.ID == u.ID {
+			return true
+		}
+	}
+	return false
+}
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// Settings are the weights of a choice. All are times that an upstream's property adds
-// to the expected wait for the answer.
+// Settings are the weights of the score. The durations are what a property of an upstream adds
+// to the expected time to answer.
 type Settings struct {
-	// PerPromptToken is the time to read one prompt token: engines read about 60 a
+	// PerPromptToken is the time to prefill one prompt token: engines prefill about 60 per
 	// millisecond.
 	PerPromptToken time.Duration
-	// UnseenPrompts times the prompt tokens that this node has waiting at an engine are
-	// taken to wait there in all: the other nodes send to it too.
-	UnseenPrompts float64
-	// PerSharedToken is what a shared prompt token costs that is read on a second engine:
-	// ten times its reading. It also takes the memory of other prompts there, and the next
-	// requests of the subject are split between two engines. At four times, a single failed
-	// request moved a prompt of 5,400 shared tokens; a fifth fewer are read again now.
-	PerSharedToken time.Duration
-	// FleetHome is from how many shared tokens on a prompt has one home in the whole
-	// fleet and not one in each data centre. Below it, reading the part once more costs
-	// less than carrying each request to another data centre.
-	FleetHome int
-	// PerRunning is what each running request adds by slowing the batch.
-	PerRunning time.Duration
-	// PerWaiting is what each waiting request adds.
-	PerWaiting time.Duration
-	// OtherDataCentre and OtherRegion are the round trips, raised by what traffic
-	// between places costs against a request's worth.
+	// PendingPromptFactor estimates the total of pending prompt tokens at an engine from those
+	// that this node sent: other nodes send to it too.
+	PendingPromptFactor float64
+	// PerUncachedSharedToken is the cost of prefilling a shared prompt token on a second engine:
+	// ten times the prefill time. It also evicts other prompts from that engine's cache, and
+	// the next requests with this prompt are split between two engines. At four times, a
+	// single failed request moved a prompt of 5,400 shared tokens; at ten times, a fifth fewer
+	// tokens are prefilled again.
+	PerUncachedSharedToken time.Duration
+	// FleetAffinityTokens is the number of shared tokens from which a prompt has one affinity
+	// upstream in the whole fleet instead of one in each data centre. Below it, prefilling the
+	// shared part once more costs less than sending each request to another data centre.
+	FleetAffinityTokens int
+	// PerRunningRequest is the delay from each running request, which slows the batch.
+	PerRunningRequest time.Duration
+	// PerWaitingRequest is the delay from each queued request.
+	PerWaitingRequest time.Duration
+	// OtherDataCentre and OtherRegion are the round-trip times, increased by the cost of the
+	// traffic relative to the value of a request.
 	OtherDataCentre, OtherRegion time.Duration
-	// Failure is what a certain failure costs: the request's objective and more.
-	Failure time.Duration
-	// Doubted sets an upstream back behind all others.
-	Doubted time.Duration
-	// CacheFor is how long a part is believed to stay in an engine's memory after this
-	// node's last request with it there.
-	CacheFor time.Duration
+	// FailurePenalty is the cost of a failure with probability 1. It exceeds the request's
+	// objective.
+	FailurePenalty time.Duration
+	// SuspectPenalty ranks an upstream after all others if its directory entry vanished during
+	// an outage of the store.
+	SuspectPenalty time.Duration
+	// CacheTTL is how long a prompt part is assumed to stay cached on an engine after this
+	// node last sent it there.
+	CacheTTL time.Duration
 }
 
-// DefaultSettings returns the weights described at each field.
+// DefaultSettings returns the default weights.
 func DefaultSettings() Settings {
 	return Settings{
-		PerPromptToken:  16 * time.Microsecond,
-		UnseenPrompts:   2,
-		PerSharedToken:  160 * time.Microsecond,
-		FleetHome:       400,
-		PerRunning:      2 * time.Millisecond,
-		PerWaiting:      40 * time.Millisecond,
-		OtherDataCentre: 15 * time.Millisecond,
-		OtherRegion:     120 * time.Millisecond,
-		Failure:         1500 * time.Millisecond,
-		Doubted:         10 * time.Second,
-		CacheFor:        20 * time.Second,
+		PerPromptToken:         16 * time.Microsecond,
+		PendingPromptFactor:    2,
+		PerUncachedSharedToken: 160 * time.Microsecond,
+		FleetAffinityTokens:    400,
+		PerRunningRequest:      2 * time.Millisecond,
+		PerWaitingRequest:      40 * time.Millisecond,
+		OtherDataCentre:        15 * time.Millisecond,
+		OtherRegion:            120 * time.Millisecond,
+		FailurePenalty:         1500 * time.Millisecond,
+		SuspectPenalty:         10 * time.Second,
+		CacheTTL:               20 * time.Second,
 	}
 }
