--- a/repeats/budget.go
+++ b/repeats/budget.go
@@ -8,75 +8,75 @@
 )
 
 const (
-	// buckets divide the window, so that it slides by a twentieth at a time.
+	// buckets is the number of parts of the window, which slides by one part at a time.
 	buckets = 20
-	// caution is the part of the budget that is used. The rest covers nodes that were
-	// replaced: what a dead node sent again within the window still counts.
-	caution = 0.6
+	// safetyFactor is the fraction of the budget that is used. The rest covers replaced nodes:
+	// the retries of a dead node within the window still count.
+	safetyFactor = 0.6
 )
 
-// Limits are the fleet's budget and this node's part of it.
+// Limits are the limits of the fleet-wide retry budget of a service.
 type Limits struct {
-	// Ratio is the share of a window's requests that may be sent again.
+	// Ratio is the maximum ratio of retries to requests in a window.
 	Ratio float64
-	// Extra is the number of repeats a window that the whole fleet may add.
+	// Extra is the number of additional retries per window for the whole fleet.
 	Extra float64
-	// Window is the length over which both count.
+	// Window is the duration to which both limits apply.
 	Window time.Duration
 }
 
-// Budget counts one service's requests and repeats on this node. It is safe for
-// concurrent use.
+// Budget is this node's retry budget for one service. It counts requests and retries in a
+// sliding window and is safe for concurrent use.
 type Budget struct {
 	limits Limits
 	clock  bootclock.Clock
 
-	mu       sync.Mutex
-	at       int64
-	requests [buckets]float64
-	repeats  [buckets]float64
+	mu            sync.Mutex
+	currentBucket int64
+	requests      [buckets]float64
+	retries       [buckets]float64
 }
 
-// NewBudget returns a budget without history.
+// NewBudget returns a budget with an empty window.
 func NewBudget(limits Limits, clock bootclock.Clock) *Budget {
 	return &Budget{limits: limits, clock: clock}
 }
 
-// Request counts a caller's request.
-func (b *Budget) Request() {
+// RecordRequest counts a request from a caller; retries aren't recorded here.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slide()
-	b.requests[b.at%buckets]++
+	b.advance()
+	b.requests[b.currentBucket%buckets]++
 }
 
-// TryRepeat takes one repeat out; false if the budget is spent. nodes is how many nodes
-// share the fixed number.
-func (b *Budget) TryRepeat(nodes int) bool {
+// TryRetry takes one retry from the budget; it returns false if the budget is exhausted. nodes is
+// the number of nodes that share Limits.Extra.
+func (b *Budget) TryRetry(nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slide()
-	allowed := caution * (b.limits.Ratio*sum(&b.requests) + b.limits.Extra/float64(max(1, nodes)))
-	if sum(&b.repeats)+1 > allowed {
+	b.advance()
+	allowed := safetyFactor * (b.limits.Ratio*sum(&b.requests) + b.limits.Extra/float64(max(1, nodes)))
+	if sum(&b.retries)+1 > allowed {
 		return false
 	}
-	b.repeats[b.at%buckets]++
+	b.retries[b.currentBucket%buckets]++
 	return true
 }
 
-// slide empties the buckets that have left the window. Caller holds mu.
-func (b *Budget) slide() {
+// advance clears the buckets that have left the window. The caller must hold mu.
+func (b *Budget) advance() {
 	now := int64(b.clock.Now() / (b.limits.Window / buckets))
-	for steps := min(now-b.at, buckets); steps > 0; steps-- {
+	for steps := min(now-b.currentBucket, buckets); steps > 0; steps-- {
 		slot := (now - steps + 1) % buckets
-		b.requests[slot], b.repeats[slot] = 0, 0
+		b.requests[slot], b.retries[slot] = 0, 0
 	}
-	b.at = max(b.at, now)
+	b.currentBucket = max(b.currentBucket, now)
 }
 
-func sum(of *[buckets]float64) float64 {
+func sum(values *[buckets]float64) float64 {
 	total := 0.0
-	for _, n := range of {
+	for _, n := range values {
 		total += n
 	}
 	return total
--- a/repeats/budget_test.go
+++ b/repeats/budget_test.go
@@ -12,9 +12,9 @@
 
 var testLimits = Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
 
-// Every engine fails. Without a bound each request would be sent again and again, and
-// the load would double just when there is least to spare.
-func TestRepeatsStayWithinTheFleetsBudget(t *testing.T) {
+// Every engine fails. Without a limit each request would be retried again and again, and the load
+// would double just when capacity is scarcest.
+func TestRetriesStayWithinFleetBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 7
 		clock := &bootclock.Fake{}
@@ -22,25 +22,25 @@
 		for range nodes {
 			budgets = append(budgets, NewBudget(testLimits, clock))
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
-			b.Request()
+			b.RecordRequest()
 			requests = append(requests, clock.Now())
-			for b.TryRepeat(nodes) {
-				repeats = append(repeats, clock.Now())
+			for b.TryRetry(nodes) {
+				retries = append(retries, clock.Now())
 			}
 			from := clock.Now() - testLimits.Window
-			allowed := testLimits.Ratio*float64(after(requests, from)) + testLimits.Extra
-			if got := float64(after(repeats, from)); got > allowed {
-				t.Fatalf("%v repeats in a window that allows %v", got, allowed)
+			allowed := testLimits.Ratio*float64(countAfter(requests, from)) + testLimits.Extra
+			if got := float64(countAfter(retries, from)); got > allowed {
+				t.Fatalf("%v retries in a window that allows %v", got, allowed)
 			}
 		}
 	})
 }
 
-func after(times []time.Duration, from time.Duration) int {
+func countAfter(times []time.Duration, from time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at > from {
@@ -50,14 +50,14 @@
 	return n
 }
 
-// A window without failures must not be lost: the budget is there again after it.
-func TestBudgetComesBack(t *testing.T) {
+// An exhausted budget must be available again after a window without retries.
+func TestBudgetRefillsAfterWindow(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	b := NewBudget(testLimits, clock)
-	for b.TryRepeat(1) {
+	for b.TryRetry(1) {
 	}
-	is.True(!b.TryRepeat(1))
+	is.True(!b.TryRetry(1))
 	clock.Advance(testLimits.Window + time.Second)
-	is.True(b.TryRepeat(1))
+	is.True(b.TryRetry(1))
 }
--- a/repeats/doc.go
+++ b/repeats/doc.go
@@ -1,7 +1,8 @@
-// Package repeats bounds how much load a node adds by sending requests again.
+// Package repeats implements retry budgets, which bound the load that a node adds by retrying
+// requests.
 //
-// All nodes together have one budget a service: in each window a share of the requests
-// for it, plus a fixed number. Each node keeps to the share of its own requests and to
-// an even part of the fixed number, so that the sum holds without the nodes asking each
-// other, also while some of them are cut off.
+// All nodes share one budget per service: in each window a ratio of the requests to the service,
+// plus a fixed number. Each node limits itself to that ratio of its own requests and to an equal
+// part of the fixed number, so that the total holds without coordination, even during a network
+// partition.
 package repeats
