--- a/routing/cache/index.go
+++ b/routing/cache/index.go
@@ -115,10 +115,10 @@
 		}
 		remaining := uint64(0)
 		for w := range matching {
-			still := matching[w] & e.engines[w].Load()
-			setLengths(lengths, w, matching[w]&^still, length)
-			matching[w] = still
-			remaining |= still
+			present := matching[w] & e.engines[w].Load()
+			setLengths(lengths, w, matching[w]&^present, length)
+			matching[w] = present
+			remaining |= present
 		}
 		if remaining == 0 {
 			return
--- a/routing/pick_call.go
+++ b/routing/pick_call.go
@@ -37,9 +37,9 @@
 		return index
 	}
 	for _, requirement := range [...]healthRequirement{requireResponsive, allowStalled, allowUnhealthy} {
-		at := c.scan(requirement)
-		if at >= 0 && !(c.sawStalled && requirement == requireResponsive && c.tooManyStalled()) {
-			return at
+		index := c.scan(requirement)
+		if index >= 0 && !(c.sawStalled && requirement == requireResponsive && c.tooManyStalled()) {
+			return index
 		}
 	}
 	return -1
