--- a/routing/prefix/hash_test.go
+++ b/routing/prefix/hash_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// However a text is cut into pieces, its blocks have the same names.
+// The block hashes of a text don't depend on how it is split into writes.
 func TestHashesDoNotDependOnChunking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Repeat(rapid.StringN(1, 40, 80).Draw(t, "text"), 30)
--- a/routing/score/score_test.go
+++ b/routing/score/score_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Reports stop coming from an engine that was idle. Every node would send it all
-// new work for as long as the old report counts in full.
+// An idle engine stops reporting. If its last report kept its full weight, every node would send
+// it all new requests.
 func TestOldReportDecaysToMean(t *testing.T) {
 	is := is.New(t)
 	l := Load{Own: 1, Reported: 0, MeanOtherNodes: 8}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -9,33 +9,35 @@
 // Settings of a Balancer.
 type Settings struct {
 	Costs score.Costs
-	// Choices is how many random upstreams are compared, beside the one that holds
-	// most of the prompt.
+	// Choices is how many random upstreams are compared, in addition to those with the
+	// longest cached prefix.
 	Choices int
 	// ReportDecay is the time constant with which a load report loses its weight.
 	ReportDecay time.Duration
-	// BlockTokens is the number of prompt tokens in one block of Ask.Prefix.
+	// BlockTokens is the number of prompt tokens in one block of Request.Prefix.
 	BlockTokens int
-	// PrefixTTL is how long a prefix is thought to stay where it was last heard of.
+	// PrefixTTL is how long a prefix is assumed to stay cached after it was last seen.
 	PrefixTTL time.Duration
 	// CrossRegionPenalty is how much sooner an upstream of another region must be expected
-	// to answer to be taken before one of this region.
+	// to answer to be preferred to one of this region.
 	CrossRegionPenalty time.Duration
-	// CrossRegionPerToken is the time that a prompt token takes on the link.
+	// CrossRegionPerToken is the time to send one prompt token over the link.
 	CrossRegionPerToken time.Duration
-	// SlowStart is how long a new upstream is spared.
+	// SlowStart is how long a new upstream gets fewer requests than the others.
 	SlowStart time.Duration
-	// StallTimeout is how long an upstream may owe first tokens without giving one.
+	// StallTimeout is how long requests may await a first token without any progress before
+	// the upstream counts as stalled.
 	StallTimeout time.Duration
-	// MaxReportAge is how old a report's sample may be to count in Pressure.
+	// MaxReportAge is the oldest sample that counts in Pressure and allows spilling to
+	// another region.
 	MaxReportAge time.Duration
-	// MaxStalledShare is the largest share of a service's upstreams set aside for being
-	// stalled. Without the cap a pause of this node itself would look like a stall of
-	// every upstream, and all work would go to the last one left.
+	// MaxStalledShare is the largest share of a service's upstreams that may be excluded as
+	// stalled. Without the cap a pause of this node would look like a stall of every
+	// upstream, and all requests would go to the last one left.
 	MaxStalledShare float64
 }
 
-// DefaultSettings returns the settings that the experiment of design note 05 favours.
+// DefaultSettings returns the settings that did best in the experiment of design note 05.
 func DefaultSettings() Settings {
 	return Settings{
 		Costs:               score.DefaultCosts(),
