--- a/budget/borrower.go
+++ b/budget/borrower.go
@@ -16,41 +16,40 @@
 )
 
 const (
-	// askTimeout bounds one ask of a peer; the link between regions takes 60 ms both ways.
-	askTimeout = 300 * time.Millisecond
-	// settleInterval is the time between two tries to settle a part with a lender
-	// that didn't answer.
-	settleInterval = time.Second
-	// maxParts bounds the parts that wait for their lender, about 4 MB.
-	maxParts = 20_000
+	// peerCallTimeout bounds one call to a peer; the round trip between regions takes 60 ms.
+	peerCallTimeout = 300 * time.Millisecond
+	// settleRetryInterval is the time between attempts to settle a part with an unresponsive
+	// lender.
+	settleRetryInterval = time.Second
+	// maxUnsettledParts bounds the parts not yet settled with their lenders, about 4 MB.
+	maxUnsettledParts = 20_000
 )
 
 // borrowedPart is a part of a request that a peer reserved.
 type borrowedPart struct {
 	id     string
 	lender *recordv1.NodeInfo
-	// request is the lender's id of the part; empty when its answer never came.
-	request string
-	tokens  uint64
-	before  uint64
-	// right bounds how long the lender may spend, on this node's clocks.
+	// request is the lender's request id of the part; empty if its response never arrived.
+	request      string
+	tokens       uint64
+	tokensBefore uint64
+	// right is the lender's right to spend, measured on this node's clocks.
 	right *spendRight
 
 	finished bool
 	used     uint64
 }
 
-// checkRight fails when the lender may not spend any more. Its term is counted
-// from before it was asked, so it ends here before it ends there.
+// checkRight returns an error if the lender's right to spend has lapsed. The term is counted
+// from before the call, so it ends on this node before it ends on the lender.
 func (p *borrowedPart) checkRight() error {
-	if p.right.left() <= 0 {
-		return result.New(result.SpendRightLapsed, "the lender's right to spend has lapsed").After(rightRetry)
+	if p.right.remaining() <= 0 {
+		return result.New(result.SpendRightLapsed, "the lender's right to spend has lapsed").After(spendRightRetryAfter)
 	}
 	return nil
 }
 
-// Borrower asks peers to reserve parts of requests, and settles the parts. It is
-// safe for concurrent use.
+// Borrower requests parts from peers and settles them. It is safe for concurrent use.
 type Borrower struct {
 	incarnation string
 	clock       clockwork.Clock
@@ -71,61 +70,61 @@
 	}
 }
 
-// ask asks one lender for a part. A part whose answer never came may be reserved
-// at the lender all the same, so it is settled at 0 until the lender has said yes.
-func (b *Borrower) ask(ctx context.Context, lender *recordv1.NodeInfo, own *Reservation, tokens, before uint64, number int) (*borrowedPart, error) {
+// requestPart asks one lender to reserve a part. If the response is lost, the lender may have
+// reserved the part all the same, so the part is settled with 0 tokens.
+func (b *Borrower) requestPart(ctx context.Context, lender *recordv1.NodeInfo, own *Reservation, tokens, tokensBefore uint64, number int) (*borrowedPart, error) {
 	part := &borrowedPart{
-		id: own.ID.String() + "/" + strconv.Itoa(number), lender: lender, before: before, right: newSpendRight(b.clock),
+		id: own.ID.String() + "/" + strconv.Itoa(number), lender: lender, tokensBefore: tokensBefore, right: newSpendRight(b.clock),
 	}
-	if !b.keep(part) {
-		return nil, result.New(result.PeerUnreachable, "%d parts wait for their lenders", maxParts)
+	if !b.track(part) {
+		return nil, result.New(result.PeerUnreachable, "%d parts wait for their lenders", maxUnsettledParts)
 	}
-	asked := b.clock.Now()
+	sentAt := b.clock.Now()
 	response, err := b.call(ctx, lender, &fleetv1.Request{Body: &fleetv1.Request_Reserve{Reserve: &fleetv1.Reserve{
-		Budget: own.Budget, Tokens: tokens, Id: part.id, Request: own.ID.String(), Before: before,
+		Budget: own.Budget, Tokens: tokens, Id: part.id, Request: own.ID.String(), Before: tokensBefore,
 	}}})
 	if err != nil {
 		b.finish(part, 0)
 		return nil, result.New(result.PeerUnreachable, "%v", err)
 	}
 	if code := result.Code(response.GetCode()); code != result.OK {
-		b.drop(part)
+		b.untrack(part)
 		return nil, result.New(code, "%s", response.GetMessage())
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	part.tokens = response.GetReserved().GetTokens()
 	part.request = response.GetReserved().GetRequest()
-	part.right.extend(asked.Add(time.Duration(response.GetReserved().GetRightMs()) * time.Millisecond))
+	part.right.extend(sentAt.Add(time.Duration(response.GetReserved().GetRightMs()) * time.Millisecond))
 	b.events.Record(event.PartBorrowed, "request", own.ID, "part", part.request, "tokens", part.tokens, "lender", lender.GetIncarnation())
 	return part, nil
 }
 
 func (b *Borrower) call(ctx context.Context, to *recordv1.NodeInfo, r *fleetv1.Request) (*fleetv1.Response, error) {
-	ctx, cancel := clockwork.WithTimeout(ctx, b.clock, askTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, b.clock, peerCallTimeout)
 	defer cancel()
 	r.From = b.incarnation
 	r.Hlc = uint64(b.events.Clock().Now())
 	return b.caller.Call(ctx, to.GetPeerAddress(), r)
 }
 
-func (b *Borrower) keep(part *borrowedPart) bool {
+func (b *Borrower) track(part *borrowedPart) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.parts) >= maxParts {
+	if len(b.parts) >= maxUnsettledParts {
 		return false
 	}
 	b.parts[part.id] = part
 	return true
 }
 
-func (b *Borrower) drop(part *borrowedPart) {
+func (b *Borrower) untrack(part *borrowedPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.parts, part.id)
 }
 
-// finish notes what a part is billed; Run tells the lender.
+// finish records the tokens billed to a part; Run reports them to the lender.
 func (b *Borrower) finish(part *borrowedPart, used uint64) {
 	b.mu.Lock()
 	part.finished = true
@@ -137,8 +136,8 @@
 	}
 }
 
-// Parts returns how many parts aren't settled with their lenders.
-func (b *Borrower) Parts() int {
+// UnsettledParts returns the number of parts not yet settled with their lenders.
+func (b *Borrower) UnsettledParts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.parts)
@@ -146,7 +145,7 @@
 
 // Run settles finished parts with their lenders until ctx ends.
 func (b *Borrower) Run(ctx context.Context) {
-	ticker := b.clock.NewTicker(settleInterval)
+	ticker := b.clock.NewTicker(settleRetryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -159,8 +158,8 @@
 	}
 }
 
-// settleAll tells each lender, side by side so that one that doesn't answer can't
-// hold up the others.
+// settleAll settles with all lenders in parallel, so that an unresponsive one doesn't delay the
+// others.
 func (b *Borrower) settleAll(ctx context.Context) {
 	var wait sync.WaitGroup
 	for _, parts := range b.finishedByLender() {
@@ -188,11 +187,11 @@
 	return byLender
 }
 
-// settle returns false when the lender didn't answer. A lender that is closed may be
-// alive and settle its own; once it is released its parts were settled by recovery.
+// settle returns false if the lender didn't accept the settlement. A closed lender may be alive
+// and settle its own requests; once it is released, recovery has settled its parts.
 func (b *Borrower) settle(ctx context.Context, part *borrowedPart) bool {
 	if !b.ledger.Known(part.lender.GetIncarnation()) {
-		b.drop(part)
+		b.untrack(part)
 		return true
 	}
 	response, err := b.call(ctx, part.lender, &fleetv1.Request{Body: &fleetv1.Request_Settle{Settle: &fleetv1.Settle{
@@ -201,6 +200,6 @@
 	if err != nil || response.GetCode() != uint32(result.OK) {
 		return false
 	}
-	b.drop(part)
+	b.untrack(part)
 	return true
 }
--- a/budget/doc.go
+++ b/budget/doc.go
@@ -1,13 +1,12 @@
-// Package budget splits prepaid budgets into shares and lets each node incarnation
-// spend only its own.
+// Package budget divides prepaid budgets into shares and lets each node incarnation spend only
+// its own.
 //
-// Ledger is the folded truth: what was prepaid, what no node holds (the pool),
-// what each incarnation was granted and has settled. Holder is one node's own
-// side: it reserves a request's worst case out of the node's shares before
-// dispatch, without a lock or a message, and gives the rest back afterwards.
+// Ledger is the replicated state: what was prepaid, what no node holds (the pool), and what
+// each incarnation was granted and has settled. ShareHolder is the local side of one node: it
+// reserves a request's worst case from the node's shares before dispatch, without a lock or a
+// message, and releases the unused rest afterwards.
 //
-// Invariant: for each budget, prepaid = pool + Σ granted + what incarnations since
-// released spent + what was written off, and each incarnation reserves at most what
-// it was granted. So the spend of the fleet can't exceed
-// what was prepaid, whatever is cut off from whatever.
+// Invariant: for each budget, prepaid = pool + Σ granted + what incarnations since released
+// spent + what was written off, and each incarnation reserves at most what it was granted. So
+// the fleet can't spend more than was prepaid, whatever the network partitions.
 package budget
--- a/budget/grant.go
+++ b/budget/grant.go
@@ -8,55 +8,55 @@
 	fleetv1 "lavenderpin.dev/lavenderpin/api/fleet/v1"
 )
 
-// Grant is a reservation that covers a request, wherever its tokens are held.
+// Grant covers the worst case of one request, on whichever nodes its tokens are reserved.
 type Grant interface {
 	Request() RequestID
-	// Dispatch must be called right before the request is sent to an upstream. It
-	// fails when the right to spend has lapsed since the reservation; nothing may
-	// be sent then.
+	// Dispatch must be called immediately before the request is sent to an upstream. If it
+	// fails, for example because the right to spend has lapsed since the reservation, nothing
+	// may be sent.
 	Dispatch(ctx context.Context, upstream string) error
-	// NotAfter returns when the right that covers the request ends, by the wall clock. It
-	// goes with the request to the upstream: after Dispatch the node may be stopped for
-	// any time before its bytes leave.
+	// NotAfter returns the wall-clock time at which the right covering the request ends. It is
+	// sent with the request to the upstream, because the process may be paused for any time
+	// between Dispatch and the sending of the bytes.
 	NotAfter() time.Time
-	// Progress notes the tokens delivered to the caller so far.
+	// Progress records the number of tokens delivered to the caller so far.
 	Progress(delivered uint64)
-	// Finish bills the tokens used and gives the rest back; only the first call counts.
+	// Finish bills the tokens used and releases the rest; only the first call has an effect.
 	Finish(used uint64)
 }
 
-// Witness is told of requests, so that another node can settle them should this
-// one die.
+// Witness records requests on another node, so that it can settle them if this node dies.
 type Witness interface {
-	// Tell returns once another node remembers the requests, or fails in bounded time.
+	// Tell returns once another node has recorded the requests, or fails in bounded time.
 	Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error
-	// Ended notes that a request is over and how much of it is billed.
+	// Ended records that a request is over and how many tokens it used.
 	Ended(request string, used uint64)
 }
 
-// grant covers a request by a reservation of the node's own share, which may be
-// empty but gives the id, and by parts that peers reserved. Tokens are billed in
-// that order: each part pays what the request used beyond the parts ahead of it.
+// grant covers a request by a reservation from the node's own share, which may be of 0 tokens
+// but provides the id, and by parts reserved on peers. Tokens are billed in that order: each
+// part pays for the use that exceeds the parts before it.
 type grant struct {
-	own       *Reservation
-	parts     []*borrowedPart
-	witness   Witness
-	borrower  *Borrower
-	told      atomic.Bool
-	delivered atomic.Uint64
+	own           *Reservation
+	parts         []*borrowedPart
+	witness       Witness
+	borrower      *Borrower
+	witnessCalled atomic.Bool
+	delivered     atomic.Uint64
 }
 
 // Request implements Grant.
 func (g *grant) Request() RequestID { return g.own.ID }
 
-// Dispatch implements Grant. The right is checked after the witness has answered:
-// checked before, a node paused in between would dispatch long after its close.
+// Dispatch implements Grant. The right is checked again after the witness has answered: with
+// only the earlier check, a node paused in between could dispatch long after its incarnation
+// was closed.
 func (g *grant) Dispatch(ctx context.Context, upstream string) error {
 	if err := g.checkRights(); err != nil {
 		return err
 	}
 	if g.witness != nil {
-		g.told.Store(true)
+		g.witnessCalled.Store(true)
 		if err := g.witness.Tell(ctx, g.openRequests(upstream)...); err != nil {
 			return err
 		}
@@ -76,17 +76,17 @@
 	return nil
 }
 
-// NotAfter implements Grant: the earliest end of the rights that cover the request.
+// NotAfter implements Grant. It returns the earliest end of the rights that cover the request.
 func (g *grant) NotAfter() time.Time {
 	holder := g.own.holder
-	left := holder.RightLeft()
+	remaining := holder.RightRemaining()
 	for _, part := range g.parts {
-		left = min(left, part.right.left())
+		remaining = min(remaining, part.right.remaining())
 	}
-	return holder.clock.Now().Add(left)
+	return holder.clock.Now().Add(remaining)
 }
 
-// openRequests lists the request under each id that it is billed under.
+// openRequests returns the request once for each id under which it is billed.
 func (g *grant) openRequests(upstream string) []*fleetv1.OpenRequest {
 	id := g.own.ID.String()
 	all := []*fleetv1.OpenRequest{{
@@ -96,7 +96,7 @@
 	for _, part := range g.parts {
 		all = append(all, &fleetv1.OpenRequest{
 			Request: part.request, Budget: g.own.Budget, Reserved: part.tokens, Upstream: upstream,
-			Before: part.before, DispatchedAs: id,
+			Before: part.tokensBefore, DispatchedAs: id,
 		})
 	}
 	return all
@@ -111,9 +111,9 @@
 		return
 	}
 	for _, part := range g.parts {
-		g.borrower.finish(part, shareOf(used, part.before, part.tokens))
+		g.borrower.finish(part, billedTokens(used, part.tokensBefore, part.tokens))
 	}
-	if !g.told.Load() {
+	if !g.witnessCalled.Load() {
 		return
 	}
 	g.witness.Ended(g.own.ID.String(), used)
@@ -122,17 +122,17 @@
 	}
 }
 
-// shareOf returns what one part pays of a request: what was used beyond the parts
-// ahead of it, at most what it reserved.
-func shareOf(used, before, reserved uint64) uint64 {
-	if used <= before {
+// billedTokens returns the tokens billed to one part of a request: the use beyond the parts
+// before it, at most what it reserved.
+func billedTokens(used, tokensBefore, reserved uint64) uint64 {
+	if used <= tokensBefore {
 		return 0
 	}
-	return min(used-before, reserved)
+	return min(used-tokensBefore, reserved)
 }
 
-// BilledTo returns what an open request under one id pays once the whole request
-// used so many tokens.
-func BilledTo(open *fleetv1.OpenRequest, used uint64) uint64 {
-	return shareOf(used, open.GetBefore(), open.GetReserved())
+// BilledTokens returns the tokens billed to an open request under its id, given the tokens used
+// by the whole request.
+func BilledTokens(open *fleetv1.OpenRequest, used uint64) uint64 {
+	return billedTokens(used, open.GetBefore(), open.GetReserved())
 }
--- a/budget/holder.go
+++ b/budget/holder.go
@@ -11,103 +11,104 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// rightRetry is when a caller may try again that met a node without a right to spend.
-const rightRetry = 5 * time.Second
+// spendRightRetryAfter is the retry delay given to a caller when this node, or a lender, has no
+// right to spend.
+const spendRightRetryAfter = 5 * time.Second
 
-// Holder is one incarnation's own side of its shares. Reserve and Finish take no
-// lock that requests share; they are safe for concurrent use.
-type Holder struct {
+// ShareHolder manages one incarnation's shares locally. Reserve and Finish take no lock shared
+// between requests; they are safe for concurrent use.
+type ShareHolder struct {
 	incarnation string
 	clock       clockwork.Clock
 	right       *spendRight
 	shares      sync.Map // budget name -> *localShare
 	open        openSet
-	settled     settledQueue
+	settlements settlementQueue
 }
 
-// maxUnsettled bounds the settlements that wait for the log, about 60 MB. A log
-// that is down for hours would otherwise let them grow until the node dies, and
-// with it what they say. Beyond the bound the node refuses with SettlementBacklog.
-const maxUnsettled = 500_000
+// maxPendingSettlements bounds the settlements waiting for the log, about 60 MB. During a log
+// outage of hours they would otherwise grow until the node dies and they are lost. Beyond the
+// bound the node refuses requests with SettlementBacklog.
+const maxPendingSettlements = 500_000
 
-// maxSettlementsPerBatch bounds one log entry.
+// maxSettlementsPerBatch bounds the size of one log entry.
 const maxSettlementsPerBatch = 5_000
 
 // localShare is what the node may still reserve of one budget, in tokens.
 type localShare struct {
 	available atomic.Int64
-	// used counts tokens finished, for sizing policies.
+	// used counts the tokens billed by finished requests, for the sizing policy.
 	used atomic.Int64
 }
 
-// NewHolder returns a holder without shares and without a right to spend.
-func NewHolder(incarnation string, clock clockwork.Clock) *Holder {
-	return &Holder{incarnation: incarnation, clock: clock, right: newSpendRight(clock)}
+// NewShareHolder returns a holder with no shares and no right to spend.
+func NewShareHolder(incarnation string, clock clockwork.Clock) *ShareHolder {
+	return &ShareHolder{incarnation: incarnation, clock: clock, right: newSpendRight(clock)}
 }
 
-// Incarnation returns the incarnation whose shares these are.
-func (h *Holder) Incarnation() string { return h.incarnation }
+// Incarnation returns the incarnation that owns the shares.
+func (h *ShareHolder) Incarnation() string { return h.incarnation }
 
-// ExtendRight lets the incarnation spend until the given moment. The moment must
-// lie a full term after the append of the accepted heartbeat began, never after
-// its answer came: whoever closes the incarnation counts from when it read it.
-func (h *Holder) ExtendRight(until time.Time) { h.right.extend(until) }
+// ExtendRight lets the incarnation spend until the given time. It must be one full term after
+// the append of the accepted heartbeat began, never after its response arrived: whoever closes
+// the incarnation counts from when it read the heartbeat.
+func (h *ShareHolder) ExtendRight(until time.Time) { h.right.extend(until) }
 
-// RightLeft returns how long the incarnation may still spend; not positive when the
+// RightRemaining returns how long the incarnation may still spend; zero or negative once the
 // right has lapsed.
-func (h *Holder) RightLeft() time.Duration { return h.right.left() }
+func (h *ShareHolder) RightRemaining() time.Duration { return h.right.remaining() }
 
-// RevokeRight ends the right for good, for an incarnation that learned that it is closed.
-func (h *Holder) RevokeRight() { h.right.revoke() }
+// RevokeRight ends the right permanently, once the incarnation learns that it is closed.
+func (h *ShareHolder) RevokeRight() { h.right.revoke() }
 
-// checkRight fails when nothing more may be spent.
-func (h *Holder) checkRight() error {
-	if h.RightLeft() <= 0 {
-		return result.New(result.SpendRightLapsed, "the right to spend has lapsed").After(rightRetry)
+// checkRight returns an error if the right to spend has lapsed.
+func (h *ShareHolder) checkRight() error {
+	if h.RightRemaining() <= 0 {
+		return result.New(result.SpendRightLapsed, "the right to spend has lapsed").After(spendRightRetryAfter)
 	}
 	return nil
 }
 
-// admit fails when nothing more may be reserved.
-func (h *Holder) admit() error {
+// checkReserve returns an error if no new reservation is allowed.
+func (h *ShareHolder) checkReserve() error {
 	if err := h.checkRight(); err != nil {
 		return err
 	}
-	if h.settled.len() >= maxUnsettled {
-		return result.New(result.SettlementBacklog, "%d settlements wait for the log", maxUnsettled).After(rightRetry)
+	if h.settlements.len() >= maxPendingSettlements {
+		return result.New(result.SettlementBacklog, "%d settlements wait for the log", maxPendingSettlements).After(spendRightRetryAfter)
 	}
 	return nil
 }
 
-func (h *Holder) share(budget string) *localShare {
-	if held, ok := h.shares.Load(budget); ok {
-		return held.(*localShare)
+func (h *ShareHolder) share(budget string) *localShare {
+	if loaded, ok := h.shares.Load(budget); ok {
+		return loaded.(*localShare)
 	}
-	held, _ := h.shares.LoadOrStore(budget, &localShare{})
-	return held.(*localShare)
+	loaded, _ := h.shares.LoadOrStore(budget, &localShare{})
+	return loaded.(*localShare)
 }
 
 // Credit adds tokens that the log granted or moved to this incarnation.
-func (h *Holder) Credit(budget string, tokens uint64) {
+func (h *ShareHolder) Credit(budget string, tokens uint64) {
 	h.share(budget).available.Add(int64(tokens))
 }
 
-// Debit takes up to tokens out of the unreserved part, to return or move them
-// through the log; it returns how many it took.
-func (h *Holder) Debit(budget string, tokens uint64) uint64 {
+// Debit removes up to tokens from the unreserved part, to return or move them through the log,
+// and returns the number removed.
+func (h *ShareHolder) Debit(budget string, tokens uint64) uint64 {
 	return h.share(budget).take(tokens, true)
 }
 
-// Available returns the tokens of a budget that this node may still reserve.
-func (h *Holder) Available(budget string) uint64 {
+// Available returns the tokens of a budget that this node can still reserve.
+func (h *ShareHolder) Available(budget string) uint64 {
 	return uint64(max(0, h.share(budget).available.Load()))
 }
 
-// Used returns the tokens of a budget finished on this node so far.
-func (h *Holder) Used(budget string) uint64 { return uint64(h.share(budget).used.Load()) }
+// Used returns the tokens of a budget billed on this node so far.
+func (h *ShareHolder) Used(budget string) uint64 { return uint64(h.share(budget).used.Load()) }
 
-// Budgets returns the names of the budgets that this node holds or held a share of.
-func (h *Holder) Budgets() []string {
+// Budgets returns the names of the budgets of which this node holds or has held a share.
+func (h *ShareHolder) Budgets() []string {
 	var names []string
 	h.shares.Range(func(name, _ any) bool {
 		names = append(names, name.(string))
@@ -116,11 +117,11 @@
 	return names
 }
 
-// Reserve takes a request's worst case out of the share. It fails with
-// SpendRightLapsed, or with BudgetSpent when the share is too small: the caller
-// decides whether the fleet can cover it elsewhere.
-func (h *Holder) Reserve(budget string, tokens uint64) (*Reservation, error) {
-	if err := h.admit(); err != nil {
+// Reserve reserves a request's worst case from the share. It fails with SpendRightLapsed, with
+// SettlementBacklog, or with BudgetSpent if the share is too small: the caller decides whether
+// the rest of the fleet can cover the request.
+func (h *ShareHolder) Reserve(budget string, tokens uint64) (*Reservation, error) {
+	if err := h.checkReserve(); err != nil {
 		return nil, err
 	}
 	share := h.share(budget)
@@ -130,9 +131,9 @@
 	return h.open.add(h, share, budget, tokens), nil
 }
 
-// ReservePart is Reserve for as many tokens as the share has, at most tokens.
-func (h *Holder) ReservePart(budget string, tokens uint64) (*Reservation, error) {
-	if err := h.admit(); err != nil {
+// ReserveUpTo is like Reserve but reserves whatever the share has, at most tokens.
+func (h *ShareHolder) ReserveUpTo(budget string, tokens uint64) (*Reservation, error) {
+	if err := h.checkReserve(); err != nil {
 		return nil, err
 	}
 	share := h.share(budget)
@@ -143,53 +144,54 @@
 	return h.open.add(h, share, budget, taken), nil
 }
 
-// take removes tokens from the unreserved part: all, or with partly set as many
-// as there are.
-func (s *localShare) take(tokens uint64, partly bool) uint64 {
+// take removes tokens from the unreserved part: all of them or none, or with allowPartial as
+// many as available. It returns the number removed.
+func (s *localShare) take(tokens uint64, allowPartial bool) uint64 {
 	for {
-		held := s.available.Load()
-		taken := min(int64(tokens), held)
-		if taken <= 0 || (!partly && taken < int64(tokens)) {
+		available := s.available.Load()
+		taken := min(int64(tokens), available)
+		if taken <= 0 || (!allowPartial && taken < int64(tokens)) {
 			return 0
 		}
-		if s.available.CompareAndSwap(held, held-taken) {
+		if s.available.CompareAndSwap(available, available-taken) {
 			return uint64(taken)
 		}
 	}
 }
 
-// ReserveNothing opens a request whose tokens other nodes reserve, to give it an id.
-func (h *Holder) ReserveNothing(budget string) (*Reservation, error) {
-	if err := h.admit(); err != nil {
+// ReserveEmpty opens a reservation of 0 tokens, which gives an id to a request whose tokens are
+// reserved on other nodes.
+func (h *ShareHolder) ReserveEmpty(budget string) (*Reservation, error) {
+	if err := h.checkReserve(); err != nil {
 		return nil, err
 	}
 	return h.open.add(h, h.share(budget), budget, 0), nil
 }
 
-// Settlements returns the settlements finished since the last call, as a log
-// entry; nil when nothing changed. A long queue is returned in several calls.
+// TakeSettlements removes the queued settlements and returns them as a log entry; nil if there
+// are none. A long queue takes several calls.
 //
-// The oldest open counter is read before the settlements are taken: a request
-// leaves the open set only after its settlement is queued, so whatever lies below
-// that counter is in this entry or an earlier one. In the other order the fold
-// would pass a settlement over as already known, and the request would go unbilled.
-// For the same reason a settlement left for the next call counts as open.
-func (h *Holder) Settlements() *recordv1.SettlementBatch {
-	if h.settled.len() == 0 {
+// The oldest open counter is read before the settlements are taken: a request leaves the open
+// set only after its settlement is queued, so everything below that counter is in this entry or
+// an earlier one. In the reverse order the ledger would skip a settlement as already applied,
+// and the request would go unbilled. For the same reason a settlement left for the next call
+// counts as open.
+func (h *ShareHolder) TakeSettlements() *recordv1.SettlementBatch {
+	if h.settlements.len() == 0 {
 		return nil
 	}
 	oldest := h.open.oldest()
-	taken, oldestLeft := h.settled.take(maxSettlementsPerBatch)
+	taken, oldestRemaining := h.settlements.take(maxSettlementsPerBatch)
 	if len(taken) == 0 {
 		return nil
 	}
 	return &recordv1.SettlementBatch{
-		Incarnation: h.incarnation, Settlements: taken, OldestOpen: min(oldest, oldestLeft),
+		Incarnation: h.incarnation, Settlements: taken, OldestOpen: min(oldest, oldestRemaining),
 	}
 }
 
-// Unsettled returns how many settlements wait to be taken.
-func (h *Holder) Unsettled() int { return h.settled.len() }
+// PendingSettlements returns the number of settlements waiting to be taken.
+func (h *ShareHolder) PendingSettlements() int { return h.settlements.len() }
 
-// Open returns how many reservations are neither finished nor cancelled.
-func (h *Holder) Open() int { return h.open.len() }
+// OpenReservations returns the number of reservations neither finished nor cancelled.
+func (h *ShareHolder) OpenReservations() int { return h.open.len() }
--- a/budget/holder_test.go
+++ b/budget/holder_test.go
@@ -12,43 +12,43 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func newTestHolder(tokens uint64) *Holder {
+func newTestHolder(tokens uint64) *ShareHolder {
 	clock := clockwork.NewRealClock()
-	h := NewHolder("n", clock)
+	h := NewShareHolder("n", clock)
 	h.ExtendRight(clock.Now().Add(time.Hour))
 	h.Credit("b", tokens)
 	return h
 }
 
-type accountOp int
+type shareOp int
 
 const (
-	opReserve accountOp = iota
+	opReserve shareOp = iota
 	opFinish
 	opCredit
 	opClose
 )
 
-type accountInput struct {
-	op     accountOp
+type shareInput struct {
+	op     shareOp
 	tokens uint64
-	// reserved is what a finished request had reserved.
+	// reserved is the amount that the finished request had reserved.
 	reserved uint64
 }
 
-type accountState struct {
+type shareState struct {
 	available uint64
 	closed    bool
 }
 
-// accountModel is one share done by one hand: a reservation is refused exactly when
-// too little is available, or after the close. One that passed its look at the right
-// just before the close may still take tokens after it; nothing is sent on it, since
-// Dispatch looks again (TestCutNodeCannotDispatchAfterItsClose in package node).
-var accountModel = porcupine.Model{
-	Init: func() any { return accountState{} },
+// shareModel is the sequential specification of one share: a reservation is refused exactly
+// when too little is available or the right is revoked. One that passed the check of the right
+// just before the revocation may still take tokens after it; nothing is sent on it, since
+// Dispatch checks again (TestCutNodeCannotDispatchAfterItsClose in package node).
+var shareModel = porcupine.Model{
+	Init: func() any { return shareState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, in, code := state.(accountState), input.(accountInput), output.(result.Code)
+		s, in, code := state.(shareState), input.(shareInput), output.(result.Code)
 		switch in.op {
 		case opCredit:
 			s.available += in.tokens
@@ -70,13 +70,13 @@
 	},
 }
 
-type accountHistory struct {
+type shareHistory struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   []porcupine.Operation
 }
 
-func (h *accountHistory) run(client int, in accountInput, call func() result.Code) {
+func (h *shareHistory) run(client int, in shareInput, call func() result.Code) {
 	began := time.Since(h.start).Nanoseconds()
 	code := call()
 	ended := time.Since(h.start).Nanoseconds()
@@ -85,48 +85,48 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: began, Output: code, Return: ended})
 }
 
-// Many requests reserve and finish on one share at once while it is topped up and
-// then closed. Were two of them to take the same tokens, or one to be refused with
-// enough left, no order of the operations would explain the answers.
+// Concurrent requests reserve and finish on one share while it is credited and then closed. If
+// two took the same tokens, or one were refused although enough was left, the history would not
+// be linearizable.
 func TestHolderIsLinearizable(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		h := newTestHolder(0)
-		history := &accountHistory{start: time.Now()}
+		history := &shareHistory{start: time.Now()}
 		var wait sync.WaitGroup
 		for client := range 6 {
-			wait.Go(func() { history.client(h, client) })
+			wait.Go(func() { history.runClient(h, client) })
 		}
 		wait.Wait()
-		is.True(porcupine.CheckOperations(accountModel, history.ops))
+		is.True(porcupine.CheckOperations(shareModel, history.ops))
 	}
 }
 
-func (h *accountHistory) client(holder *Holder, client int) {
+func (h *shareHistory) runClient(holder *ShareHolder, client int) {
 	for i := range 12 {
 		tokens := uint64(10 + 7*client + 3*i)
 		if client == 0 {
-			h.run(client, accountInput{op: opCredit, tokens: tokens}, func() result.Code {
+			h.run(client, shareInput{op: opCredit, tokens: tokens}, func() result.Code {
 				holder.Credit("b", tokens)
 				return result.OK
 			})
 			continue
 		}
 		if client == 1 && i == 11 {
-			h.run(client, accountInput{op: opClose}, func() result.Code {
+			h.run(client, shareInput{op: opClose}, func() result.Code {
 				holder.RevokeRight()
 				return result.OK
 			})
 			continue
 		}
 		var reservation *Reservation
-		h.run(client, accountInput{op: opReserve, tokens: tokens}, func() result.Code {
+		h.run(client, shareInput{op: opReserve, tokens: tokens}, func() result.Code {
 			var err error
 			reservation, err = holder.Reserve("b", tokens)
 			return result.CodeOf(err)
 		})
 		if reservation != nil {
-			h.run(client, accountInput{op: opFinish, tokens: tokens / 2, reserved: tokens}, func() result.Code {
+			h.run(client, shareInput{op: opFinish, tokens: tokens / 2, reserved: tokens}, func() result.Code {
 				reservation.Finish(tokens / 2)
 				return result.OK
 			})
@@ -134,58 +134,58 @@
 	}
 }
 
-// After a long outage more settlements wait than fit into one log entry. Each batch
-// must leave the counters of the rest open, or the fold would take the rest for
-// settled and the account would be billed too little.
-func TestLongQueueOfSettlementsIsBilledWhole(t *testing.T) {
+// After a long outage more settlements are queued than fit into one log entry. Each batch must
+// leave the remaining counters open, or the ledger would treat those requests as settled and
+// the account would be billed too little.
+func TestSettlementBacklogIsBilledInFull(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	n := m.addNode()
-	m.applyTopUp(topUpOf("t", 100_000))
+	m.applyTopUp(newTopUp("t", 100_000))
 	m.claim(n, 100_000)
 	for range 3*maxSettlementsPerBatch + 7 {
 		r, err := n.Reserve("b", 2)
 		is.NoErr(err)
 		r.Finish(2)
 	}
-	for n.Unsettled() > 0 {
+	for n.PendingSettlements() > 0 {
 		m.settle(n, false)
 	}
 	is.Equal(m.ledger.Budget("b").Spent, uint64(2*(3*maxSettlementsPerBatch+7)))
 }
 
-// The log is down for so long that the node can't hold more settlements. It must
-// refuse rather than grow until it dies, and with it what it alone knows.
-func TestFullQueueRefuses(t *testing.T) {
+// During a very long log outage the settlement queue fills up. The node must refuse requests
+// rather than grow until it dies and loses settlements that only it knows.
+func TestFullSettlementQueueRefusesReservations(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(1000)
-	h.settled.count.Store(maxUnsettled)
+	h.settlements.count.Store(maxPendingSettlements)
 	_, err := h.Reserve("b", 1)
 	is.Equal(result.CodeOf(err), result.SettlementBacklog)
 }
 
-// More requests are open at once than the lock-free slots hold. Each must still have
-// its own counter, and the oldest must be known, or settlements would be passed over.
-func TestManyOpenReservations(t *testing.T) {
+// More requests are open at once than there are lock-free slots. Each must still have its own
+// counter, and the oldest counter must be known, or settlements would be skipped.
+func TestMoreOpenReservationsThanSlots(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(1 << 20)
 	var open []*Reservation
 	seen := map[uint64]bool{}
-	for range 3 * openSlots {
+	for range 3 * openSlotCount {
 		r, err := h.Reserve("b", 1)
 		is.NoErr(err)
 		is.True(!seen[r.ID.Counter])
 		seen[r.ID.Counter] = true
 		open = append(open, r)
 	}
-	is.Equal(h.Open(), 3*openSlots)
+	is.Equal(h.OpenReservations(), 3*openSlotCount)
 	for i, r := range open {
 		if i%1000 == 0 {
 			is.Equal(h.open.oldest(), r.ID.Counter)
 		}
 		r.Finish(1)
 	}
-	is.Equal(h.Open(), 0)
+	is.Equal(h.OpenReservations(), 0)
 }
 
 func BenchmarkReserveFinish(b *testing.B) {
@@ -199,17 +199,17 @@
 			}
 			r.Finish(60)
 			if n%1024 == 0 {
-				forgetSettlements(h)
+				discardSettlements(h)
 			}
 		}
 	})
 }
 
-// forgetSettlements empties the queue, which a benchmark fills far faster than a
-// node's writer has to take it.
-func forgetSettlements(h *Holder) {
-	for i := range h.settled.heads {
-		h.settled.heads[i].top.Store(nil)
+// discardSettlements empties the queue, which a benchmark fills far faster than a node's writer
+// drains it.
+func discardSettlements(h *ShareHolder) {
+	for i := range h.settlements.shards {
+		h.settlements.shards[i].top.Store(nil)
 	}
-	h.settled.count.Store(0)
+	h.settlements.count.Store(0)
 }
--- a/budget/incarnation.go
+++ b/budget/incarnation.go
@@ -5,13 +5,13 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// Incarnation is the folded state of one run of a node.
+// Incarnation is the ledger's state of one run of a node.
 type Incarnation struct {
 	Node *recordv1.NodeInfo
-	// Heartbeat is the number of the last heartbeat folded.
+	// Heartbeat is the number of the last heartbeat applied.
 	Heartbeat uint64
-	// RightMS is how long after the start of appending that heartbeat the
-	// incarnation may spend, in milliseconds.
+	// RightMS is how long the incarnation may spend after it began to append that heartbeat, in
+	// milliseconds.
 	RightMS  uint64
 	Draining bool
 	Closed   bool
@@ -19,17 +19,17 @@
 	// Opened and ClosedAt are the log offsets of the first heartbeat and of the close.
 	Opened   uint64
 	ClosedAt uint64
-	// Replaced is set once a later incarnation opened at the same peer address: the
-	// process is gone, and with it what it remembered for others.
+	// Replaced is set once a later incarnation opened at the same peer address: the process is
+	// gone, along with what it recorded for other nodes.
 	Replaced bool
 
 	// OldestOpen is the counter below which every request is settled or void.
 	OldestOpen uint64
-	// Settled holds the counters from OldestOpen on that are settled already.
+	// Settled holds the counters, from OldestOpen on, that are already settled.
 	Settled map[uint64]bool
 }
 
-// ReasonReplaced is why an incarnation was closed whose address another one took.
+// ReasonReplaced is the close reason of an incarnation whose address was taken by another.
 const ReasonReplaced = "replaced at its address"
 
 func (i *Incarnation) close(at fold.Position, reason string) {
@@ -38,7 +38,7 @@
 	i.Reason = reason
 }
 
-func (i *Incarnation) forgetBelow(oldest uint64) {
+func (i *Incarnation) pruneSettled(oldest uint64) {
 	if oldest <= i.OldestOpen {
 		return
 	}
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -9,15 +9,15 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Ledger folds prepaid budgets, shares, incarnations and settlements. One
-// goroutine applies; the reading methods are safe for concurrent use.
+// Ledger applies log entries to the state of prepaid budgets, shares, incarnations and
+// settlements. One goroutine applies; the reading methods are safe for concurrent use.
 type Ledger struct {
 	mu           sync.RWMutex
 	lines        map[string]*Line
 	incarnations map[string]*Incarnation
 	topUps       map[string]foldedTopUp
-	// excess counts tokens settled beyond an incarnation's share. It is 0 unless
-	// a node spent what it didn't own; the checkers assert that.
+	// excess counts tokens settled beyond an incarnation's share. It is 0 unless a node spent
+	// tokens it didn't own; the checkers assert that.
 	excess uint64
 }
 
@@ -50,11 +50,11 @@
 	case *recordv1.Entry_Close:
 		return l.close(at, body.Close), true
 	case *recordv1.Entry_ShareClaim:
-		return l.claim(at, body.ShareClaim), true
+		return l.claimShare(at, body.ShareClaim), true
 	case *recordv1.Entry_ShareReturn:
-		return l.giveBack(at, body.ShareReturn), true
+		return l.returnShare(at, body.ShareReturn), true
 	case *recordv1.Entry_ShareMove:
-		return l.move(at, body.ShareMove), true
+		return l.moveShare(at, body.ShareMove), true
 	case *recordv1.Entry_Settlements:
 		return l.settle(at, body.Settlements), true
 	case *recordv1.Entry_RecoveryDone:
@@ -72,8 +72,8 @@
 	return line
 }
 
-// open returns the writer's incarnation when it may act, else nil.
-func (l *Ledger) open(incarnation string) *Incarnation {
+// openIncarnation returns an incarnation if it is open, else nil.
+func (l *Ledger) openIncarnation(incarnation string) *Incarnation {
 	i := l.incarnations[incarnation]
 	if i == nil || i.Closed {
 		return nil
@@ -81,26 +81,26 @@
 	return i
 }
 
-func (l *Ledger) heartbeat(at fold.Position, beat *recordv1.NodeHeartbeat) fold.Verdict {
-	held := l.incarnations[at.Writer]
+func (l *Ledger) heartbeat(at fold.Position, hb *recordv1.NodeHeartbeat) fold.Verdict {
+	incarnation := l.incarnations[at.Writer]
 	switch {
-	case held == nil && beat.GetNumber() == 1:
-		l.closePredecessor(at, beat.GetNode())
-		held = &Incarnation{Opened: at.Offset, Settled: map[uint64]bool{}}
-		l.incarnations[at.Writer] = held
-	case held == nil || held.Closed:
+	case incarnation == nil && hb.GetNumber() == 1:
+		l.closePredecessor(at, hb.GetNode())
+		incarnation = &Incarnation{Opened: at.Offset, Settled: map[uint64]bool{}}
+		l.incarnations[at.Writer] = incarnation
+	case incarnation == nil || incarnation.Closed:
 		return fold.Refuse(at, result.IncarnationClosed, "the incarnation is closed")
 	}
-	held.Node = beat.GetNode()
-	held.Heartbeat = beat.GetNumber()
-	held.RightMS = beat.GetRightMs()
-	held.Draining = beat.GetDraining()
+	incarnation.Node = hb.GetNode()
+	incarnation.Heartbeat = hb.GetNumber()
+	incarnation.RightMS = hb.GetRightMs()
+	incarnation.Draining = hb.GetDraining()
 	return fold.Accept(at)
 }
 
-// closePredecessor closes an open incarnation at the address that a new one
-// announces. Only one process can hold the address, so the old one is gone; were
-// it left open, its shares would stay frozen until its right to spend ran out.
+// closePredecessor closes any open incarnation at the address that a new one announces. Only
+// one process can hold the address, so the old one is gone; left open, its shares would stay
+// frozen until its right to spend ran out.
 func (l *Ledger) closePredecessor(at fold.Position, node *recordv1.NodeInfo) {
 	for _, i := range l.incarnations {
 		if i.Node.GetPeerAddress() != node.GetPeerAddress() {
@@ -114,7 +114,7 @@
 }
 
 func (l *Ledger) close(at fold.Position, entry *recordv1.IncarnationClose) fold.Verdict {
-	i := l.open(entry.GetIncarnation())
+	i := l.openIncarnation(entry.GetIncarnation())
 	if i == nil {
 		return fold.Refuse(at, result.IncarnationClosed, "the incarnation isn't open")
 	}
@@ -129,8 +129,8 @@
 	return fold.Accept(at)
 }
 
-func (l *Ledger) claim(at fold.Position, entry *recordv1.ShareClaim) fold.Verdict {
-	if l.open(at.Writer) == nil {
+func (l *Ledger) claimShare(at fold.Position, entry *recordv1.ShareClaim) fold.Verdict {
+	if l.openIncarnation(at.Writer) == nil {
 		return fold.Refuse(at, result.IncarnationClosed, "the incarnation isn't open")
 	}
 	line := l.line(entry.GetBudget())
@@ -143,13 +143,13 @@
 	return fold.Verdict{Offset: at.Offset, Tokens: tokens}
 }
 
-func (l *Ledger) giveBack(at fold.Position, entry *recordv1.ShareReturn) fold.Verdict {
-	if l.open(at.Writer) == nil {
+func (l *Ledger) returnShare(at fold.Position, entry *recordv1.ShareReturn) fold.Verdict {
+	if l.openIncarnation(at.Writer) == nil {
 		return fold.Refuse(at, result.IncarnationClosed, "the incarnation isn't open")
 	}
 	line := l.line(entry.GetBudget())
 	share := line.share(at.Writer)
-	if share.Left() < entry.GetTokens() {
+	if share.Remaining() < entry.GetTokens() {
 		return fold.Refuse(at, result.BudgetSpent, "the share is smaller")
 	}
 	share.Granted -= entry.GetTokens()
@@ -157,15 +157,15 @@
 	return fold.Verdict{Offset: at.Offset, Tokens: entry.GetTokens()}
 }
 
-// move needs both ends open. Were it allowed towards a closed incarnation, the
-// tokens would be released with that incarnation and spent by nobody's leave.
-func (l *Ledger) move(at fold.Position, entry *recordv1.ShareMove) fold.Verdict {
-	if l.open(at.Writer) == nil || l.open(entry.GetTo()) == nil {
+// moveShare requires both incarnations to be open. Tokens moved to a closed one would be
+// released with it, and could be spent without authorization.
+func (l *Ledger) moveShare(at fold.Position, entry *recordv1.ShareMove) fold.Verdict {
+	if l.openIncarnation(at.Writer) == nil || l.openIncarnation(entry.GetTo()) == nil {
 		return fold.Refuse(at, result.IncarnationClosed, "giver or receiver isn't open")
 	}
 	line := l.line(entry.GetBudget())
 	giver := line.share(at.Writer)
-	if giver.Left() < entry.GetTokens() {
+	if giver.Remaining() < entry.GetTokens() {
 		return fold.Refuse(at, result.BudgetSpent, "the giver's share is smaller")
 	}
 	giver.Granted -= entry.GetTokens()
@@ -173,42 +173,43 @@
 	return fold.Verdict{Offset: at.Offset, Tokens: entry.GetTokens()}
 }
 
-// recoveryDone ends a closed incarnation. What is left of its shares goes back to
-// the pool or, when nobody could tell what it spent, is written off. The
-// incarnation itself may end its own, once it has settled everything.
+// recoveryDone removes a closed incarnation. The rest of its shares goes back to the pool or,
+// if no node could tell what it spent, is written off. The incarnation may do this for itself
+// once it has settled everything.
 func (l *Ledger) recoveryDone(at fold.Position, entry *recordv1.RecoveryDone) fold.Verdict {
 	own := at.Writer == entry.GetIncarnation()
 	i := l.incarnations[entry.GetIncarnation()]
-	if i == nil || !i.Closed || (!own && l.open(at.Writer) == nil) {
+	if i == nil || !i.Closed || (!own && l.openIncarnation(at.Writer) == nil) {
 		return fold.Refuse(at, result.IncarnationClosed, "nothing to recover")
 	}
 	if entry.GetLost() {
-		return fold.Verdict{Offset: at.Offset, Tokens: l.end(entry.GetIncarnation(), (*Line).writeOff)}
+		return fold.Verdict{Offset: at.Offset, Tokens: l.removeIncarnation(entry.GetIncarnation(), (*Line).writeOff)}
 	}
 	return fold.Verdict{Offset: at.Offset, Tokens: l.release(entry.GetIncarnation())}
 }
 
 func (l *Ledger) release(incarnation string) uint64 {
-	return l.end(incarnation, (*Line).release)
+	return l.removeIncarnation(incarnation, (*Line).release)
 }
 
-// end forgets an incarnation and disposes of what is left of its shares.
-func (l *Ledger) end(incarnation string, dispose func(*Line, uint64)) uint64 {
+// removeIncarnation removes an incarnation, passes what remains of each of its shares to
+// dispose, and returns the total.
+func (l *Ledger) removeIncarnation(incarnation string, dispose func(*Line, uint64)) uint64 {
 	total := uint64(0)
 	for _, line := range l.lines {
 		share := line.Shares[incarnation]
 		if share == nil {
 			continue
 		}
-		dispose(line, share.Left())
-		total += share.Left()
+		dispose(line, share.Remaining())
+		total += share.Remaining()
 		delete(line.Shares, incarnation)
 	}
 	delete(l.incarnations, incarnation)
 	return total
 }
 
-// Budget returns a copy of one budget's state; zero for an unknown budget.
+// Budget returns a copy of one budget's state; empty for an unknown budget.
 func (l *Ledger) Budget(name string) Line {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -230,8 +231,8 @@
 	return lines
 }
 
-// Incarnations returns a copy of the incarnations that aren't released yet, without
-// their lists of settled requests.
+// Incarnations returns a copy of the incarnations not yet released, without their sets of
+// settled requests.
 func (l *Ledger) Incarnations() map[string]Incarnation {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -244,14 +245,14 @@
 	return all
 }
 
-// IsOpen tells whether an incarnation may claim and spend.
+// IsOpen reports whether an incarnation may claim and spend.
 func (l *Ledger) IsOpen(incarnation string) bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.open(incarnation) != nil
+	return l.openIncarnation(incarnation) != nil
 }
 
-// OpenIncarnations returns how many incarnations may claim and spend.
+// OpenIncarnations returns the number of incarnations that may claim and spend.
 func (l *Ledger) OpenIncarnations() int {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -264,15 +265,15 @@
 	return n
 }
 
-// Known tells whether an incarnation is open, or closed and not yet released.
+// Known reports whether an incarnation is open, or closed and not yet released.
 func (l *Ledger) Known(incarnation string) bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.incarnations[incarnation] != nil
 }
 
-// Incarnation returns one incarnation without its list of settled requests; false
-// when it isn't known or is released.
+// Incarnation returns one incarnation without its set of settled requests; false if it is
+// unknown or released.
 func (l *Ledger) Incarnation(incarnation string) (Incarnation, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/budget/ledger_test.go
+++ b/budget/ledger_test.go
@@ -14,9 +14,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// model is a ledger with the real holders of several nodes, and what each request
-// was truly billed. Actions append entries in a generated order; some arrive late,
-// twice or never.
+// model is a ledger with the real share holders of several nodes, and the tokens actually used
+// by each request. Actions append entries in a generated order; some arrive late, twice or
+// never.
 type model struct {
 	ledger  *Ledger
 	offset  uint64
@@ -24,18 +24,18 @@
 	billed  map[string]uint64
 	topUps  []*operatorv1.TopUp
 	prepaid uint64
-	// held back entries arrive in a later action, perhaps twice.
-	held []heldEntry
+	// delayed entries arrive in a later action, possibly twice.
+	delayed []delayedEntry
 }
 
 type modelNode struct {
-	*Holder
-	beats uint64
-	open  []*Reservation
-	dead  bool
+	*ShareHolder
+	heartbeats uint64
+	open       []*Reservation
+	dead       bool
 }
 
-type heldEntry struct {
+type delayedEntry struct {
 	writer string
 	entry  *recordv1.Entry
 }
@@ -50,17 +50,17 @@
 
 func (m *model) addNode() *modelNode {
 	clock := clockwork.NewFakeClock()
-	n := &modelNode{Holder: NewHolder(fmt.Sprint("n", len(m.nodes)), clock)}
+	n := &modelNode{ShareHolder: NewShareHolder(fmt.Sprint("n", len(m.nodes)), clock)}
 	n.ExtendRight(clock.Now().Add(1 << 40))
 	m.nodes = append(m.nodes, n)
-	m.beat(n)
+	m.heartbeat(n)
 	return n
 }
 
-func (m *model) beat(n *modelNode) {
-	n.beats++
+func (m *model) heartbeat(n *modelNode) {
+	n.heartbeats++
 	m.apply(n.Incarnation(), &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{
-		Number: n.beats, Node: &recordv1.NodeInfo{PeerAddress: n.Incarnation()},
+		Number: n.heartbeats, Node: &recordv1.NodeInfo{PeerAddress: n.Incarnation()},
 	}}})
 }
 
@@ -68,10 +68,10 @@
 	return &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}}
 }
 
-func (m *model) check(t *rapid.T) {
+func (m *model) checkInvariants(t *rapid.T) {
 	line := m.ledger.Budget("b")
 	if !line.Conserved() || line.Spent > line.Prepaid || line.Prepaid != m.prepaid {
-		t.Fatalf("ledger doesn't add up: %+v, prepaid %d", line, m.prepaid)
+		t.Fatalf("tokens aren't conserved: %+v, prepaid %d", line, m.prepaid)
 	}
 	if m.ledger.Excess() != 0 {
 		t.Fatalf("settled %d beyond a share", m.ledger.Excess())
@@ -89,11 +89,10 @@
 	return total
 }
 
-// Entries reach the log in any order: settlements late, twice or after a close,
-// claims and moves against a closed node, top-ups repeated. However they come, no
-// token may be in two places and no request may be billed twice; an operator would
-// see an account above its budget.
-func TestLedgerAddsUpInAnyOrder(t *testing.T) {
+// Entries reach the log in any order: settlements late, twice or after a close, claims and
+// moves for a closed node, repeated top-ups. In every order no token may be in two places and
+// no request may be billed twice, or an account would exceed its budget.
+func TestLedgerConservesTokensInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		m.addNode()
@@ -101,9 +100,9 @@
 		node := func(t *rapid.T) *modelNode { return rapid.SampledFrom(m.nodes).Draw(t, "node") }
 		tokens := func(t *rapid.T) uint64 { return rapid.Uint64Range(1, 400).Draw(t, "tokens") }
 		t.Repeat(map[string]func(*rapid.T){
-			"":      m.check,
+			"":      m.checkInvariants,
 			"node":  func(t *rapid.T) { m.limitNodes(t); m.addNode() },
-			"beat":  func(t *rapid.T) { m.beat(node(t)) },
+			"beat":  func(t *rapid.T) { m.heartbeat(node(t)) },
 			"topUp": func(t *rapid.T) { m.topUp(t, tokens(t)) },
 			"topUpAgain": func(t *rapid.T) {
 				if len(m.topUps) > 0 {
@@ -111,18 +110,18 @@
 				}
 			},
 			"claim":   func(t *rapid.T) { m.claim(node(t), tokens(t)) },
-			"return":  func(t *rapid.T) { m.giveBack(node(t), tokens(t)) },
+			"return":  func(t *rapid.T) { m.returnTokens(node(t), tokens(t)) },
 			"move":    func(t *rapid.T) { m.move(node(t), node(t), tokens(t)) },
 			"reserve": func(t *rapid.T) { m.reserve(node(t), tokens(t)) },
 			"finish":  func(t *rapid.T) { m.finish(node(t), tokens(t)) },
 			"settle":  func(t *rapid.T) { m.settle(node(t), rapid.Bool().Draw(t, "late")) },
-			"arrive":  func(t *rapid.T) { m.arrive(t) },
+			"arrive":  func(t *rapid.T) { m.deliverDelayed(t) },
 			"close":   func(t *rapid.T) { m.close(node(t)) },
 			"recover": func(t *rapid.T) { m.recover(node(t), rapid.Bool().Draw(t, "lost")) },
 			"restore": func(t *rapid.T) { m.restore(t) },
 		})
 		m.finishAll()
-		m.check(t)
+		m.checkInvariants(t)
 		if spent := m.ledger.Budget("b").Spent; spent != m.totalBilled() {
 			t.Fatalf("billed %d, requests used %d", spent, m.totalBilled())
 		}
@@ -153,7 +152,7 @@
 	}
 }
 
-func (m *model) giveBack(n *modelNode, tokens uint64) {
+func (m *model) returnTokens(n *modelNode, tokens uint64) {
 	taken := n.Debit("b", tokens)
 	verdict := m.apply(n.Incarnation(), &recordv1.Entry{Body: &recordv1.Entry_ShareReturn{ShareReturn: &recordv1.ShareReturn{Budget: "b", Tokens: taken}}})
 	if !verdict.OK() {
@@ -191,41 +190,41 @@
 }
 
 func (m *model) settle(n *modelNode, late bool) {
-	batch := n.Settlements()
+	batch := n.TakeSettlements()
 	if batch == nil {
 		return
 	}
 	entry := settlementsEntry(batch)
-	if late || m.holdsOf(n) {
-		m.held = append(m.held, heldEntry{n.Incarnation(), entry})
+	if late || m.hasDelayed(n) {
+		m.delayed = append(m.delayed, delayedEntry{n.Incarnation(), entry})
 		return
 	}
 	m.apply(n.Incarnation(), entry)
 }
 
-// holdsOf tells whether an earlier batch of the node is held back. A writer appends
-// its batches in order, so later ones wait behind.
-func (m *model) holdsOf(n *modelNode) bool {
-	for _, held := range m.held {
-		if held.writer == n.Incarnation() {
+// hasDelayed reports whether an earlier batch of the node is delayed. A writer appends its
+// batches in order, so later ones must wait.
+func (m *model) hasDelayed(n *modelNode) bool {
+	for _, delayed := range m.delayed {
+		if delayed.writer == n.Incarnation() {
 			return true
 		}
 	}
 	return false
 }
 
-// arrive lets a held entry in, and sometimes keeps it to come again.
-func (m *model) arrive(t *rapid.T) {
-	if len(m.held) == 0 {
+// deliverDelayed applies the first delayed entry and may keep it for a repeated delivery.
+func (m *model) deliverDelayed(t *rapid.T) {
+	if len(m.delayed) == 0 {
 		return
 	}
-	m.apply(m.held[0].writer, m.held[0].entry)
+	m.apply(m.delayed[0].writer, m.delayed[0].entry)
 	if rapid.Bool().Draw(t, "once") {
-		m.held = m.held[1:]
+		m.delayed = m.delayed[1:]
 	}
 }
 
-// close ends a node: what it reserves afterwards is nobody's.
+// close closes a node's incarnation; the node makes no reservations afterwards.
 func (m *model) close(n *modelNode) {
 	if n.dead || len(m.nodes) < 2 {
 		return
@@ -233,12 +232,12 @@
 	n.dead = true
 	n.RevokeRight()
 	m.apply("another", &recordv1.Entry{Body: &recordv1.Entry_Close{Close: &recordv1.IncarnationClose{
-		Incarnation: n.Incarnation(), LastHeartbeat: n.beats,
+		Incarnation: n.Incarnation(), LastHeartbeat: n.heartbeats,
 	}}})
 }
 
-// recover settles from what a witness knows of a closed node: all that it finished
-// and the worst case of what it had open.
+// recover settles what a witness knows of a closed node: everything it finished and the worst
+// case of its open requests.
 func (m *model) recover(n *modelNode, lost bool) {
 	by := m.nodes[len(m.nodes)-1]
 	if !n.dead || by.dead || !m.ledger.Known(n.Incarnation()) {
@@ -259,34 +258,33 @@
 	}}})
 }
 
-// restore replaces the ledger by one read back from its snapshot.
+// restore replaces the ledger by one restored from its snapshot.
 func (m *model) restore(t *rapid.T) {
 	data, err := m.ledger.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewLedger()
-	if err := again.Restore(data); err != nil {
+	restored := NewLedger()
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	m.ledger = again
+	m.ledger = restored
 }
 
-// finishAll lets everything arrive that is under way; then what was used must be
-// billed to the last token.
+// finishAll delivers all outstanding settlements; afterwards every token used must be billed.
 func (m *model) finishAll() {
 	for _, n := range m.nodes {
 		m.settle(n, true)
 	}
-	for _, held := range m.held {
-		m.apply(held.writer, held.entry)
+	for _, delayed := range m.delayed {
+		m.apply(delayed.writer, delayed.entry)
 	}
 }
 
-// A top-up whose answer was lost is sent again, perhaps years later from the same
-// file. Its tokens must count once, however many top-ups there are; beyond the bound
-// the budget refuses instead of forgetting.
-func TestTopUpsAreBoundedAndNeverForgotten(t *testing.T) {
+// A top-up whose response was lost is sent again, perhaps years later from the same file. Its
+// tokens must count once, however many top-ups there are; beyond the bound the budget refuses
+// top-ups rather than forget ids.
+func TestTopUpsAreBoundedAndDeduplicated(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	for i := range MaxTopUps {
@@ -300,6 +298,6 @@
 	is.Equal(m.ledger.Budget("b").Prepaid, uint64(MaxTopUps))
 }
 
-func topUpOf(id string, tokens uint64) *operatorv1.TopUp {
+func newTopUp(id string, tokens uint64) *operatorv1.TopUp {
 	return &operatorv1.TopUp{Id: id, Budget: "b", Tokens: tokens}
 }
--- a/budget/lender_test.go
+++ b/budget/lender_test.go
@@ -13,7 +13,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func newTestLender(tokens uint64) (*Lender, *Holder) {
+func newTestLender(tokens uint64) (*Lender, *ShareHolder) {
 	m := newModel()
 	m.addNode() // the borrower, n0
 	h := newTestHolder(tokens)
@@ -21,9 +21,9 @@
 	return NewLender(h, m.ledger, events), h
 }
 
-// A borrower's ask gets no answer, so it settles the part at nothing, and the ask
-// arrives after that. Reserved then, the tokens would be out of use for good.
-func TestAskOvertakenByItsSettlement(t *testing.T) {
+// A borrower's Reserve times out, so it settles the part with 0 tokens, and the Reserve arrives
+// after that. If it were honoured, the tokens would be reserved forever.
+func TestReserveAfterSettleIsRefused(t *testing.T) {
 	is := is.New(t)
 	l, h := newTestLender(100)
 	l.Settle("n0.1/0", 0)
@@ -32,9 +32,9 @@
 	is.Equal(h.Available("b"), uint64(100))
 }
 
-// Asks and settlements arrive in any order and several times. Each part must be
-// reserved and billed at most once, and nothing may stay reserved after the end.
-func TestLenderTakesRepetitions(t *testing.T) {
+// Reserve and Settle messages arrive in any order and repeatedly. Each part must be reserved
+// and billed at most once, and nothing may stay reserved at the end.
+func TestLenderIsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, h := newTestLender(1000)
 		billed := map[string]uint64{}
@@ -57,15 +57,15 @@
 		for _, id := range ids {
 			l.Settle(id, 0)
 		}
-		if h.Open() != 0 || h.Available("b")+h.Used("b") != 1000 {
-			t.Fatalf("%d open, %d available, %d used", h.Open(), h.Available("b"), h.Used("b"))
+		if h.OpenReservations() != 0 || h.Available("b")+h.Used("b") != 1000 {
+			t.Fatalf("%d open, %d available, %d used", h.OpenReservations(), h.Available("b"), h.Used("b"))
 		}
 	})
 }
 
-// A request is covered by several parts. Whatever it used, the parts together must
-// pay exactly that, and none more than it reserved.
-func TestPartsPayTheWholeOnce(t *testing.T) {
+// A request is covered by several parts. For any use, the parts together must be billed exactly
+// that, and none more than it reserved.
+func TestPartsAreBilledExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOfN(rapid.Uint64Range(0, 500), 1, 6).Draw(t, "parts")
 		total := uint64(0)
@@ -73,17 +73,17 @@
 			total += p
 		}
 		used := rapid.Uint64Range(0, total).Draw(t, "used")
-		before, paid := uint64(0), uint64(0)
+		tokensBefore, totalBilled := uint64(0), uint64(0)
 		for _, reserved := range parts {
-			pays := shareOf(used, before, reserved)
-			if pays > reserved {
-				t.Fatalf("pays %d of %d", pays, reserved)
+			billed := billedTokens(used, tokensBefore, reserved)
+			if billed > reserved {
+				t.Fatalf("billed %d of %d reserved", billed, reserved)
 			}
-			paid += pays
-			before += reserved
+			totalBilled += billed
+			tokensBefore += reserved
 		}
-		if paid != used {
-			t.Fatalf("paid %d, used %d", paid, used)
+		if totalBilled != used {
+			t.Fatalf("billed %d, used %d", totalBilled, used)
 		}
 	})
 }
--- a/budget/line.go
+++ b/budget/line.go
@@ -1,32 +1,32 @@
 package budget
 
-// Line is the folded state of one budget, in tokens.
+// Line is the ledger's state of one budget, in tokens.
 type Line struct {
 	Budget  string
 	Prepaid uint64
 	// Pool is what no incarnation holds.
 	Pool uint64
-	// Spent is what was settled, by incarnations already released too.
+	// Spent is the total settled, including by incarnations already released.
 	Spent uint64
-	// Shares is what incarnations hold, by incarnation.
+	// Shares maps an incarnation to its share.
 	Shares map[string]*Share
-	// Lost is what was written off: no node could tell whether it was spent.
+	// Lost is the total written off because no node could tell whether it was spent.
 	Lost uint64
-	// TopUps counts the top-ups folded.
+	// TopUps counts the top-ups applied.
 	TopUps uint64
 }
 
-// Remaining is what isn't settled yet: the pool and what incarnations hold.
+// Remaining returns the unsettled tokens: the pool plus what incarnations hold.
 func (l *Line) Remaining() uint64 {
-	left := l.Pool
+	total := l.Pool
 	for _, share := range l.Shares {
-		left += share.Left()
+		total += share.Remaining()
 	}
-	return left
+	return total
 }
 
-// Conserved tells whether every token prepaid is in exactly one place: the pool, a
-// share, spent by an incarnation since released, or written off.
+// Conserved reports whether every prepaid token is in exactly one place: the pool, a share,
+// spent by an incarnation since released, or written off.
 func (l *Line) Conserved() bool {
 	held, spentByHolders := uint64(0), uint64(0)
 	for _, share := range l.Shares {
@@ -43,14 +43,14 @@
 
 func (l *Line) writeOff(tokens uint64) { l.Lost += tokens }
 
-// Share is the folded state of one incarnation's part of a budget, in tokens.
+// Share is the state of one incarnation's part of a budget, in tokens.
 type Share struct {
 	Granted uint64
 	Spent   uint64
 }
 
-// Left is what the incarnation was granted and hasn't settled.
-func (s *Share) Left() uint64 { return s.Granted - s.Spent }
+// Remaining returns the tokens granted to the incarnation that it hasn't settled.
+func (s *Share) Remaining() uint64 { return s.Granted - s.Spent }
 
 func (l *Line) share(incarnation string) *Share {
 	share := l.Shares[incarnation]
--- a/budget/main_test.go
+++ b/budget/main_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMain pins the seed of generated tests, so that CI gives the same verdict on
-// every run; -rapid.seed explores others. It takes long histories: a settlement that
-// comes twice needs seven actions in the right order.
+// TestMain pins the seed of the property tests, so that CI gives the same result on every run;
+// -rapid.seed explores others. It sets long histories: a settlement applied twice needs seven
+// actions in the right order.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/budget/openset.go
+++ b/budget/openset.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	// openSlots is how many reservations are held without a lock; more go to a map.
-	openSlots = 4096
-	// openProbes is how many slots are tried before the map.
-	openProbes = 8
-	// drawing marks a slot whose counter is about to be drawn. Counters start at 2.
-	drawing = 1
+	// openSlotCount is the number of reservations tracked without a lock; more go to a map.
+	openSlotCount = 4096
+	// maxSlotProbes is the number of slots tried before falling back to the map.
+	maxSlotProbes = 8
+	// assigning marks a slot whose counter is about to be assigned. Counters start at 2.
+	assigning = 1
 )
 
-// openSet holds the counters of open reservations. A slot is marked before its
-// counter is drawn, so oldest never misses a counter that was drawn but isn't
-// entered yet: the fold would take such a request for settled.
+// openSet holds the counters of open reservations. A slot is marked before its counter is
+// assigned, so that oldest never misses a counter that is assigned but not yet stored: the
+// ledger would treat such a request as settled.
 type openSet struct {
 	next  atomic.Uint64
-	slots [openSlots]atomic.Uint64
+	slots [openSlotCount]atomic.Uint64
 
 	mu       sync.Mutex
 	overflow map[uint64]struct{}
 }
 
-func (s *openSet) add(h *Holder, share *localShare, budget string, tokens uint64) *Reservation {
+func (s *openSet) add(h *ShareHolder, share *localShare, budget string, tokens uint64) *Reservation {
 	r := &Reservation{Budget: budget, Tokens: tokens, holder: h, share: share}
-	r.slot = s.mark()
+	r.slot = s.acquireSlot()
 	if r.slot == nil {
 		r.ID = RequestID{Incarnation: h.incarnation, Counter: s.addOverflow()}
 		return r
 	}
-	counter := s.next.Add(1) + drawing
+	counter := s.next.Add(1) + assigning
 	r.slot.Store(counter)
 	r.ID = RequestID{Incarnation: h.incarnation, Counter: counter}
 	return r
 }
 
-// mark takes a free slot; nil when none is found soon.
-func (s *openSet) mark() *atomic.Uint64 {
+// acquireSlot marks a free slot and returns it; nil if none is found within maxSlotProbes.
+func (s *openSet) acquireSlot() *atomic.Uint64 {
 	from := rand.Uint32()
-	for probe := range uint32(openProbes) {
-		slot := &s.slots[(from+probe*probe)%openSlots]
-		if slot.Load() == 0 && slot.CompareAndSwap(0, drawing) {
+	for probe := range uint32(maxSlotProbes) {
+		slot := &s.slots[(from+probe*probe)%openSlotCount]
+		if slot.Load() == 0 && slot.CompareAndSwap(0, assigning) {
 			return slot
 		}
 	}
@@ -55,7 +55,7 @@
 func (s *openSet) addOverflow() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counter := s.next.Add(1) + drawing
+	counter := s.next.Add(1) + assigning
 	if s.overflow == nil {
 		s.overflow = map[uint64]struct{}{}
 	}
@@ -73,12 +73,12 @@
 	delete(s.overflow, r.ID.Counter)
 }
 
-// oldest returns the lowest open counter, or the next one to be drawn. The next
-// counter is read first: what is drawn later is higher than the result anyway.
+// oldest returns the lowest open counter, or the next one to be assigned. The next counter is
+// read first: any assigned later is higher than the result anyway.
 func (s *openSet) oldest() uint64 {
-	oldest := s.next.Load() + drawing + 1
+	oldest := s.next.Load() + assigning + 1
 	for i := range s.slots {
-		if counter := s.settledSlot(i); counter != 0 {
+		if counter := s.awaitSlot(i); counter != 0 {
 			oldest = min(oldest, counter)
 		}
 	}
@@ -90,10 +90,10 @@
 	return oldest
 }
 
-// settledSlot returns a slot's counter once it is drawn.
-func (s *openSet) settledSlot(i int) uint64 {
+// awaitSlot returns a slot's counter, waiting while it is being assigned; 0 for a free slot.
+func (s *openSet) awaitSlot(i int) uint64 {
 	for {
-		if counter := s.slots[i].Load(); counter != drawing {
+		if counter := s.slots[i].Load(); counter != assigning {
 			return counter
 		}
 		runtime.Gosched()
--- a/budget/page.go
+++ b/budget/page.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Page returns a copy of the first limit budgets behind the name after, sorted by
-// name, and the name to continue behind; that is empty at the end.
+// Page returns copies of the first limit budgets with names greater than after, sorted by name,
+// and the name from which to continue, which is empty on the last page.
 func (l *Ledger) Page(after string, limit int) (lines []Line, next string) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/budget/page_test.go
+++ b/budget/page_test.go
@@ -10,9 +10,9 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// A fleet holds more budgets than one answer to an operator can carry. Read page by
-// page each must come once, and the last page must say that it is the last.
-func TestPagesHoldEachBudgetOnce(t *testing.T) {
+// A fleet has more budgets than one operator response can carry. Across the pages each budget
+// must appear once, and the last page must say that it is the last.
+func TestPagesListEachBudgetOnce(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	const budgets, limit = 25, 10
--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -17,23 +17,25 @@
 )
 
 const (
-	// claimWait bounds how long a request waits for a claim on the pool.
-	claimWait = 2 * time.Second
-	// maxClaims is how many claims a request waits for: the first may be one that was
-	// under way already, for less than the request needs.
-	maxClaims = 2
-	// borrowRounds is how often the peers are asked in turn. Two nodes that collect
-	// the same last tokens at once each get a part and neither enough; both give
-	// back, wait a random moment and one succeeds.
-	borrowRounds = 3
-	borrowPause  = 20 * time.Millisecond
-	// unreachableRetry is when a caller may try again whose budget is partly out of reach.
-	unreachableRetry = 5 * time.Second
-	// reservedRetry is when a caller may try again whose budget is reserved by others.
-	reservedRetry = 2 * time.Second
+	// claimTimeout bounds how long a request waits for a claim on the pool.
+	claimTimeout = 2 * time.Second
+	// maxClaimWaits is the number of claims a request waits for: the first may be one already
+	// in progress, for less than the request needs.
+	maxClaimWaits = 2
+	// borrowRounds is the number of times all peers are asked. If two nodes collect the same
+	// last tokens at once, each gets a part and neither enough; both give their parts back,
+	// wait a random time, and one succeeds.
+	borrowRounds  = 3
+	borrowBackoff = 20 * time.Millisecond
+	// unreachableRetryAfter is the retry delay given to a caller whose budget is partly
+	// unreachable.
+	unreachableRetryAfter = 5 * time.Second
+	// reservedRetryAfter is the retry delay given to a caller whose budget is reserved by
+	// others.
+	reservedRetryAfter = 2 * time.Second
 )
 
-// Submitter queues an entry for the log; recordlog.Writer is one.
+// Submitter queues an entry for the log. recordlog.Writer implements it.
 type Submitter interface {
 	Submit(entry *recordv1.Entry) *recordlog.Ticket
 }
@@ -41,42 +43,43 @@
 // Peer is another node as the reserver sees it.
 type Peer struct {
 	Node *recordv1.NodeInfo
-	// Near is set for nodes of the own region.
-	Near bool
-	// Suspect is set for nodes that don't answer.
+	// SameRegion is set for nodes of this node's region.
+	SameRegion bool
+	// Suspect is set for unresponsive nodes.
 	Suspect bool
 }
 
-// ReserverConfig is what a Reserver works with.
+// ReserverConfig holds the dependencies and settings of a Reserver.
 type ReserverConfig struct {
-	Holder  *Holder
+	Holder  *ShareHolder
 	Ledger  *Ledger
 	Journal Submitter
 	Events  *event.Recorder
-	// Chunk is the least that is claimed from the pool at a time, in tokens.
-	Chunk uint64
-	// Borrower and Peers reach other nodes' shares; without them only the own share
-	// and the pool are used.
+	// ClaimChunk is the least that a request claims from the pool, in tokens, unless half the
+	// pool is less.
+	ClaimChunk uint64
+	// Borrower and Peers give access to the shares of other nodes; without them only the local
+	// share and the pool are used.
 	Borrower *Borrower
 	Peers    func() []Peer
-	// LogReachable tells whether a claim is likely to be answered; nil means always.
+	// LogReachable reports whether a claim is likely to be answered; nil means always.
 	LogReachable func() bool
-	// Witness is told of each request before dispatch; nil tells nobody.
+	// Witness is told of each request before dispatch; nil disables this.
 	Witness Witness
-	// Stopped is closed when the node ends; nil means never.
+	// Stopped is closed when the node stops; nil means never.
 	Stopped <-chan struct{}
-	// Jitter returns a random duration below d; nil takes the program's source.
+	// Jitter returns a random duration below d; nil means rand.N.
 	Jitter func(d time.Duration) time.Duration
 }
 
-// Reserver covers requests: out of the node's share, else out of the pool, else by
-// parts that peers reserve. It is safe for concurrent use.
+// Reserver reserves tokens for requests: from the node's share, else from the pool, else in
+// parts from peers. It is safe for concurrent use.
 type Reserver struct {
-	c      ReserverConfig
-	demand demandTable
+	config     ReserverConfig
+	shortfalls shortfallTable
 
 	mu sync.Mutex
-	// claims holds the claim under way of each budget, which all requests share.
+	// claims holds the pending claim of each budget, which all requests share.
 	claims map[string]*pendingClaim
 }
 
@@ -85,7 +88,7 @@
 	err  error
 }
 
-// NewReserver returns a reserver over a node's shares.
+// NewReserver returns a reserver for the shares of a node.
 func NewReserver(config ReserverConfig) *Reserver {
 	if config.LogReachable == nil {
 		config.LogReachable = func() bool { return true }
@@ -96,25 +99,25 @@
 	if config.Jitter == nil {
 		config.Jitter = rand.N[time.Duration]
 	}
-	return &Reserver{c: config, claims: map[string]*pendingClaim{}}
+	return &Reserver{config: config, claims: map[string]*pendingClaim{}}
 }
 
-// Reserve takes a request's worst case out of a budget, in tokens. It fails with
-// BudgetSpent, BudgetReserved, BudgetUnreachable, SpendRightLapsed or SettlementBacklog.
+// Reserve reserves a request's worst case from a budget, in tokens. It fails with BudgetSpent,
+// BudgetReserved, BudgetUnreachable, SpendRightLapsed or SettlementBacklog.
 func (r *Reserver) Reserve(ctx context.Context, budget string, tokens uint64) (Grant, error) {
-	own, err := r.c.Holder.Reserve(budget, tokens)
+	own, err := r.config.Holder.Reserve(budget, tokens)
 	if err == nil {
 		return r.grant(own, nil), nil
 	}
 	if result.CodeOf(err) != result.BudgetSpent {
 		return nil, err
 	}
-	r.demand.short(budget, tokens)
-	for range maxClaims {
+	r.shortfalls.add(budget, tokens)
+	for range maxClaimWaits {
 		if !r.claim(ctx, budget, tokens) {
 			break
 		}
-		if own, err := r.c.Holder.Reserve(budget, tokens); err == nil {
+		if own, err := r.config.Holder.Reserve(budget, tokens); err == nil {
 			return r.grant(own, nil), nil
 		}
 	}
@@ -122,18 +125,18 @@
 }
 
 func (r *Reserver) grant(own *Reservation, parts []*borrowedPart) Grant {
-	return &grant{own: own, parts: parts, witness: r.c.Witness, borrower: r.c.Borrower}
+	return &grant{own: own, parts: parts, witness: r.config.Witness, borrower: r.config.Borrower}
 }
 
-// claim asks the pool and returns whether anything was granted. While the log is
-// out of reach it returns at once, so that no request waits for an outage.
+// claim claims from the pool and reports whether anything was granted. While the log is
+// unreachable it returns at once, so that no request waits for the end of an outage.
 func (r *Reserver) claim(ctx context.Context, budget string, tokens uint64) bool {
-	pool := r.c.Ledger.Budget(budget).Pool
-	if pool == 0 || !r.c.LogReachable() {
+	pool := r.config.Ledger.Budget(budget).Pool
+	if pool == 0 || !r.config.LogReachable() {
 		return false
 	}
-	pending := r.startClaim(budget, max(tokens, min(r.c.Chunk, pool/2)))
-	ctx, cancel := clockwork.WithTimeout(ctx, r.c.Holder.clock, claimWait)
+	pending := r.startClaim(budget, max(tokens, min(r.config.ClaimChunk, pool/2)))
+	ctx, cancel := clockwork.WithTimeout(ctx, r.config.Holder.clock, claimTimeout)
 	defer cancel()
 	select {
 	case <-pending.done:
@@ -143,17 +146,17 @@
 	}
 }
 
-// startClaim joins the claim under way or submits one. Were each of a hundred
-// waiting requests to claim for itself, one node would take the whole pool.
+// startClaim joins the pending claim or submits a new one. If each of a hundred waiting
+// requests claimed separately, one node would take the whole pool.
 func (r *Reserver) startClaim(budget string, tokens uint64) *pendingClaim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if held := r.claims[budget]; held != nil {
-		return held
+	if existing := r.claims[budget]; existing != nil {
+		return existing
 	}
 	pending := &pendingClaim{done: make(chan struct{})}
 	r.claims[budget] = pending
-	ticket := r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
+	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
 		ShareClaim: &recordv1.ShareClaim{Budget: budget, Tokens: tokens},
 	}})
 	go func() {
@@ -170,105 +173,105 @@
 	return pending
 }
 
-// verdict waits for the log; false when the node ends first.
+// verdict waits for the verdict on an entry; false if the node stops first.
 func (r *Reserver) verdict(ticket *recordlog.Ticket) (fold.Verdict, bool) {
 	select {
 	case verdict := <-ticket.Done():
 		return verdict, true
-	case <-r.c.Stopped:
+	case <-r.config.Stopped:
 		return fold.Verdict{}, false
 	}
 }
 
-// borrow covers the request by the own share and by parts that peers reserve.
+// borrow covers the request from the local share and from parts reserved by peers.
 func (r *Reserver) borrow(ctx context.Context, budget string, tokens uint64) (Grant, error) {
-	var try borrowTry
+	var attempt borrowAttempt
 	for round := range borrowRounds {
 		if round > 0 {
-			r.pause(ctx)
+			r.backOff(ctx)
 		}
-		try = borrowTry{}
-		own, err := r.ownPart(budget, tokens)
+		attempt = borrowAttempt{}
+		own, err := r.reserveOwnPart(budget, tokens)
 		if err != nil {
 			return nil, err
 		}
-		if r.collect(ctx, own, tokens, &try) {
-			return r.grant(own, try.parts), nil
+		if r.borrowParts(ctx, own, tokens, &attempt) {
+			return r.grant(own, attempt.parts), nil
 		}
-		r.grant(own, try.parts).Finish(0)
-		if try.found == 0 || try.reached == 0 || ctx.Err() != nil {
+		r.grant(own, attempt.parts).Finish(0)
+		if attempt.reserved == 0 || attempt.answered == 0 || ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, r.refusal(budget, tokens, try)
+	return nil, r.refusal(budget, tokens, attempt)
 }
 
-func (r *Reserver) pause(ctx context.Context) {
+func (r *Reserver) backOff(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-r.c.Holder.clock.After(borrowPause + r.c.Jitter(borrowPause)):
+	case <-r.config.Holder.clock.After(borrowBackoff + r.config.Jitter(borrowBackoff)):
 	}
 }
 
-// borrowTry is one round of asking the holders of a budget.
-type borrowTry struct {
+// borrowAttempt is one round of asking the peers that hold a share of a budget.
+type borrowAttempt struct {
 	parts []*borrowedPart
-	// found counts the tokens that holders, this node included, had unreserved.
-	found   uint64
-	reached int
-	missed  int
+	// reserved counts the tokens reserved so far, on this node and its peers.
+	reserved    uint64
+	answered    int
+	unreachable int
 }
 
-func (r *Reserver) ownPart(budget string, tokens uint64) (*Reservation, error) {
-	own, err := r.c.Holder.ReservePart(budget, tokens)
+func (r *Reserver) reserveOwnPart(budget string, tokens uint64) (*Reservation, error) {
+	own, err := r.config.Holder.ReserveUpTo(budget, tokens)
 	if result.CodeOf(err) == result.BudgetSpent {
-		return r.c.Holder.ReserveNothing(budget)
+		return r.config.Holder.ReserveEmpty(budget)
 	}
 	return own, err
 }
 
-// collect asks the holders in turn until the request is covered.
-func (r *Reserver) collect(ctx context.Context, own *Reservation, tokens uint64, try *borrowTry) bool {
-	try.found = own.Tokens
-	if try.found >= tokens {
+// borrowParts asks the lenders in turn until the request is covered.
+func (r *Reserver) borrowParts(ctx context.Context, own *Reservation, tokens uint64, attempt *borrowAttempt) bool {
+	attempt.reserved = own.Tokens
+	if attempt.reserved >= tokens {
 		return true
 	}
 	for number, lender := range r.lenders(own.Budget) {
-		part, err := r.c.Borrower.ask(ctx, lender.Node, own, tokens-try.found, try.found, number)
+		part, err := r.config.Borrower.requestPart(ctx, lender.Node, own, tokens-attempt.reserved, attempt.reserved, number)
 		switch {
 		case result.CodeOf(err) == result.PeerUnreachable:
-			try.missed++
+			attempt.unreachable++
 			continue
 		case err != nil:
-			try.reached++
+			attempt.answered++
 			continue
 		}
-		try.reached++
-		try.parts = append(try.parts, part)
-		try.found += part.tokens
-		if try.found >= tokens {
+		attempt.answered++
+		attempt.parts = append(attempt.parts, part)
+		attempt.reserved += part.tokens
+		if attempt.reserved >= tokens {
 			return true
 		}
 	}
 	return false
 }
 
-// lenders lists the open peers that hold a part of the budget: those that answer
-// first, of these the own region first, of these the largest share first.
+// lenders returns the open peers that hold a share of the budget, sorted: responsive peers
+// first, then those of the same region, then those with the largest shares.
 func (r *Reserver) lenders(budget string) []Peer {
-	if r.c.Borrower == nil {
+	if r.config.Borrower == nil {
 		return nil
 	}
-	line := r.c.Ledger.Budget(budget)
-	left := func(p Peer) uint64 {
+	line := r.config.Ledger.Budget(budget)
+	remaining := func(p Peer) uint64 {
 		if share := line.Shares[p.Node.GetIncarnation()]; share != nil {
-			return share.Left()
+			return share.Remaining()
 		}
 		return 0
 	}
 	var lenders []Peer
-	for _, p := range r.c.Peers() {
-		if left(p) > 0 {
+	for _, p := range r.config.Peers() {
+		if remaining(p) > 0 {
 			lenders = append(lenders, p)
 		}
 	}
@@ -277,45 +280,46 @@
 		switch {
 		case a.Suspect != b.Suspect:
 			return b.Suspect
-		case a.Near != b.Near:
-			return a.Near
+		case a.SameRegion != b.SameRegion:
+			return a.SameRegion
 		}
-		return left(a) > left(b)
+		return remaining(a) > remaining(b)
 	})
 	return lenders
 }
 
-// refusal tells the truth about why the request can't be covered: what is left is
-// too little, is reserved by running requests, or is where it can't be reached.
-func (r *Reserver) refusal(budget string, tokens uint64, try borrowTry) error {
-	line := r.c.Ledger.Budget(budget)
-	open, frozen := r.remainder(line)
+// refusal returns the reason why the request can't be covered: what remains is too little, is
+// reserved by running requests, or is unreachable.
+func (r *Reserver) refusal(budget string, tokens uint64, attempt borrowAttempt) error {
+	line := r.config.Ledger.Budget(budget)
+	open, frozen := r.splitUnsettled(line)
 	switch {
 	case line.Pool+open+frozen < tokens:
 		return result.New(result.BudgetSpent, "budget %s has %d tokens left, the request needs %d", budget, line.Pool+open+frozen, tokens)
-	case try.missed > 0 || !r.c.LogReachable() || frozen > 0 && line.Pool+open < tokens:
-		return result.New(result.BudgetUnreachable, "a part of budget %s can't be reached now", budget).After(unreachableRetry)
+	case attempt.unreachable > 0 || !r.config.LogReachable() || frozen > 0 && line.Pool+open < tokens:
+		return result.New(result.BudgetUnreachable, "a part of budget %s can't be reached now", budget).After(unreachableRetryAfter)
 	default:
-		return result.New(result.BudgetReserved, "what is left of budget %s is reserved by running requests", budget).After(reservedRetry)
+		return result.New(result.BudgetReserved, "what is left of budget %s is reserved by running requests", budget).After(reservedRetryAfter)
 	}
 }
 
-// remainder splits what incarnations hold unsettled into open and frozen ones.
-func (r *Reserver) remainder(line Line) (open, frozen uint64) {
+// splitUnsettled sums the unsettled tokens held by open incarnations and by closed ones, whose
+// shares are frozen.
+func (r *Reserver) splitUnsettled(line Line) (open, frozen uint64) {
 	for incarnation, share := range line.Shares {
-		if r.c.Ledger.IsOpen(incarnation) {
-			open += share.Left()
+		if r.config.Ledger.IsOpen(incarnation) {
+			open += share.Remaining()
 		} else {
-			frozen += share.Left()
+			frozen += share.Remaining()
 		}
 	}
 	return open, frozen
 }
 
-// Folded credits what the log granted or moved to this incarnation. It must be
-// called with each batch in offset order, before tickets get their verdicts.
+// Folded credits tokens that the log granted or moved to this incarnation. It must be called
+// with each batch in offset order, before tickets get their verdicts.
 func (r *Reserver) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
-	own := batch.GetWriter() == r.c.Holder.Incarnation()
+	own := batch.GetWriter() == r.config.Holder.Incarnation()
 	for i, verdict := range verdicts {
 		if !verdict.OK() {
 			continue
@@ -324,13 +328,13 @@
 		if claim := entry.GetShareClaim(); own && claim != nil {
 			r.credit(claim.GetBudget(), verdict.Tokens)
 		}
-		if move := entry.GetShareMove(); move != nil && move.GetTo() == r.c.Holder.Incarnation() {
+		if move := entry.GetShareMove(); move != nil && move.GetTo() == r.config.Holder.Incarnation() {
 			r.credit(move.GetBudget(), verdict.Tokens)
 		}
 	}
 }
 
 func (r *Reserver) credit(budget string, tokens uint64) {
-	r.c.Holder.Credit(budget, tokens)
-	r.c.Events.Record(event.ShareGranted, "budget", budget, "tokens", tokens)
+	r.config.Holder.Credit(budget, tokens)
+	r.config.Events.Record(event.ShareGranted, "budget", budget, "tokens", tokens)
 }
--- a/budget/right.go
+++ b/budget/right.go
@@ -7,12 +7,12 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// spendRight is until when an incarnation may spend. It is safe for concurrent use.
+// spendRight is the time until which an incarnation may spend. It is safe for concurrent use.
 //
-// The right is measured on the monotonic and on the wall clock, and the shorter
-// one counts. The monotonic clock of a suspended machine may stand still: counting
-// on it alone, a machine woken after hours would go on spending shares that the
-// fleet has long given to others. The wall clock alone can be set back.
+// The right is measured on both the monotonic and the wall clock, and the shorter result
+// counts. The monotonic clock of a suspended machine may stand still: with that clock alone, a
+// machine resumed after hours would keep spending shares that the fleet has since given to
+// others. The wall clock alone can be set back.
 type spendRight struct {
 	clock     clockwork.Clock
 	start     time.Time
@@ -28,21 +28,21 @@
 }
 
 func (r *spendRight) extend(until time.Time) {
-	raise(&r.monotonic, int64(until.Sub(r.start)))
-	raise(&r.wall, int64(until.Round(0).Sub(r.startWall)))
+	storeMax(&r.monotonic, int64(until.Sub(r.start)))
+	storeMax(&r.wall, int64(until.Round(0).Sub(r.startWall)))
 }
 
-func raise(held *atomic.Int64, to int64) {
+func storeMax(v *atomic.Int64, value int64) {
 	for {
-		now := held.Load()
-		if to <= now || held.CompareAndSwap(now, to) {
+		current := v.Load()
+		if value <= current || v.CompareAndSwap(current, value) {
 			return
 		}
 	}
 }
 
-// left returns how long the right lasts; not positive once it has lapsed.
-func (r *spendRight) left() time.Duration {
+// remaining returns how long the right lasts; zero or negative once it has lapsed.
+func (r *spendRight) remaining() time.Duration {
 	if r.revoked.Load() {
 		return 0
 	}
@@ -51,6 +51,6 @@
 	return min(monotonic, wall)
 }
 
-// revoke ends the right for good. A heartbeat verdict that arrives later must not
-// bring it back, hence the flag.
+// revoke ends the right permanently. It sets a flag because a heartbeat verdict that arrives
+// later must not restore the right.
 func (r *spendRight) revoke() { r.revoked.Store(true) }
--- a/budget/settlement.go
+++ b/budget/settlement.go
@@ -9,7 +9,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// RequestID names a request: the incarnation that accounts for it and a counter.
+// RequestID identifies a request by the incarnation that accounts for it and a counter.
 type RequestID struct {
 	Incarnation string
 	Counter     uint64
@@ -20,7 +20,7 @@
 	return r.Incarnation + "." + strconv.FormatUint(r.Counter, 10)
 }
 
-// ParseRequestID reads what String returned; false when it isn't one.
+// ParseRequestID parses the result of String; false if the text isn't a request id.
 func ParseRequestID(text string) (RequestID, bool) {
 	dot := strings.LastIndexByte(text, '.')
 	if dot <= 0 {
@@ -33,17 +33,17 @@
 	return RequestID{Incarnation: text[:dot], Counter: counter}, true
 }
 
-// settle bills requests. A request that is settled already is passed over: its own node,
-// witnesses and whoever recovers may all settle it, which would show as one request
-// billed twice. While the incarnation is open, others settle only what it told them to
-// be finished, so whoever comes first writes the same figure.
+// settle bills requests. Requests already settled are skipped: a request's own node, its
+// witnesses and a recovering node may all settle it, and it would be billed more than once.
+// While the incarnation is open, other nodes settle only requests it reported as finished, so
+// all report the same amount.
 func (l *Ledger) settle(at fold.Position, batch *recordv1.SettlementBatch) fold.Verdict {
 	i := l.incarnations[batch.GetIncarnation()]
 	if i == nil {
 		return fold.Refuse(at, result.IncarnationClosed, "the incarnation's shares are released")
 	}
 	own := at.Writer == batch.GetIncarnation()
-	if !own && !i.Closed && l.open(at.Writer) == nil {
+	if !own && !i.Closed && l.openIncarnation(at.Writer) == nil {
 		return fold.Refuse(at, result.NotHolder, "only open incarnations settle for one that is open")
 	}
 	billed := uint64(0)
@@ -51,7 +51,7 @@
 		billed += l.settleOne(batch.GetIncarnation(), i, s)
 	}
 	if own {
-		i.forgetBelow(batch.GetOldestOpen())
+		i.pruneSettled(batch.GetOldestOpen())
 	}
 	return fold.Verdict{Offset: at.Offset, Tokens: billed}
 }
@@ -64,7 +64,7 @@
 	i.Settled[id.Counter] = true
 	line := l.line(s.GetBudget())
 	share := line.share(incarnation)
-	tokens := min(s.GetTokens(), share.Left())
+	tokens := min(s.GetTokens(), share.Remaining())
 	l.excess += s.GetTokens() - tokens
 	share.Spent += tokens
 	line.Spent += tokens
--- a/budget/sizer.go
+++ b/budget/sizer.go
@@ -14,129 +14,129 @@
 	"lavenderpin.dev/lavenderpin/recordlog"
 )
 
-// sizingInterval is the time between two looks at the shares.
+// sizingInterval is the time between sizing steps.
 const sizingInterval = time.Second
 
-// Sizer moves tokens between the node's shares, the pool and peers, through the
-// log, as SizeShare decides.
+// Sizer transfers tokens between the node's shares, the pool and peers through the log, as
+// decided by SizeShare.
 type Sizer struct {
 	policy   Policy
 	reserver *Reserver
 	states   map[string]*SizingState
 }
 
-// NewSizer returns a sizer for a reserver's shares.
+// NewSizer returns a sizer for the shares of a reserver.
 func NewSizer(policy Policy, reserver *Reserver) *Sizer {
 	return &Sizer{policy: policy, reserver: reserver, states: map[string]*SizingState{}}
 }
 
-// Run works until ctx ends.
+// Run sizes the shares periodically until ctx ends.
 func (s *Sizer) Run(ctx context.Context) {
-	periodic.Run(ctx, s.reserver.c.Holder.clock, sizingInterval, s.Step)
+	periodic.Run(ctx, s.reserver.config.Holder.clock, sizingInterval, s.Step)
 }
 
-// Step looks at all budgets once. While the log is out of reach nothing can move,
-// and entries queued then would move tokens long after they were wanted.
+// Step sizes all shares once. It does nothing while the log is unreachable: entries queued then
+// would transfer tokens long after they were needed.
 func (s *Sizer) Step(ctx context.Context) {
 	r := s.reserver
-	lacks := r.demand.take()
-	if !r.c.LogReachable() || r.c.Holder.RightLeft() <= 0 {
+	shortfalls := r.shortfalls.take()
+	if !r.config.LogReachable() || r.config.Holder.RightRemaining() <= 0 {
 		return
 	}
-	for _, name := range r.c.Holder.Budgets() {
+	for _, name := range r.config.Holder.Budgets() {
 		state := s.states[name]
 		if state == nil {
 			state = &SizingState{}
 			s.states[name] = state
 		}
-		s.act(ctx, SizeShare(s.policy, state, s.look(name, lacks[name]), r.c.Holder.clock.Now()))
+		s.execute(ctx, SizeShare(s.policy, state, s.input(name, shortfalls[name]), r.config.Holder.clock.Now()))
 	}
 }
 
-func (s *Sizer) look(name string, lacked uint64) BudgetDemand {
+func (s *Sizer) input(name string, shortfall uint64) SizingInput {
 	r := s.reserver
-	line := r.c.Ledger.Budget(name)
-	return BudgetDemand{
-		Budget: name, Available: r.c.Holder.Available(name), Used: r.c.Holder.Used(name), Lacked: lacked,
-		Pool: line.Pool, Remaining: line.Remaining(), Nodes: 1 + len(r.c.Peers()),
+	line := r.config.Ledger.Budget(name)
+	return SizingInput{
+		Budget: name, Available: r.config.Holder.Available(name), Used: r.config.Holder.Used(name), Shortfall: shortfall,
+		Pool: line.Pool, Remaining: line.Remaining(), Nodes: 1 + len(r.config.Peers()),
 	}
 }
 
-func (s *Sizer) act(ctx context.Context, action SizingAction) {
+func (s *Sizer) execute(ctx context.Context, action SizingAction) {
 	switch {
 	case action.Claim > 0:
 		s.reserver.startClaim(action.Budget, action.Claim)
 	case action.Return > 0:
-		s.reserver.giveBack(action.Budget, action.Return)
+		s.reserver.returnTokens(action.Budget, action.Return)
 	case action.Ask > 0:
-		s.ask(ctx, action.Budget, action.Ask)
+		s.askPeer(ctx, action.Budget, action.Ask)
 	}
 }
 
-// ask asks the peer that holds most to move a part of its share here.
-func (s *Sizer) ask(ctx context.Context, budget string, tokens uint64) {
+// askPeer asks the first of the lenders to move part of its share to this node.
+func (s *Sizer) askPeer(ctx context.Context, budget string, tokens uint64) {
 	r := s.reserver
 	lenders := r.lenders(budget)
 	if len(lenders) == 0 {
 		return
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, r.c.Holder.clock, askTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, r.config.Holder.clock, peerCallTimeout)
 	defer cancel()
-	_, _ = r.c.Borrower.call(ctx, lenders[0].Node, &fleetv1.Request{Body: &fleetv1.Request_ShareAsk{
+	_, _ = r.config.Borrower.call(ctx, lenders[0].Node, &fleetv1.Request{Body: &fleetv1.Request_ShareAsk{
 		ShareAsk: &fleetv1.ShareAsk{Budget: budget, Tokens: tokens},
 	}})
 }
 
-// giveBack returns tokens to the pool. They are taken out of the share first, so
-// nobody reserves what is on its way.
-func (r *Reserver) giveBack(budget string, tokens uint64) {
-	taken := r.c.Holder.Debit(budget, tokens)
+// returnTokens returns tokens to the pool. They leave the local share first, so that no request
+// reserves tokens in transit.
+func (r *Reserver) returnTokens(budget string, tokens uint64) {
+	taken := r.config.Holder.Debit(budget, tokens)
 	if taken == 0 {
 		return
 	}
-	ticket := r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareReturn{
+	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareReturn{
 		ShareReturn: &recordv1.ShareReturn{Budget: budget, Tokens: taken},
 	}})
-	go r.creditRefused(ticket, budget, taken, event.ShareReturned)
+	go r.awaitTransfer(ticket, budget, taken, event.ShareReturned)
 }
 
-// Move answers a peer's ask: up to half of what is unreserved here moves to it.
-func (r *Reserver) Move(to string, ask *fleetv1.ShareAsk) *fleetv1.ShareAnswer {
+// MoveShare handles a peer's ShareAsk: at most half of the unreserved tokens move to the peer.
+func (r *Reserver) MoveShare(to string, ask *fleetv1.ShareAsk) *fleetv1.ShareAnswer {
 	budget := ask.GetBudget()
-	tokens := min(ask.GetTokens(), r.c.Holder.Available(budget)/2)
-	if tokens == 0 || !r.c.Ledger.IsOpen(to) {
-		return &fleetv1.ShareAnswer{Left: r.c.Holder.Available(budget)}
+	tokens := min(ask.GetTokens(), r.config.Holder.Available(budget)/2)
+	if tokens == 0 || !r.config.Ledger.IsOpen(to) {
+		return &fleetv1.ShareAnswer{Left: r.config.Holder.Available(budget)}
 	}
-	taken := r.c.Holder.Debit(budget, tokens)
-	ticket := r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareMove{
+	taken := r.config.Holder.Debit(budget, tokens)
+	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareMove{
 		ShareMove: &recordv1.ShareMove{Budget: budget, To: to, Tokens: taken},
 	}})
-	go r.creditRefused(ticket, budget, taken, event.ShareMoved)
-	return &fleetv1.ShareAnswer{Moving: taken, Left: r.c.Holder.Available(budget)}
+	go r.awaitTransfer(ticket, budget, taken, event.ShareMoved)
+	return &fleetv1.ShareAnswer{Moving: taken, Left: r.config.Holder.Available(budget)}
 }
 
-// creditRefused takes tokens back whose return or move the log refused, or that it
-// didn't take in time: they would be out of use for as long as the outage lasts.
-func (r *Reserver) creditRefused(ticket *recordlog.Ticket, budget string, tokens uint64, done event.Number) {
+// awaitTransfer credits tokens back if the log refuses their return or move, or hasn't accepted
+// it in time: otherwise they would be unusable for the rest of the outage.
+func (r *Reserver) awaitTransfer(ticket *recordlog.Ticket, budget string, tokens uint64, completed event.Number) {
 	select {
 	case verdict := <-ticket.Done():
-		r.moved(verdict, budget, tokens, done)
+		r.completeTransfer(verdict, budget, tokens, completed)
 		return
-	case <-r.c.Holder.clock.After(claimWait):
+	case <-r.config.Holder.clock.After(claimTimeout):
 	}
 	if ticket.Withdraw() {
-		r.c.Holder.Credit(budget, tokens)
+		r.config.Holder.Credit(budget, tokens)
 		return
 	}
 	if verdict, ok := r.verdict(ticket); ok {
-		r.moved(verdict, budget, tokens, done)
+		r.completeTransfer(verdict, budget, tokens, completed)
 	}
 }
 
-func (r *Reserver) moved(verdict fold.Verdict, budget string, tokens uint64, done event.Number) {
+func (r *Reserver) completeTransfer(verdict fold.Verdict, budget string, tokens uint64, completed event.Number) {
 	if !verdict.OK() {
-		r.c.Holder.Credit(budget, tokens)
+		r.config.Holder.Credit(budget, tokens)
 		return
 	}
-	r.c.Events.Record(done, "budget", budget, "tokens", tokens)
+	r.config.Events.Record(completed, "budget", budget, "tokens", tokens)
 }
--- a/budget/snapshot.go
+++ b/budget/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// savedLedger is the snapshot form of Ledger.
+// savedLedger is the snapshot format of Ledger.
 type savedLedger struct {
 	Lines        map[string]*Line
 	Incarnations map[string]*Incarnation
--- a/budget/topups.go
+++ b/budget/topups.go
@@ -9,21 +9,21 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// MaxTopUps bounds the top-ups of one budget, about 1 MB each. Their ids can't be
-// forgotten: the same file of resources may be applied again after years, and a
-// top-up whose id was forgotten would credit its tokens a second time. So a full
-// budget refuses further top-ups instead, and operators go on with a new budget.
-// Ten top-ups a day fill it in four years and a half.
+// MaxTopUps bounds the top-ups of one budget, about 1 MB per budget. Their ids are never
+// forgotten: the same resource file may be applied again years later, and a top-up with a
+// forgotten id would credit its tokens a second time. A full budget therefore refuses further
+// top-ups, and operators continue with a new budget. At ten top-ups a day that takes four and a
+// half years.
 const MaxTopUps = 16_384
 
-// foldedTopUp is what is kept of a top-up.
+// foldedTopUp is what the ledger keeps of a top-up.
 type foldedTopUp struct {
 	Offset uint64
 	Tokens uint64
 }
 
-// topUpKey returns a fixed-size form of an operator's id, so that long ones cost no
-// more. 128 bits of SHA-256 don't collide by chance.
+// topUpKey returns a fixed-size key for an operator's top-up id, so that long ids use no more
+// memory. It has 128 bits of SHA-256, which don't collide by chance.
 func topUpKey(id string) string {
 	sum := sha256.Sum256([]byte(id))
 	return hex.EncodeToString(sum[:16])
@@ -31,8 +31,8 @@
 
 func (l *Ledger) topUp(at fold.Position, entry *recordv1.TopUpEntry) fold.Verdict {
 	key := topUpKey(entry.GetTopUp().GetId())
-	if first, seen := l.topUps[key]; seen {
-		return fold.Verdict{Offset: first.Offset, Version: first.Offset, Tokens: first.Tokens}
+	if existing, seen := l.topUps[key]; seen {
+		return fold.Verdict{Offset: existing.Offset, Version: existing.Offset, Tokens: existing.Tokens}
 	}
 	line := l.line(entry.GetTopUp().GetBudget())
 	if line.TopUps >= MaxTopUps {
--- a/node/node.go
+++ b/node/node.go
@@ -45,7 +45,7 @@
 	config     *config.State
 	watchers   *watchers
 	ledger     *budget.Ledger
-	holder     *budget.Holder
+	holder     *budget.ShareHolder
 	budgets    budgets
 	writer     *recordlog.Writer
 	gatherer   *gather.Gatherer
@@ -95,7 +95,7 @@
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.configInForce)
 	n.ledger = budget.NewLedger()
-	n.holder = budget.NewHolder(n.info.GetIncarnation(), deps.Clock)
+	n.holder = budget.NewShareHolder(n.info.GetIncarnation(), deps.Clock)
 	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.Gather)
 	n.writer.AddSource(n.settlements)
 	n.leaseTable = lease.NewTable()
