--- a/budget/holder.go
+++ b/budget/holder.go
@@ -148,12 +148,12 @@
 // many as available. It returns the number removed.
 func (s *localShare) take(tokens uint64, allowPartial bool) uint64 {
 	for {
-		available := s.available.Load()
-		taken := min(int64(tokens), available)
+		unreserved := s.available.Load()
+		taken := min(int64(tokens), unreserved)
 		if taken <= 0 || (!allowPartial && taken < int64(tokens)) {
 			return 0
 		}
-		if s.available.CompareAndSwap(available, available-taken) {
+		if s.available.CompareAndSwap(unreserved, unreserved-taken) {
 			return uint64(taken)
 		}
 	}
--- a/budget/shortfall.go
+++ b/budget/shortfall.go
@@ -21,7 +21,7 @@
 func (t *shortfallTable) take() map[string]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := t.byBudget
+	byBudget := t.byBudget
 	t.byBudget = nil
-	return taken
+	return byBudget
 }
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,6 +1,7 @@
-// Package lease folds leases out of the log and keeps those that this node holds.
+// Package lease implements leases on top of the log: their replicated state, and a manager that
+// acquires and renews them for this node.
 //
-// Leases are for the few singular jobs of the fleet: writing snapshots, giving
-// engine orders, dividing the weight store's rate. A lease has an epoch that rises
-// with each holder, which serves as the fencing number.
+// Leases protect the jobs that only one node of the fleet may do at a time: writing snapshots,
+// sending orders to engines, dividing the weight store's rate. The epoch of a lease increases
+// with each holder and serves as the fencing token.
 package lease
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -1,19 +1,19 @@
 package lease
 
-// Lease is a lease as its holder sees it.
+// Lease is a lease held by this node.
 type Lease struct {
 	Name string
-	// Epoch rises with each new holder: the fencing number.
+	// Epoch increases with each new holder; it is the fencing token.
 	Epoch uint64
 }
 
-// Lessor tells whether this node holds a lease now. It must be asked right before
-// each act under the lease: a node that was paused past the lease's end is told no.
-type Lessor interface {
-	// Held returns the lease while this node surely holds it. It never blocks.
+// Holder holds leases for this node. Held must be called right before each action under a
+// lease: on a node that was paused past the end of the lease it returns false.
+type Holder interface {
+	// Held returns the lease if this node certainly holds it. It never blocks.
 	Held(name string) (Lease, bool)
-	// Want makes this node try to hold the lease from now on.
-	Want(name string)
-	// Release gives the lease up, for a graceful stop.
+	// Campaign makes this node try to acquire and keep the lease from now on.
+	Campaign(name string)
+	// Release gives up the lease, for a graceful shutdown.
 	Release(name string)
 }
--- a/lease/keeper_test.go
+++ b/lease/manager_test.go
@@ -19,40 +19,40 @@
 
 const term = 12 * time.Second
 
-// node is a keeper with its own journal and fold over a shared log, in fake time.
+// node is a manager with its own writer and state machine over a shared log, in simulated time.
 type node struct {
-	keeper *Keeper
-	cancel context.CancelFunc
+	manager *Manager
+	cancel  context.CancelFunc
 }
 
 func startNode(t *testing.T, log *standin.Log, incarnation string) *node {
 	t.Helper()
-	clock := clockwork.NewRealClock() // fake within the synctest bubble
+	clock := clockwork.NewRealClock() // simulated time within the synctest bubble
 	hlc := event.NewHLC(clock)
 	events := event.NewRecorder(hlc, incarnation, 100, golog.NewNopLogger())
 	table := NewTable()
 	writer := recordlog.NewWriter(log, "fleet", incarnation, clock, hlc, 10*time.Millisecond)
 	follower := recordlog.NewFollower(log, "fleet", clock, fold.NewEngine(table),
 		func(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) { writer.Folded(batch, verdicts) })
-	n := &node{keeper: NewKeeper(incarnation, term, table, writer, clock, events)}
+	n := &node{manager: NewManager(incarnation, term, table, writer, clock, events)}
 	ctx, cancel := context.WithCancel(t.Context())
 	n.cancel = cancel
-	for _, run := range []func(context.Context){writer.Run, follower.Run, n.keeper.Run} {
+	for _, run := range []func(context.Context){writer.Run, follower.Run, n.manager.Run} {
 		go run(ctx)
 	}
-	n.keeper.Want(job)
+	n.manager.Campaign(testLease)
 	return n
 }
 
 func (n *node) epoch() uint64 {
-	held, ok := n.keeper.Held(job)
+	held, ok := n.manager.Held(testLease)
 	if !ok {
 		return 0
 	}
 	return held.Epoch
 }
 
-func holders(nodes ...*node) int {
+func countHolders(nodes ...*node) int {
 	count := 0
 	for _, n := range nodes {
 		if n.epoch() != 0 {
@@ -62,22 +62,22 @@
 	return count
 }
 
-// One node of several takes the job and keeps it while all is well.
-func TestOneOfManyHolds(t *testing.T) {
+// Exactly one of several nodes acquires the lease, and keeps it in the absence of failures.
+func TestExactlyOneNodeHoldsTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
 		nodes := []*node{startNode(t, log, "a"), startNode(t, log, "b"), startNode(t, log, "c")}
 		time.Sleep(5 * time.Second)
-		is.Equal(holders(nodes...), 1)
+		is.Equal(countHolders(nodes...), 1)
 		time.Sleep(10 * time.Minute)
-		is.Equal(holders(nodes...), 1)
-		is.Equal(nodes[0].epoch()+nodes[1].epoch()+nodes[2].epoch(), uint64(1)) // never changed hands
+		is.Equal(countHolders(nodes...), 1)
+		is.Equal(nodes[0].epoch()+nodes[1].epoch()+nodes[2].epoch(), uint64(1)) // the holder never changed
 	})
 }
 
-// The holder's process dies. Without a takeover no engine would get an order until
-// somebody was called at night.
+// The holder's process dies. Without a takeover, no engine would get orders until an operator
+// intervened.
 func TestDeadHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,34 +93,33 @@
 	})
 }
 
-// The log is down for longer than the term. The holder must stop acting by itself,
-// since it can't know whether another node took over; when the log is back exactly
-// one node acts again.
+// The log is down for longer than the term. The holder must stop acting by itself, since it
+// can't know whether another node took over; when the log is back, exactly one node acts again.
 func TestOutageLongerThanTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
 		nodes := []*node{startNode(t, log, "a"), startNode(t, log, "b")}
 		time.Sleep(5 * time.Second)
-		is.Equal(holders(nodes...), 1)
+		is.Equal(countHolders(nodes...), 1)
 		log.SetDown(true)
 		time.Sleep(term)
-		is.Equal(holders(nodes...), 0)
+		is.Equal(countHolders(nodes...), 0)
 		time.Sleep(time.Hour)
-		is.Equal(holders(nodes...), 0)
+		is.Equal(countHolders(nodes...), 0)
 		log.SetDown(false)
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
-			is.True(holders(nodes...) <= 1)
+			is.True(countHolders(nodes...) <= 1)
 		}
-		is.Equal(holders(nodes...), 1)
+		is.Equal(countHolders(nodes...), 1)
 	})
 }
 
-// Every answer to an append is lost for a while, although the appends take effect.
-// A holder that trusted answers would stop, and a claimer that repeated itself
-// would take the lease from itself under a new epoch.
-func TestLostAnswersDoNotMoveTheLease(t *testing.T) {
+// The responses to appends are lost for a while, although the appends take effect. A holder
+// that relied on responses would stop, and a claimer that repeated its claim would take the
+// lease from itself under a new epoch.
+func TestLostAnswersDoNotChangeTheHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
@@ -131,8 +130,8 @@
 	})
 }
 
-// The holder stops gracefully; the next one needn't wait the term out.
-func TestReleaseHandsOver(t *testing.T) {
+// The holder shuts down gracefully; the next holder needn't wait for the term to end.
+func TestReleaseAllowsImmediateTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
@@ -140,7 +139,7 @@
 		time.Sleep(5 * time.Second)
 		b := startNode(t, log, "b")
 		time.Sleep(time.Second)
-		a.keeper.ReleaseAll()
+		a.manager.ReleaseAll()
 		time.Sleep(4 * time.Second)
 		is.Equal(a.epoch(), uint64(0))
 		is.Equal(b.epoch(), uint64(2))
--- a/lease/table.go
+++ b/lease/table.go
@@ -9,20 +9,21 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// State is the folded state of one lease.
+// State is the replicated state of one lease.
 type State struct {
-	// Holder is the incarnation that holds it; empty while nobody does.
+	// Holder is the incarnation that holds the lease; empty if none does.
 	Holder string
-	// Epoch rises with each holder and never falls.
+	// Epoch increases with each holder and never decreases.
 	Epoch uint64
 	// Renewal counts the holder's claims within the epoch, from 1.
 	Renewal uint64
-	// TermMS is how long the holder may act after it began to append its last
-	// claim, in milliseconds.
+	// TermMS is how long the holder may act after it began to append its last claim, in
+	// milliseconds.
 	TermMS uint64
 }
 
-// Table folds leases. One goroutine applies; Get is safe for concurrent use.
+// Table is the replicated state of all leases. One goroutine applies entries; Get is safe for
+// concurrent use.
 type Table struct {
 	mu     sync.RWMutex
 	leases map[string]State
@@ -30,13 +31,13 @@
 
 var _ fold.Part = (*Table)(nil)
 
-// NewTable returns a table without leases.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{leases: map[string]State{}} }
 
 // Name implements fold.Part.
 func (t *Table) Name() string { return "lease" }
 
-// Get returns the state of a lease; zero for one that nobody ever held.
+// Get returns the state of a lease; the zero State if it was never held.
 func (t *Table) Get(name string) State {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -56,10 +57,10 @@
 	return fold.Verdict{}, false
 }
 
-// claim renews the writer's lease or takes one over. A claimer that waited out the
-// holder's term names the last renewal it saw: were the holder's next renewal
-// already in the stream, both would act at once, which would show as orders of two
-// holders interleaving on an engine.
+// claim renews the writer's lease or takes over that of another holder. A claimer that has
+// waited out the holder's term names the last renewal it saw: if a later renewal is already in
+// the log, the claim is refused, or both nodes would act at once, for example by interleaving
+// orders to an engine.
 func (t *Table) claim(at fold.Position, claim *recordv1.LeaseClaim) fold.Verdict {
 	state := t.leases[claim.GetLease()]
 	own := state.Holder == at.Writer
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -11,93 +11,93 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-const job = "orders"
+const testLease = "orders"
 
-// log feeds a table entries in order, as the fold does.
-type log struct {
+// tableLog applies entries to a table in log order.
+type tableLog struct {
 	table  *Table
 	offset uint64
 }
 
-func (l *log) claim(writer string, epoch, renewal uint64) fold.Verdict {
+func (l *tableLog) claim(writer string, epoch, renewal uint64) fold.Verdict {
 	l.offset++
 	verdict, _ := l.table.Apply(fold.Position{Offset: l.offset, Writer: writer}, &recordv1.Entry{
-		Body: &recordv1.Entry_LeaseClaim{LeaseClaim: &recordv1.LeaseClaim{Lease: job, Epoch: epoch, Renewal: renewal, TermMs: 10_000}},
+		Body: &recordv1.Entry_LeaseClaim{LeaseClaim: &recordv1.LeaseClaim{Lease: testLease, Epoch: epoch, Renewal: renewal, TermMs: 10_000}},
 	})
 	return verdict
 }
 
-func (l *log) release(writer string, epoch uint64) fold.Verdict {
+func (l *tableLog) release(writer string, epoch uint64) fold.Verdict {
 	l.offset++
 	verdict, _ := l.table.Apply(fold.Position{Offset: l.offset, Writer: writer}, &recordv1.Entry{
-		Body: &recordv1.Entry_LeaseRelease{LeaseRelease: &recordv1.LeaseRelease{Lease: job, Epoch: epoch}},
+		Body: &recordv1.Entry_LeaseRelease{LeaseRelease: &recordv1.LeaseRelease{Lease: testLease, Epoch: epoch}},
 	})
 	return verdict
 }
 
-// Two nodes find the lease free and claim it in the same instant. Were both told
-// yes, operators would see two nodes give orders to one engine.
+// Two nodes find the lease free and claim it at the same time. If both succeeded, two nodes
+// would send orders to one engine.
 func TestFirstClaimWins(t *testing.T) {
 	is := is.New(t)
-	l := &log{table: NewTable()}
+	l := &tableLog{table: NewTable()}
 	is.True(l.claim("a", 0, 0).OK())
 	is.Equal(l.claim("b", 0, 0).Code, result.NotHolder)
-	is.Equal(l.table.Get(job), State{Holder: "a", Epoch: 1, Renewal: 1, TermMS: 10_000})
+	is.Equal(l.table.Get(testLease), State{Holder: "a", Epoch: 1, Renewal: 1, TermMS: 10_000})
 }
 
-// The holder is slow and another node has waited its term out, but the holder's
-// renewal reaches the log just before the claim. Taking over then would leave two
-// nodes that both believe they hold the lease.
-func TestClaimLosesAgainstARenewalItDidNotSee(t *testing.T) {
+// The holder is slow and another node has waited out its term, but the holder's renewal reaches
+// the log just before the claim. Taking over then would leave two nodes that both believe they
+// hold the lease.
+func TestClaimLosesToUnseenRenewal(t *testing.T) {
 	is := is.New(t)
-	l := &log{table: NewTable()}
+	l := &tableLog{table: NewTable()}
 	is.True(l.claim("a", 0, 0).OK())
 	is.True(l.claim("a", 1, 1).OK()) // renewal 2
 	is.Equal(l.claim("b", 1, 1).Code, result.NotHolder)
 	is.True(l.claim("b", 1, 2).OK())
-	is.Equal(l.table.Get(job).Epoch, uint64(2))
+	is.Equal(l.table.Get(testLease).Epoch, uint64(2))
 }
 
-// The former holder wakes up after a takeover and renews or releases. Its word must
-// count for nothing, or the new holder would lose its lease to a ghost.
+// The former holder resumes after a takeover and renews or releases. Both must be refused, or
+// the new holder would lose its lease to a node that no longer holds it.
 func TestFormerHolderIsRefused(t *testing.T) {
 	is := is.New(t)
-	l := &log{table: NewTable()}
+	l := &tableLog{table: NewTable()}
 	l.claim("a", 0, 0)
 	is.True(l.claim("b", 1, 1).OK())
 	is.Equal(l.claim("a", 1, 1).Code, result.NotHolder)
 	is.Equal(l.release("a", 1).Code, result.NotHolder)
-	is.Equal(l.table.Get(job).Holder, "b")
+	is.Equal(l.table.Get(testLease).Holder, "b")
 }
 
 func TestReleaseFreesTheLeaseAndKeepsTheEpoch(t *testing.T) {
 	is := is.New(t)
-	l := &log{table: NewTable()}
+	l := &tableLog{table: NewTable()}
 	l.claim("a", 0, 0)
 	is.True(l.release("a", 1).OK())
 	is.True(l.claim("b", 1, 0).OK())
-	is.Equal(l.table.Get(job).Epoch, uint64(2)) // a fencing number is never used twice
+	is.Equal(l.table.Get(testLease).Epoch, uint64(2)) // a fencing token is never reused
 }
 
-func TestSnapshotKeepsLeases(t *testing.T) {
+func TestSnapshotRestoresLeases(t *testing.T) {
 	is := is.New(t)
-	l := &log{table: NewTable()}
+	l := &tableLog{table: NewTable()}
 	l.claim("a", 0, 0)
 	data, err := l.table.Snapshot()
 	is.NoErr(err)
 	restored := NewTable()
 	is.NoErr(restored.Restore(data))
-	is.Equal(restored.Get(job), l.table.Get(job))
+	is.Equal(restored.Get(testLease), l.table.Get(testLease))
 	is.True(NewTable().Restore([]byte("{")) != nil)
 }
 
-// Any order of claims and releases by any nodes, with any epoch and renewal named:
-// the epoch never falls, and changes exactly when the holder does.
+// For any sequence of claims and releases by any nodes, with any epoch and renewal, the epoch
+// never decreases, and it changes exactly when the lease gets a new holder.
 func TestEpochRisesWithEachHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &log{table: NewTable()}
+		l := &tableLog{table: NewTable()}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			before := l.table.Get(job)
+			before := l.table.Get(testLease)
 			writer := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "writer")
 			epoch := rapid.Uint64Range(0, 6).Draw(t, "epoch")
 			if rapid.Bool().Draw(t, "release") {
@@ -105,7 +105,7 @@
 			} else {
 				l.claim(writer, epoch, rapid.Uint64Range(0, 4).Draw(t, "renewal"))
 			}
-			after := l.table.Get(job)
+			after := l.table.Get(testLease)
 			taken := after.Holder != before.Holder && after.Holder != ""
 			if taken && after.Epoch != before.Epoch+1 {
 				t.Fatalf("holder %q took over from %q without a new epoch", after.Holder, before.Holder)
