--- a/fold/doc.go
+++ b/fold/doc.go
@@ -1,7 +1,8 @@
-// Package fold turns the platform's log into agreement.
+// Package fold implements the replicated state machine that all nodes run over the platform's
+// log.
 //
-// The log offers append and read and nothing else. Every node applies the same
-// batches in offset order through the same deterministic Parts, so that all
-// reach the same verdict on every entry: the first valid claim wins everywhere.
-// No Part may look at a clock, a random source or anything but the entries.
+// The log supports only append and read. Every node applies the same batches in offset order
+// through the same deterministic Parts, so that all reach the same verdict on every entry: the
+// first valid claim wins on every node. A Part must depend on nothing but the entries: no
+// clock, no random source.
 package fold
--- a/fold/engine.go
+++ b/fold/engine.go
@@ -5,33 +5,33 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Engine applies batches to its parts in offset order. It isn't safe for
-// concurrent use: one goroutine folds, readers use the views the parts publish.
+// Engine applies batches to its parts in offset order. It isn't safe for concurrent use: one
+// goroutine applies, and readers use the views that the parts publish.
 type Engine struct {
 	parts   []Part
 	offset  uint64
-	writers writers
+	writers writerTable
 }
 
-// NewEngine returns an engine at offset 0 over empty parts.
+// NewEngine returns an engine at offset 0 with the given parts, which must be empty.
 func NewEngine(parts ...Part) *Engine {
-	return &Engine{parts: parts, writers: newWriters()}
+	return &Engine{parts: parts, writers: newWriterTable()}
 }
 
 // Offset returns the offset of the last batch applied.
 func (e *Engine) Offset() uint64 { return e.offset }
 
-// LastSeq returns the last sequence folded for a writer.
-func (e *Engine) LastSeq(writer string) uint64 { return e.writers.held[writer].seq }
+// LastSeq returns the last sequence number applied for a writer; 0 if the writer isn't
+// remembered.
+func (e *Engine) LastSeq(writer string) uint64 { return e.writers.byName[writer].seq }
 
-// Apply folds one batch and returns a verdict per entry. It returns nil for an
-// offset that was applied before: state never goes backwards, even when a peer
-// relays old records.
+// Apply applies one batch and returns a verdict per entry. It returns nil for an offset that
+// was already applied: state never goes backwards, even if a peer relays old records.
 //
-// A batch whose sequence isn't above the writer's last one is void as a whole, as
-// is one of an unknown writer that isn't its first.
-// Without this, a batch appended twice because the answer to the first append was
-// lost would take effect twice, which would show as money granted twice.
+// A batch is rejected as a whole if its sequence number isn't above the writer's last one, or
+// if its writer is unknown and the batch isn't the writer's first. Otherwise a batch that was
+// appended twice, because the response to the first append was lost, would take effect twice,
+// and tokens would be granted twice.
 func (e *Engine) Apply(offset uint64, batch *recordv1.Batch) []Verdict {
 	verdicts := e.ApplyRecord(offset, []*recordv1.Batch{batch})
 	if verdicts == nil {
@@ -40,8 +40,8 @@
 	return verdicts[0]
 }
 
-// ApplyRecord applies the batches of one record, in their order, as Apply does one,
-// and returns the verdicts of each. All have the record's offset.
+// ApplyRecord applies the batches of one record in order, each as Apply does, and returns the
+// verdicts of each. All have the record's offset.
 func (e *Engine) ApplyRecord(offset uint64, batches []*recordv1.Batch) [][]Verdict {
 	if offset <= e.offset {
 		return nil
@@ -57,7 +57,7 @@
 func (e *Engine) applyBatch(offset uint64, batch *recordv1.Batch) []Verdict {
 	at := Position{Offset: offset, Writer: batch.GetWriter()}
 	if !e.writers.admit(at.Writer, batch.GetSeq(), offset) {
-		return e.void(at, batch)
+		return e.rejectBatch(at, batch)
 	}
 	verdicts := make([]Verdict, 0, len(batch.GetEntries()))
 	for _, entry := range batch.GetEntries() {
@@ -66,7 +66,7 @@
 	return verdicts
 }
 
-func (e *Engine) void(at Position, batch *recordv1.Batch) []Verdict {
+func (e *Engine) rejectBatch(at Position, batch *recordv1.Batch) []Verdict {
 	verdicts := make([]Verdict, len(batch.GetEntries()))
 	for i := range verdicts {
 		verdicts[i] = Refuse(at, result.StaleEntry, "the writer's sequence had passed")
@@ -76,11 +76,11 @@
 
 func (e *Engine) applyEntry(at Position, entry *recordv1.Entry) Verdict {
 	for _, part := range e.parts {
-		if verdict, mine := part.Apply(at, entry); mine {
+		if verdict, handled := part.Apply(at, entry); handled {
 			return verdict
 		}
 	}
-	// An entry of a newer version of the program, or one that only informs
-	// (snapshot chunks): no part of this version acts on it.
+	// The entry is from a newer version of the program or is purely informational (snapshot
+	// chunks): no part of this version handles it.
 	return Accept(at)
 }
--- a/fold/main_test.go
+++ b/fold/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain pins the property tests' seed, so that every run gives the same verdict.
+// TestMain pins the seed of the property tests, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261203"); err != nil {
--- a/fold/state.go
+++ b/fold/state.go
@@ -6,11 +6,11 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// ErrBackwards tells that a state is older than what is folded already.
-var ErrBackwards = errors.New("the state is older than the one folded")
+// ErrStaleState is returned for a state that isn't ahead of the applied one.
+var ErrStaleState = errors.New("state is not newer than the applied state")
 
-// State returns the whole folded state. Two engines that folded the same records
-// return equal states.
+// State returns the entire state of all parts. Engines that applied the same records return
+// equal states.
 func (e *Engine) State() (*recordv1.FoldState, error) {
 	state := &recordv1.FoldState{Offset: e.offset, Writers: e.writers.save()}
 	for _, part := range e.parts {
@@ -23,42 +23,42 @@
 	return state, nil
 }
 
-// Restore replaces the whole folded state. It refuses one that isn't ahead, since
-// accepted configuration must never revert, and one that lacks a part: a program
-// of an earlier version wrote it, and the part would restart from nothing.
+// Restore replaces the entire state. It refuses a state that isn't ahead, since accepted
+// configuration must never revert, and a state that lacks a part: an earlier version of the
+// program wrote it, and the part would start empty.
 func (e *Engine) Restore(state *recordv1.FoldState) error {
 	if state.GetOffset() <= e.offset {
-		return errors.Annotatef(ErrBackwards, "offset %d, folded up to %d", state.GetOffset(), e.offset)
+		return errors.Annotatef(ErrStaleState, "offset %d, applied up to offset %d", state.GetOffset(), e.offset)
 	}
 	saved := map[string][]byte{}
 	for _, part := range state.GetParts() {
 		saved[part.GetName()] = part.GetData()
 	}
 	for _, part := range e.parts {
-		if _, held := saved[part.Name()]; !held {
-			return errors.Errorf("the state lacks part %s", part.Name())
+		if _, found := saved[part.Name()]; !found {
+			return errors.Errorf("state has no data for part %s", part.Name())
 		}
 	}
-	before, err := e.State()
+	previous, err := e.State()
 	if err != nil {
 		return errors.Trace(err)
 	}
 	for _, part := range e.parts {
 		if err := part.Restore(saved[part.Name()]); err != nil {
-			return e.undo(before, errors.Annotatef(err, "part %s", part.Name()))
+			return e.rollBack(previous, errors.Annotatef(err, "part %s", part.Name()))
 		}
 	}
 	e.offset = state.GetOffset()
-	e.writers = restoreWriters(state.GetWriters())
+	e.writers = restoreWriterTable(state.GetWriters())
 	return nil
 }
 
-// undo puts the parts back after one of them refused its state; otherwise some
-// would stand at the new offset and some at the old one.
-func (e *Engine) undo(before *recordv1.FoldState, cause error) error {
+// rollBack restores the previous state of all parts after one of them refused its new state;
+// otherwise some parts would be at the new offset and some at the old one.
+func (e *Engine) rollBack(previous *recordv1.FoldState, cause error) error {
 	for i, part := range e.parts {
-		if err := part.Restore(before.GetParts()[i].GetData()); err != nil {
-			return errors.Annotatef(cause, "and part %s is lost: %v", part.Name(), err)
+		if err := part.Restore(previous.GetParts()[i].GetData()); err != nil {
+			return errors.Annotatef(cause, "rolling back part %s failed: %v", part.Name(), err)
 		}
 	}
 	return cause
--- a/fold/state_test.go
+++ b/fold/state_test.go
@@ -18,7 +18,7 @@
 
 func newEngine() *fold.Engine { return fold.NewEngine(config.NewState(nil), budget.NewLedger()) }
 
-func stateOf(t interface{ Fatal(...any) }, e *fold.Engine) []byte {
+func encodeState(t interface{ Fatal(...any) }, e *fold.Engine) []byte {
 	state, err := e.State()
 	if err != nil {
 		t.Fatal(err)
@@ -51,42 +51,42 @@
 			Account: &operatorv1.Account{Name: budget, Team: fmt.Sprint(tokens)}}}}}}}}
 }
 
-// A node restores a snapshot and goes on from there, while appends whose answers were
-// lost come a second time, some of them late. Were its state other than that of a node
-// that folded every record, the same top-up would count on one and not on the other.
+// A node restores a snapshot and continues from there, while appends whose responses were lost
+// are delivered again, some of them late. If its state differed from that of a node that
+// applied every record, the same top-up would count on one and not on the other.
 func TestRestoredStateGoesOnAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, restored := newEngine(), newEngine()
+		full, restored := newEngine(), newEngine()
 		seqs := map[string]uint64{}
 		var sent []*recordv1.Batch
 		steps := rapid.IntRange(2, 40).Draw(t, "steps")
 		cut := rapid.IntRange(1, steps-1).Draw(t, "cut")
 		for step := range steps {
-			batch := nextBatch(t, seqs, sent)
+			batch := drawBatch(t, seqs, sent)
 			sent = append(sent, batch)
-			verdicts := whole.Apply(uint64(step+1), batch)
+			verdicts := full.Apply(uint64(step+1), batch)
 			if step < cut {
 				continue
 			}
 			if step == cut {
-				state, err := whole.State()
+				state, err := full.State()
 				if err != nil || restored.Restore(state) != nil {
-					t.Fatal("no state", err)
+					t.Fatal("state not restored", err)
 				}
 				continue
 			}
-			if again := restored.Apply(uint64(step+1), batch); fmt.Sprint(again) != fmt.Sprint(verdicts) {
-				t.Fatalf("verdicts differ: %v and %v", verdicts, again)
+			if restoredVerdicts := restored.Apply(uint64(step+1), batch); fmt.Sprint(restoredVerdicts) != fmt.Sprint(verdicts) {
+				t.Fatalf("verdicts differ: %v and %v", verdicts, restoredVerdicts)
 			}
 		}
-		if string(stateOf(t, whole)) != string(stateOf(t, restored)) {
+		if string(encodeState(t, full)) != string(encodeState(t, restored)) {
 			t.Fatal("states differ")
 		}
 	})
 }
 
-// nextBatch draws a new batch, or one that was sent before.
-func nextBatch(t *rapid.T, seqs map[string]uint64, sent []*recordv1.Batch) *recordv1.Batch {
+// drawBatch draws a new batch, or one that was sent before.
+func drawBatch(t *rapid.T, seqs map[string]uint64, sent []*recordv1.Batch) *recordv1.Batch {
 	if len(sent) > 0 && rapid.IntRange(0, 3).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "duplicate")
 	}
@@ -99,9 +99,9 @@
 	return batch
 }
 
-// A node is handed a state older than its own, by a peer that lags. Were it taken,
-// an accepted change would revert on this node.
-func TestStateNeverGoesBackwards(t *testing.T) {
+// A lagging peer sends a node a state older than its own. If it were restored, an accepted
+// change would revert on this node.
+func TestRestoreRefusesOlderState(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine()
 	old, err := engine.State()
@@ -111,14 +111,13 @@
 	is.Equal(engine.Offset(), uint64(1))
 }
 
-// Thousands of incarnations come and go, and the log then delivers once more, very
-// late, a batch of one that nobody remembers. Were it taken as new, a budget would be
-// topped up twice.
-func TestForgottenWriterStaysVoid(t *testing.T) {
+// After thousands of other incarnations, the log delivers, very late, a second copy of a batch
+// whose writer was pruned. If it were accepted as new, its tokens would be granted twice.
+func TestPrunedWriterStaysRejected(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine()
-	topUp := &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: "b"}}}
-	late := &recordv1.Batch{Writer: "early", Seq: 2, Entries: []*recordv1.Entry{topUp}}
+	claim := &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: "b"}}}
+	late := &recordv1.Batch{Writer: "early", Seq: 2, Entries: []*recordv1.Entry{claim}}
 	engine.Apply(1, &recordv1.Batch{Writer: "early", Seq: 1})
 	engine.Apply(2, late)
 	offset := uint64(2)
@@ -133,8 +132,8 @@
 	is.Equal(engine.Apply(offset+1, late)[0].Code, result.StaleEntry)
 }
 
-// FuzzFold folds arbitrary bytes as log records. A fold that panics, or that differs
-// between two nodes, would stop or split the whole fleet at one record.
+// FuzzFold applies arbitrary bytes as log records. A panic, or a difference between two nodes,
+// would stop or split the whole fleet at one record.
 func FuzzFold(f *testing.F) {
 	for _, batch := range seedBatches() {
 		data, err := proto.Marshal(batch)
@@ -156,7 +155,7 @@
 				t.Fatal("verdicts differ")
 			}
 		}
-		if string(stateOf(t, one)) != string(stateOf(t, two)) {
+		if string(encodeState(t, one)) != string(encodeState(t, two)) {
 			t.Fatal("states differ")
 		}
 		state, _ := one.State()
@@ -164,7 +163,7 @@
 		if err := three.Restore(state); err != nil {
 			t.Fatal(err)
 		}
-		if string(stateOf(t, three)) != string(stateOf(t, one)) {
+		if string(encodeState(t, three)) != string(encodeState(t, one)) {
 			t.Fatal("the restored state differs")
 		}
 	})
