--- a/admission/controller.go
+++ b/admission/controller.go
@@ -52,7 +52,7 @@
 // Admit waits until the request may be sent. release must be called when the request
 // has left its upstream; a second call does nothing. The error is Overloaded, or
 // CallerGone when ctx ended first; either way nothing was sent.
-func (c *Controller) Admit(ctx context.Context, ask routing.Ask) (release func(), err error) {
+func (c *Controller) Admit(ctx context.Context, ask routing.Request) (release func(), err error) {
 	verdict := make(chan error, 1)
 	core, item := c.offer(ask, verdict)
 	select {
@@ -77,7 +77,7 @@
 	return result.New(result.CallerGone, "the caller left while its request waited")
 }
 
-func (c *Controller) offer(ask routing.Ask, verdict chan<- error) (*Core, *Item) {
+func (c *Controller) offer(ask routing.Request, verdict chan<- error) (*Core, *Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	core := c.cores[ask.Service]
--- a/admission/core.go
+++ b/admission/core.go
@@ -63,7 +63,7 @@
 
 // Offer asks for a request's admission. decide is called once with the verdict,
 // perhaps before Offer returns, and must not call the core.
-func (c *Core) Offer(now time.Time, ask routing.Ask, decide func(err error)) *Item {
+func (c *Core) Offer(now time.Time, ask routing.Request, decide func(err error)) *Item {
 	i := &Item{Ask: ask, arrived: now, decide: decide, cost: c.cost(&ask)}
 	i.account = c.queue.account(ask.Team, ask.Account, float64(max(1, ask.Weight)))
 	i.light = c.queue.isLight(i.account, now, true)
@@ -86,7 +86,7 @@
 	return i
 }
 
-func (c *Core) cost(ask *routing.Ask) float64 {
+func (c *Core) cost(ask *routing.Request) float64 {
 	if tokens := ask.PromptTokens + ask.AnswerTokens; tokens > 0 {
 		return float64(tokens)
 	}
--- a/admission/core_test.go
+++ b/admission/core_test.go
@@ -20,7 +20,7 @@
 	err   error
 }
 
-func offer(c *Core, now time.Time, ask routing.Ask) *verdict {
+func offer(c *Core, now time.Time, ask routing.Request) *verdict {
 	v := &verdict{}
 	v.item = c.Offer(now, ask, func(err error) {
 		v.times++
@@ -29,8 +29,8 @@
 	return v
 }
 
-func request(team, account string) routing.Ask {
-	return routing.Ask{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
+func request(team, account string) routing.Request {
+	return routing.Request{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
 }
 
 // full returns a core whose limit is used up by another account.
--- a/admission/item.go
+++ b/admission/item.go
@@ -8,7 +8,7 @@
 
 // Item is one request within a Core.
 type Item struct {
-	Ask routing.Ask
+	Ask routing.Request
 
 	state   itemState
 	cost    float64
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -147,19 +147,19 @@
 // inOrder picks the first upstream by name that wasn't tried.
 type inOrder struct{}
 
-func (inOrder) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
+func (inOrder) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	for _, c := range candidates {
 		if !ask.Tried[c.GetName()] {
-			return routing.Pick{Upstream: c, Done: func(error) {}}, nil
+			return routing.PickResult{Upstream: c, Done: func(error) {}}, nil
 		}
 	}
-	return routing.Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
+	return routing.PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
 }
 
 // settled returns what was billed, in tokens, and checks that nothing stays reserved.
 func (s *testServer) settled(t testing.TB) uint64 {
 	is := is.New(t)
-	is.Equal(s.holder.OpenReservations(), 0)                                               // nothing reserved left behind
+	is.Equal(s.holder.OpenReservations(), 0)                                   // nothing reserved left behind
 	is.Equal(s.holder.Available("budget"), testTokens-s.holder.Used("budget")) // the rest is given back
 	return s.holder.Used("budget")
 }
