--- a/admission/controller.go
+++ b/admission/controller.go
@@ -12,164 +12,166 @@
 )
 
 const (
-	expireEvery = 50 * time.Millisecond
-	// idleEvery is the pause between two looks while nobody waits.
-	idleEvery    = time.Second
-	observeEvery = 500 * time.Millisecond
+	expireInterval = 50 * time.Millisecond
+	// idleInterval is the interval between expiry checks while no request waits.
+	idleInterval    = time.Second
+	observeInterval = 500 * time.Millisecond
 )
 
-// Upstreams is what a Controller learns from and tells to the choice of upstreams;
-// routing.Balancer is one for a node's region.
+// Upstreams reports upstream load to a Controller and takes its local limit. routing.Balancer
+// implements it for a node's region.
 type Upstreams interface {
-	// Pressure tells what a service's upstreams say of themselves, those of this region
-	// and of others.
+	// Pressure returns the load that a service's upstreams report, first for this region, then
+	// for all others.
 	Pressure(service string) (here, elsewhere routing.Pressure)
-	// LimitLocal is told how many requests should be at those of this region at most.
+	// LimitLocal sets the maximum number of requests that should be at this region's upstreams.
 	LimitLocal(service string, limit int)
 }
 
-// Controller admits the requests of one node, service by service. It is safe for
-// concurrent use.
+// Controller admits the requests of one node, service by service. It is safe for concurrent
+// use.
 type Controller struct {
 	clock     clockwork.Clock
 	settings  func(service string) Settings
 	upstreams Upstreams
 
-	// waits wakes Run when a request begins to wait.
-	waits chan struct{}
+	// waiterQueued wakes Run when a request joins an empty queue.
+	waiterQueued chan struct{}
 
-	mu    sync.Mutex
-	cores map[string]*Core
+	mu         sync.Mutex
+	schedulers map[string]*Scheduler
 }
 
-// NewController returns a controller; settings is asked for each service
-// when it is first needed and again from time to time.
+// NewController returns a controller. It calls settings when a service is first used and
+// periodically afterwards.
 func NewController(clock clockwork.Clock, settings func(service string) Settings, upstreams Upstreams) *Controller {
 	return &Controller{clock: clock, settings: settings, upstreams: upstreams,
-		waits: make(chan struct{}, 1), cores: map[string]*Core{}}
+		waiterQueued: make(chan struct{}, 1), schedulers: map[string]*Scheduler{}}
 }
 
-// Admit waits until the request may be sent. release must be called when the request
-// has left its upstream; a second call does nothing. The error is Overloaded, or
-// CallerGone when ctx ended first; either way nothing was sent.
-func (c *Controller) Admit(ctx context.Context, ask routing.Ask) (release func(), err error) {
-	verdict := make(chan error, 1)
-	core, item := c.offer(ask, verdict)
+// Admit blocks until the request may be sent. release must be called when the request has left
+// its upstream; further calls do nothing. The error is Overloaded, or CallerGone if ctx was
+// canceled first; in both cases nothing was sent.
+func (c *Controller) Admit(ctx context.Context, params routing.Ask) (release func(), err error) {
+	decision := make(chan error, 1)
+	scheduler, request := c.submit(params, decision)
 	select {
-	case err = <-verdict:
+	case err = <-decision:
 	case <-ctx.Done():
-		if c.leave(core, item) {
-			return nil, leftWaiting(ctx)
+		if c.cancel(scheduler, request) {
+			return nil, contextError(ctx)
 		}
-		err = <-verdict
+		err = <-decision
 	}
 	if err != nil {
 		return nil, err
 	}
-	return func() { c.release(core, item) }, nil
+	return func() { c.release(scheduler, request) }, nil
 }
 
-// leftWaiting tells a caller that left from one whose deadline passed.
-func leftWaiting(ctx context.Context) error {
+// contextError distinguishes a passed deadline from a canceled request.
+func contextError(ctx context.Context) error {
 	if ctx.Err() == context.DeadlineExceeded {
-		return result.New(result.Overloaded, "the deadline passed while the request waited").After(leastRetryAfter)
+		return result.New(result.Overloaded, "the deadline passed while the request waited").After(minRetryAfter)
 	}
 	return result.New(result.CallerGone, "the caller left while its request waited")
 }
 
-func (c *Controller) offer(ask routing.Ask, verdict chan<- error) (*Core, *Item) {
+func (c *Controller) submit(params routing.Ask, decision chan<- error) (*Scheduler, *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	core := c.cores[ask.Service]
-	if core == nil {
-		core = NewCore(c.settings(ask.Service))
-		c.cores[ask.Service] = core
+	scheduler := c.schedulers[params.Service]
+	if scheduler == nil {
+		scheduler = NewScheduler(c.settings(params.Service))
+		c.schedulers[params.Service] = scheduler
 	}
-	first := core.Waiting() == 0
-	item := core.Offer(c.clock.Now(), ask, func(err error) { verdict <- err })
-	if first && core.Waiting() > 0 {
+	queueWasEmpty := scheduler.Waiting() == 0
+	request := scheduler.Submit(c.clock.Now(), params, func(err error) { decision <- err })
+	if queueWasEmpty && scheduler.Waiting() > 0 {
 		select {
-		case c.waits <- struct{}{}:
+		case c.waiterQueued <- struct{}{}:
 		default:
 		}
 	}
-	return core, item
+	return scheduler, request
 }
 
-// nextExpire returns the pause until the next look for requests that waited too long.
-func (c *Controller) nextExpire() time.Duration {
+// nextExpireInterval returns the time until the next check for requests that have waited too
+// long.
+func (c *Controller) nextExpireInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, core := range c.cores {
-		if core.Waiting() > 0 {
-			return expireEvery
+	for _, scheduler := range c.schedulers {
+		if scheduler.Waiting() > 0 {
+			return expireInterval
 		}
 	}
-	return idleEvery
+	return idleInterval
 }
 
-func (c *Controller) leave(core *Core, i *Item) bool {
+func (c *Controller) cancel(scheduler *Scheduler, r *Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return core.Leave(i)
+	return scheduler.Cancel(r)
 }
 
-func (c *Controller) release(core *Core, i *Item) {
+func (c *Controller) release(scheduler *Scheduler, r *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	core.Release(c.clock.Now(), i)
+	scheduler.Release(c.clock.Now(), r)
 }
 
-// Run refuses those that waited too long and follows the upstreams' own queues, until
-// ctx ends. It looks for the former often only while somebody waits.
+// Run refuses requests that have waited too long and adjusts limits to the upstreams' queues,
+// until ctx ends. It checks for expired requests at the short interval only while any request
+// waits.
 func (c *Controller) Run(ctx context.Context) {
-	observe := c.clock.NewTicker(observeEvery)
+	observe := c.clock.NewTicker(observeInterval)
 	defer observe.Stop()
-	expire := c.clock.NewTimer(idleEvery)
+	expire := c.clock.NewTimer(idleInterval)
 	defer expire.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.waits:
-			expire.Reset(expireEvery)
+		case <-c.waiterQueued:
+			expire.Reset(expireInterval)
 		case <-expire.Chan():
-			c.each(func(_ string, core *Core) { core.Expire(c.clock.Now()) })
-			expire.Reset(c.nextExpire())
+			c.forEach(func(_ string, scheduler *Scheduler) { scheduler.Expire(c.clock.Now()) })
+			expire.Reset(c.nextExpireInterval())
 		case <-observe.Chan():
-			c.each(func(service string, core *Core) {
-				core.Configure(c.settings(service))
-				here, elsewhere := c.upstreams.Pressure(service)
-				core.Observe(c.clock.Now(), here, elsewhere)
-				c.upstreams.LimitLocal(service, core.LocalLimit())
+			c.forEach(func(service string, scheduler *Scheduler) {
+				scheduler.Configure(c.settings(service))
+				local, remote := c.upstreams.Pressure(service)
+				scheduler.Observe(c.clock.Now(), local, remote)
+				c.upstreams.LimitLocal(service, scheduler.LocalLimit())
 			})
 		}
 	}
 }
 
-func (c *Controller) each(do func(service string, core *Core)) {
+func (c *Controller) forEach(fn func(service string, scheduler *Scheduler)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for service, core := range c.cores {
-		do(service, core)
+	for service, scheduler := range c.schedulers {
+		fn(service, scheduler)
 	}
 }
 
-// Status is what operators see of one service's admission.
+// Status is the admission state of one service as shown to operators.
 type Status struct {
 	Counts
 	Limit    int
 	InFlight int
 	Waiting  int
-	// Standing is set while a queue stands and waits are kept short.
+	// Standing is set while a standing queue is detected and waits are kept short.
 	Standing bool
 }
 
-// Status returns the state of each service's admission.
+// Status returns the admission state of each service.
 func (c *Controller) Status() map[string]Status {
 	all := map[string]Status{}
-	c.each(func(service string, core *Core) {
-		all[service] = Status{Counts: core.Counts(), Limit: core.Limit(), InFlight: core.InFlight(), Waiting: core.Waiting(), Standing: core.Standing()}
+	c.forEach(func(service string, scheduler *Scheduler) {
+		all[service] = Status{Counts: scheduler.Counts(), Limit: scheduler.Limit(), InFlight: scheduler.InFlight(), Waiting: scheduler.Waiting(), Standing: scheduler.Standing()}
 	})
 	return all
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -12,21 +12,21 @@
 	"lavenderpin.dev/lavenderpin/routing"
 )
 
-// unknownUpstreams say nothing of themselves.
-type unknownUpstreams struct{}
+// silentUpstreams reports no load.
+type silentUpstreams struct{}
 
-func (unknownUpstreams) Pressure(string) (here, elsewhere routing.Pressure) { return here, elsewhere }
+func (silentUpstreams) Pressure(string) (local, remote routing.Pressure) { return local, remote }
 
-func (unknownUpstreams) LimitLocal(string, int) {}
+func (silentUpstreams) LimitLocal(string, int) {}
 
 func newTestController() (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClockAt(start)
 	settings := func(string) Settings {
 		s := DefaultSettings(1)
-		s.LightReserve = 0
+		s.BelowShareReserve = 0
 		return s
 	}
-	return NewController(clock, settings, unknownUpstreams{}), clock
+	return NewController(clock, settings, silentUpstreams{}), clock
 }
 
 // awaitWaiting returns once a request waits in the controller.
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAReleasedSlotGoesToTheNext(t *testing.T) {
+func TestReleasedSlotGoesToNextRequest(t *testing.T) {
 	is := is.New(t)
 	c, _ := newTestController()
 	release, err := c.Admit(t.Context(), request("a", "x"))
@@ -53,28 +53,28 @@
 	is.Equal(c.Status()["chat"].InFlight, 1)
 }
 
-// A caller leaves while its request waits. Its place must not be given a slot that
-// nobody would ever release.
-func TestACallerThatLeavesGetsNoSlot(t *testing.T) {
+// A caller cancels while its request waits. The request must not be given a slot, which nobody
+// would ever release.
+func TestCanceledRequestGetsNoSlot(t *testing.T) {
 	is := is.New(t)
 	c, _ := newTestController()
 	release, err := c.Admit(t.Context(), request("a", "x"))
 	is.NoErr(err)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
 		_, err := c.Admit(ctx, request("a", "x"))
 		done <- err
 	}()
 	awaitWaiting(c)
-	leave()
+	cancel()
 	is.Equal(result.CodeOf(<-done), result.CallerGone)
 	release()
 	is.Equal(c.Status()["chat"].InFlight, 0)
 }
 
-// No slot comes free. The caller must be told as soon as its longest wait has passed.
-func TestAWaitThatIsTooLongEnds(t *testing.T) {
+// No slot becomes free. The caller must get its refusal as soon as MaxWait has passed.
+func TestWaitEndsAtMaxWait(t *testing.T) {
 	is := is.New(t)
 	c, clock := newTestController()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -90,7 +90,7 @@
 	}()
 	awaitWaiting(c)
 	for {
-		clock.Advance(expireEvery)
+		clock.Advance(expireInterval)
 		select {
 		case err := <-done:
 			is.Equal(result.CodeOf(err), result.Overloaded)
--- a/admission/drainrate.go
+++ b/admission/drainrate.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// drainWindow is the time constant of the measured drain rate.
+// drainWindow is the time constant of the drain rate estimate.
 const drainWindow = 3 * time.Second
 
-// drainRate measures how many tokens' worth of requests end per second.
+// drainRate estimates how many tokens' worth of requests complete per second.
 type drainRate struct {
-	sum  float64
-	last time.Time
+	tokens float64
+	last   time.Time
 }
 
-func (d *drainRate) ended(cost float64, now time.Time) {
+func (d *drainRate) recordCompletion(cost float64, now time.Time) {
 	d.decay(now)
-	d.sum += cost
+	d.tokens += cost
 }
 
 func (d *drainRate) decay(now time.Time) {
 	if !d.last.IsZero() {
-		d.sum *= math.Exp(-float64(now.Sub(d.last)) / float64(drainWindow))
+		d.tokens *= math.Exp(-float64(now.Sub(d.last)) / float64(drainWindow))
 	}
 	d.last = now
 }
 
-// perSecond returns the rate; 0 when nothing has ended lately.
+// perSecond returns the rate; 0 if nothing completed recently.
 func (d *drainRate) perSecond(now time.Time) float64 {
 	d.decay(now)
-	return d.sum / drainWindow.Seconds()
+	return d.tokens / drainWindow.Seconds()
 }
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// fairQueue serves teams, and accounts within teams, in proportion to their weights
-// while they have requests waiting. Flows are few (a handful of teams, some dozens of
-// accounts), so they are searched in turn. All teams weigh the same.
+// fairQueue serves teams, and accounts within teams, in proportion to their weights while they
+// have requests waiting. There are few flows (a handful of teams, some dozens of accounts), so
+// lookups are linear. All teams have the same weight.
 type fairQueue struct {
-	teams   []*teamFlow
-	now     float64
-	length  int
-	backlog float64
+	teams       []*teamFlow
+	virtualTime float64
+	length      int
+	backlog     float64
 }
 
-// account returns the flow of an account, made when first needed.
+// account returns the flow of an account and creates it on first use.
 func (q *fairQueue) account(teamName, name string, weight float64) *accountFlow {
 	team := q.team(teamName)
 	for _, a := range team.accounts {
@@ -21,7 +21,7 @@
 			return a
 		}
 	}
-	a := &accountFlow{name: name, team: team, virtual: virtual{weight: weight}}
+	a := &accountFlow{name: name, team: team, flow: flow{weight: weight}}
 	team.accounts = append(team.accounts, a)
 	return a
 }
@@ -32,39 +32,39 @@
 			return t
 		}
 	}
-	t := &teamFlow{name: name, virtual: virtual{weight: 1}}
+	t := &teamFlow{name: name, flow: flow{weight: 1}}
 	q.teams = append(q.teams, t)
 	return t
 }
 
-// push adds a waiting request. A flow that had none starts from the present virtual
-// time: idling earns no credit with which it could shut out others later.
-func (q *fairQueue) push(i *Item) {
-	a := i.account
+// push adds a waiting request. A flow with no waiting requests starts at the current virtual
+// time, so that idling earns no credit with which it could lock out others later.
+func (q *fairQueue) push(r *Request) {
+	a := r.account
 	if !a.team.active() {
-		a.team.tag = max(a.team.tag, q.now)
+		a.team.startTag = max(a.team.startTag, q.virtualTime)
 	}
 	if len(a.waiting) == 0 {
-		a.tag = max(a.tag, a.team.now)
+		a.startTag = max(a.startTag, a.team.virtualTime)
 	}
-	a.push(i)
+	a.push(r)
 	q.length++
-	q.backlog += i.cost
+	q.backlog += r.cost
 }
 
-func (q *fairQueue) remove(i *Item) {
-	i.account.remove(i)
+func (q *fairQueue) remove(r *Request) {
+	r.account.remove(r)
 	q.length--
-	q.backlog -= i.cost
+	q.backlog -= r.cost
 }
 
-// peek returns the request whose turn it is, nil if none waits: of the account with the
-// smallest virtual time, that of its team before its own.
-func (q *fairQueue) peek() *Item {
+// peek returns the next request, or nil if none waits: the first one of the account with the
+// smallest start tag, comparing teams before accounts.
+func (q *fairQueue) peek() *Request {
 	var best *accountFlow
 	for _, t := range q.teams {
 		for _, a := range t.accounts {
-			if len(a.waiting) > 0 && (best == nil || a.before(best)) {
+			if len(a.waiting) > 0 && (best == nil || a.precedes(best)) {
 				best = a
 			}
 		}
@@ -75,47 +75,48 @@
 	return best.waiting[0]
 }
 
-// take takes out a waiting request to be served.
-func (q *fairQueue) take(i *Item, now time.Time) {
-	q.remove(i)
-	q.charge(i, now)
+// dequeue removes a waiting request and charges its flows for it.
+func (q *fairQueue) dequeue(r *Request, now time.Time) {
+	q.remove(r)
+	q.charge(r, now)
 }
 
-// charge moves the virtual times on by the request's cost. Requests that never had to
-// wait are charged too, or an account whose requests come one at a time would get
-// more than its share.
-func (q *fairQueue) charge(i *Item, now time.Time) {
-	i.account.usage.add(i.cost, now)
-	i.account.team.usage.add(i.cost, now)
-	account, team := i.account, i.account.team
-	team.tag = max(team.tag, q.now)
-	account.tag = max(account.tag, team.now)
-	q.now, team.now = team.tag, account.tag
-	team.tag += i.cost / team.weight
-	account.tag += i.cost / account.weight
+// charge advances the virtual times by the request's cost. Requests that never waited are
+// charged too; otherwise an account that sends one request at a time would get more than its
+// share.
+func (q *fairQueue) charge(r *Request, now time.Time) {
+	r.account.usage.add(r.cost, now)
+	r.account.team.usage.add(r.cost, now)
+	account, team := r.account, r.account.team
+	team.startTag = max(team.startTag, q.virtualTime)
+	account.startTag = max(account.startTag, team.virtualTime)
+	q.virtualTime, team.virtualTime = team.startTag, account.startTag
+	team.startTag += r.cost / team.weight
+	account.startTag += r.cost / account.weight
 }
 
-// isLight tells whether an account's team, or the account within its team, has had less
-// than its share lately, what waits included if waiting is set. The virtual times can't tell: right after being
-// served any flow is ahead of them, a small account's second request too.
-func (q *fairQueue) isLight(a *accountFlow, now time.Time, waiting bool) bool {
-	teams := shares{now: now, waiting: waiting}
+// isBelowShare reports whether an account's team, or the account within its team, was recently
+// served less than its share; with includeBacklog, waiting requests count as demand too. Start
+// tags can't answer this: any flow that was just served is ahead of the virtual time, even at a
+// small account's second request.
+func (q *fairQueue) isBelowShare(a *accountFlow, now time.Time, includeBacklog bool) bool {
+	teams := activeFlows{now: now, includeBacklog: includeBacklog}
 	for _, t := range q.teams {
-		teams.add(&t.virtual)
+		teams.add(&t.flow)
 	}
-	if teams.light(&a.team.virtual) {
+	if teams.belowShare(&a.team.flow) {
 		return true
 	}
-	accounts := shares{now: now, waiting: waiting}
+	accounts := activeFlows{now: now, includeBacklog: includeBacklog}
 	for _, other := range a.team.accounts {
-		accounts.add(&other.virtual)
+		accounts.add(&other.flow)
 	}
-	return accounts.light(&a.virtual)
+	return accounts.belowShare(&a.flow)
 }
 
-// share returns the part of the drain rate that an account gets while it waits.
-func (q *fairQueue) share(a *accountFlow) float64 {
-	teams, accounts := 0.0, a.team.weightWaiting()
+// fairShare returns the fraction of the drain rate that an account gets while it waits.
+func (q *fairQueue) fairShare(a *accountFlow) float64 {
+	teams, accounts := 0.0, a.team.waitingWeight()
 	for _, t := range q.teams {
 		if t.active() {
 			teams += t.weight
@@ -130,8 +131,8 @@
 	return a.team.weight / teams * a.weight / accounts
 }
 
-// heaviest returns the account with most waiting for its share.
-func (q *fairQueue) heaviest() *accountFlow {
+// mostBacklogged returns the account with the largest backlog relative to its share.
+func (q *fairQueue) mostBacklogged() *accountFlow {
 	var best *accountFlow
 	most := 0.0
 	for _, t := range q.teams {
@@ -139,20 +140,20 @@
 			if len(a.waiting) == 0 {
 				continue
 			}
-			if over := a.backlog / q.share(a); best == nil || over > most {
-				best, most = a, over
+			if relative := a.backlog / q.fairShare(a); best == nil || relative > most {
+				best, most = a, relative
 			}
 		}
 	}
 	return best
 }
 
-// each calls do for every waiting request; do may remove it.
-func (q *fairQueue) each(do func(*Item)) {
+// forEach calls fn for every waiting request; fn may remove it.
+func (q *fairQueue) forEach(fn func(*Request)) {
 	for _, t := range q.teams {
 		for _, a := range t.accounts {
-			for _, i := range append([]*Item(nil), a.waiting...) {
-				do(i)
+			for _, r := range append([]*Request(nil), a.waiting...) {
+				fn(r)
 			}
 		}
 	}
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -2,60 +2,60 @@
 
 import "slices"
 
-// virtual is the place of a flow in start-time fair queueing.
-type virtual struct {
+// flow is the start-time fair queueing state of a team or an account.
+type flow struct {
 	weight float64
-	// tag is the virtual time at which the flow's next request starts.
-	tag   float64
-	usage usage
-	// backlog is what waits, in tokens.
+	// startTag is the virtual time at which the flow's next request starts.
+	startTag float64
+	usage    usage
+	// backlog is the cost of the waiting requests, in tokens.
 	backlog float64
 }
 
 // accountFlow holds an account's waiting requests, higher priorities first.
 type accountFlow struct {
-	virtual
+	flow
 	name    string
 	team    *teamFlow
-	waiting []*Item
+	waiting []*Request
 }
 
-func (a *accountFlow) push(i *Item) {
+func (a *accountFlow) push(r *Request) {
 	at := len(a.waiting)
-	for at > 0 && a.waiting[at-1].Ask.Priority < i.Ask.Priority {
+	for at > 0 && a.waiting[at-1].Params.Priority < r.Params.Priority {
 		at--
 	}
-	a.waiting = slices.Insert(a.waiting, at, i)
-	a.backlog += i.cost
-	a.team.backlog += i.cost
+	a.waiting = slices.Insert(a.waiting, at, r)
+	a.backlog += r.cost
+	a.team.backlog += r.cost
 }
 
-func (a *accountFlow) remove(i *Item) {
-	at := slices.Index(a.waiting, i)
+func (a *accountFlow) remove(r *Request) {
+	at := slices.Index(a.waiting, r)
 	if at < 0 {
 		return
 	}
 	a.waiting = slices.Delete(a.waiting, at, at+1)
-	a.backlog -= i.cost
-	a.team.backlog -= i.cost
+	a.backlog -= r.cost
+	a.team.backlog -= r.cost
 }
 
-// before tells whether the account's turn comes before another's.
-func (a *accountFlow) before(other *accountFlow) bool {
+// precedes reports whether the account is served before another one.
+func (a *accountFlow) precedes(other *accountFlow) bool {
 	if a.team != other.team {
-		return a.team.tag < other.team.tag
+		return a.team.startTag < other.team.startTag
 	}
-	return a.tag < other.tag
+	return a.startTag < other.startTag
 }
 
-func (a *accountFlow) last() *Item { return a.waiting[len(a.waiting)-1] }
+func (a *accountFlow) last() *Request { return a.waiting[len(a.waiting)-1] }
 
 // teamFlow holds a team's accounts.
 type teamFlow struct {
-	virtual
-	name     string
-	accounts []*accountFlow
-	now      float64
+	flow
+	name        string
+	accounts    []*accountFlow
+	virtualTime float64
 }
 
 func (t *teamFlow) active() bool {
@@ -67,7 +67,7 @@
 	return false
 }
 
-func (t *teamFlow) weightWaiting() float64 {
+func (t *teamFlow) waitingWeight() float64 {
 	sum := 0.0
 	for _, a := range t.accounts {
 		if len(a.waiting) > 0 {
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -3,58 +3,59 @@
 import "lavenderpin.dev/lavenderpin/routing"
 
 const (
-	// limiterGain is the relative change of the limit for each whole slot per slot by
-	// which the upstreams' queues miss the target.
+	// limiterGain is the relative change of the limit per unit by which the waiting ratio
+	// (waiting requests per slot) misses its target.
 	limiterGain = 1.0
-	// limiterSmoothing is the weight of the latest report.
+	// limiterSmoothing is the weight of the latest report in the moving average.
 	limiterSmoothing = 0.5
-	// The bounds of one change. Reports lag, so the limit must not run ahead of them.
-	mostDecrease = 0.10
-	mostIncrease = 0.03
-	// freeShare is the part of the upstreams' free slots that one change may add, so
-	// that a node to which all callers turn isn't held to its small first share for
-	// long while engines idle. Several nodes may do so at once.
-	freeShare = 0.125
+	// Bounds of one relative change. Reports lag, so the limit must not run ahead of them.
+	maxDecrease = 0.10
+	maxIncrease = 0.03
+	// freeSlotFraction is the fraction of the upstreams' free slots that one change may add, so
+	// that a node that suddenly receives all traffic isn't held to its small initial limit for
+	// long while engines idle. Several nodes may do so at the same time.
+	freeSlotFraction = 0.125
 )
 
-// limiter is the number of requests that may be at the upstreams together. Each node
-// keeps its own; all see the same reports, and a node that doesn't use its limit leaves
-// it, so that the others grow into what is free.
+// limiter adapts the number of requests that may be at the upstreams at the same time. Each
+// node has its own limiter, and all see the same reports. A node that doesn't use its limit
+// doesn't raise it, so that the others can grow into the free capacity.
 type limiter struct {
-	limit    float64
-	first    float64
-	share    float64
-	smallest float64
-	largest  float64
+	limit        float64
+	initialLimit float64
+	waitingRatio float64
+	minLimit     float64
+	maxLimit     float64
 }
 
 func newLimiter(s Settings) limiter {
-	return limiter{limit: float64(s.FirstLimit), first: float64(s.FirstLimit), smallest: 1, largest: float64(s.MaxLimit)}
+	return limiter{limit: float64(s.InitialLimit), initialLimit: float64(s.InitialLimit), minLimit: 1, maxLimit: float64(s.MaxLimit)}
 }
 
-// observe takes in what the upstreams report and whether this node's limit is in use.
-// target is the share of their slots that may have a request waiting behind it.
-func (l *limiter) observe(p routing.Pressure, target float64, inUse bool) {
-	l.share += limiterSmoothing * (p.Waiting/p.Slots - l.share)
-	change := l.limit * min(max(limiterGain*(target-l.share), -mostDecrease), mostIncrease)
-	if free := p.Slots - p.Running - p.Waiting; change > 0 && free > 0 {
-		change = max(change, free*freeShare)
+// observe processes the load that the upstreams report and whether this node's limit is in use.
+// targetRatio is the accepted number of waiting requests per slot.
+func (l *limiter) observe(pressure routing.Pressure, targetRatio float64, inUse bool) {
+	l.waitingRatio += limiterSmoothing * (pressure.Waiting/pressure.Slots - l.waitingRatio)
+	change := l.limit * min(max(limiterGain*(targetRatio-l.waitingRatio), -maxDecrease), maxIncrease)
+	if free := pressure.Slots - pressure.Running - pressure.Waiting; change > 0 && free > 0 {
+		change = max(change, free*freeSlotFraction)
 	}
-	bound := l.largest
+	bound := l.maxLimit
 	if !inUse {
-		bound = max(l.first, l.limit)
+		bound = max(l.initialLimit, l.limit)
 	}
-	l.limit = min(max(l.smallest, l.limit+change), bound)
+	l.limit = min(max(l.minLimit, l.limit+change), bound)
 }
 
-// forget goes back towards the first limit when no report is to be had.
-func (l *limiter) forget() {
-	l.share = 0
-	l.limit = max(l.limit, min(l.first, l.limit*(1+mostIncrease)))
+// recoverTowardInitial raises a low limit towards the initial one when no reports are
+// available.
+func (l *limiter) recoverTowardInitial() {
+	l.waitingRatio = 0
+	l.limit = max(l.limit, min(l.initialLimit, l.limit*(1+maxIncrease)))
 }
 
-// configure takes over settings that changed.
+// configure applies changed settings.
 func (l *limiter) configure(s Settings) {
-	l.first, l.largest = float64(s.FirstLimit), float64(s.MaxLimit)
-	l.limit = min(l.limit, l.largest)
+	l.initialLimit, l.maxLimit = float64(s.InitialLimit), float64(s.MaxLimit)
+	l.limit = min(l.limit, l.maxLimit)
 }
--- a/admission/overflow.go
+++ b/admission/overflow.go
@@ -3,31 +3,31 @@
 import "lavenderpin.dev/lavenderpin/routing"
 
 const (
-	// overflowTarget is the part of another region's slots that may be in use for
-	// requests of this region to be sent there: its own callers go first.
-	overflowTarget = 0.8
-	// The parts of what is free, or too much, by which one change moves the overflow.
+	// overflowMaxUtilization is the utilization of another region's slots up to which requests
+	// of this region may be sent there: its own callers have precedence.
+	overflowMaxUtilization = 0.8
+	// Fractions of the free or exceeded capacity by which one change moves the limit.
 	overflowIncrease = 0.125
 	overflowDecrease = 0.25
-	// overflowFade shrinks an overflow that isn't used, or whose region isn't heard of.
-	overflowFade = 0.8
+	// overflowDecay shrinks the limit while it isn't used or the other regions report no load.
+	overflowDecay = 0.8
 )
 
-// overflow is how many requests may be at the upstreams of other regions because this
-// one has no room. Without it requests would be refused while a region idles.
+// overflow limits how many requests may be at the upstreams of other regions when this one is
+// full. Without it requests would be refused while another region idles.
 type overflow struct {
 	limit float64
 }
 
-func (o *overflow) observe(elsewhere routing.Pressure, inUse bool) {
-	free := overflowTarget*elsewhere.Slots - elsewhere.Running - elsewhere.Waiting
+func (o *overflow) observe(remote routing.Pressure, inUse bool) {
+	free := overflowMaxUtilization*remote.Slots - remote.Running - remote.Waiting
 	switch {
-	case elsewhere.Slots <= 0 || !inUse:
-		o.limit *= overflowFade
+	case remote.Slots <= 0 || !inUse:
+		o.limit *= overflowDecay
 	case free > 0:
 		o.limit += overflowIncrease * free
 	default:
 		o.limit = max(0, o.limit+overflowDecrease*free)
 	}
-	o.limit = min(o.limit, overflowTarget*elsewhere.Slots)
+	o.limit = min(o.limit, overflowMaxUtilization*remote.Slots)
 }
--- a/admission/retrybudget.go
+++ b/admission/retrybudget.go
@@ -3,32 +3,32 @@
 import "sync"
 
 const (
-	// RetryShare is how many retries each first attempt pays for.
-	RetryShare = 0.1
-	// retryReserve is the most retries saved up, and what a new budget starts with.
-	retryReserve = 10
+	// RetryRatio is the retry balance that each first attempt adds.
+	RetryRatio = 0.1
+	// maxRetryBalance is the largest balance, and that of a new budget.
+	maxRetryBalance = 10
 )
 
-// RetryBudget bounds the load that retries add. Each node keeps its own, so the
-// fleet's retries stay below the same share of the fleet's requests. Without it a sick
-// engine would multiply the load just when the fleet has least to spare. It is safe
-// for concurrent use.
+// RetryBudget bounds the load that retries add. Each node has its own budget, so the fleet's
+// retries stay below the same ratio of the fleet's requests. Without it a failing engine would
+// multiply the load just when the fleet has the least spare capacity. It is safe for concurrent
+// use.
 type RetryBudget struct {
 	mu      sync.Mutex
 	balance float64
 }
 
-// NewRetryBudget returns a budget with its reserve full.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: retryReserve} }
+// NewRetryBudget returns a budget with a full balance.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: maxRetryBalance} }
 
-// FirstAttempt pays in for a request's first attempt.
+// FirstAttempt credits the budget for a request's first attempt.
 func (b *RetryBudget) FirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(b.balance+RetryShare, retryReserve)
+	b.balance = min(b.balance+RetryRatio, maxRetryBalance)
 }
 
-// TryRetry takes one retry out; false if there is none.
+// TryRetry debits one retry and reports whether the balance allowed it.
 func (b *RetryBudget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Settings of a Core.
+// Settings configures a Scheduler.
 type Settings struct {
-	// MaxQueue is the most requests that wait, of all accounts together.
+	// MaxQueue is the maximum number of waiting requests of all accounts together.
 	MaxQueue int
-	// MaxAccountQueue is the most requests that wait of one account.
+	// MaxAccountQueue is the maximum number of waiting requests of one account.
 	MaxAccountQueue int
-	// MaxWait is the longest that a request waits, whatever its deadline.
+	// MaxWait is the longest time that a request waits, regardless of its deadline.
 	MaxWait time.Duration
-	// StandingWait bounds it instead once requests have waited without a break for
-	// StandingAfter, until none was refused for CalmAfter. A burst may wait, but under
-	// lasting overload a long queue only makes everybody late: it stays full, and as
-	// many are refused as with a short one.
+	// StandingWait replaces MaxWait once requests have waited without a gap for StandingAfter,
+	// until none was refused for ClearAfter. A burst may wait, but under sustained overload a
+	// long queue only makes every answer late: it stays full, and as many requests are refused
+	// as with a short one.
 	StandingWait  time.Duration
 	StandingAfter time.Duration
-	CalmAfter     time.Duration
-	// FirstLimit is the limit to start with, and to come back to when nothing is
-	// known of the upstreams.
-	FirstLimit int
-	// MaxLimit bounds the limit.
+	ClearAfter    time.Duration
+	// InitialLimit is the limit to start with, and to return to when the upstreams report no
+	// load.
+	InitialLimit int
+	// MaxLimit is the upper bound of the limit.
 	MaxLimit int
-	// WaitingShare is the share of the upstreams' slots that may have a request
-	// waiting behind them before the limit falls.
-	WaitingShare float64
-	// LightReserve is the part of the limit that only accounts below their share may use.
-	LightReserve float64
-	// DefaultTokens is the cost of a request that names none.
+	// TargetWaitingRatio is the number of waiting requests per upstream slot above which the
+	// limit falls.
+	TargetWaitingRatio float64
+	// BelowShareReserve is the fraction of the limit that only accounts below their share may
+	// use.
+	BelowShareReserve float64
+	// DefaultTokens is the cost of a request without a token estimate.
 	DefaultTokens float64
 }
 
-// DefaultSettings returns the settings that the experiment of design note 05 favours,
-// for so many upstream slots per node.
+// DefaultSettings returns the settings chosen by the experiment in design note 05, for the
+// given number of upstream slots per node.
 func DefaultSettings(slots int) Settings {
 	return Settings{
-		MaxQueue:        512,
-		MaxAccountQueue: 128,
-		MaxWait:         time.Second,
-		StandingWait:    50 * time.Millisecond,
-		StandingAfter:   time.Second,
-		CalmAfter:       5 * time.Second,
-		FirstLimit:      max(1, slots),
-		MaxLimit:        max(2, 2*slots),
-		WaitingShare:    0.02,
-		LightReserve:    0.2,
-		DefaultTokens:   500,
+		MaxQueue:           512,
+		MaxAccountQueue:    128,
+		MaxWait:            time.Second,
+		StandingWait:       50 * time.Millisecond,
+		StandingAfter:      time.Second,
+		ClearAfter:         5 * time.Second,
+		InitialLimit:       max(1, slots),
+		MaxLimit:           max(2, 2*slots),
+		TargetWaitingRatio: 0.02,
+		BelowShareReserve:  0.2,
+		DefaultTokens:      500,
 	}
 }
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// usageWindow is the time constant with which usage is forgotten.
+// usageWindow is the time constant with which past usage decays.
 const usageWindow = 10 * time.Second
 
-// usage is what a flow was admitted lately, in tokens.
+// usage is a decaying total of what a flow was admitted recently, in tokens.
 type usage struct {
 	tokens float64
 	at     time.Time
 }
 
 func (u *usage) add(cost float64, now time.Time) {
-	u.tokens = u.lately(now) + cost
+	u.tokens = u.recent(now) + cost
 	u.at = now
 }
 
-func (u *usage) lately(now time.Time) float64 {
+func (u *usage) recent(now time.Time) float64 {
 	if u.tokens == 0 {
 		return 0
 	}
