--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,6 +1,6 @@
-// Package directory knows the upstreams that registered themselves: which serve, which
-// are leaving, and what this node learned of each from its own requests.
+// Package directory tracks the upstreams that registered themselves: which of them serve, which
+// are leaving, and the statistics that this node gathered about each from its own requests.
 //
-// Readers take an immutable Snapshot with one atomic load. What changes by the request
-// stands in each upstream's Stats, which outlive a snapshot.
+// Readers take an immutable Snapshot with one atomic load. Values that change with every
+// request are in each upstream's Stats, which outlive a snapshot.
 package directory
--- a/directory/silence.go
+++ b/directory/silence.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Sent notes that a request was sent to the upstream.
-func (s *Stats) Sent(now time.Duration) {
+// RecordSent records that a request was sent to the upstream.
+func (s *Stats) RecordSent(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unanswered = append(s.unanswered, now)
 }
 
-// Settled notes that a request which was sent at a time isn't waited for any more.
-func (s *Stats) Settled(sent time.Duration) {
+// RecordSettled records that the request sent at the given time is no longer awaited.
+func (s *Stats) RecordSettled(sent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := slices.Index(s.unanswered, sent); at >= 0 {
@@ -21,27 +21,28 @@
 	}
 }
 
-// Heard notes that something came from the upstream.
-func (s *Stats) Heard(now time.Duration) {
+// RecordReceived records that data was received from the upstream.
+func (s *Stats) RecordReceived(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heardAt = max(s.heardAt, now)
+	s.receivedAt = max(s.receivedAt, now)
 }
 
-// HeardWithin tells whether anything came from the upstream within a time.
-func (s *Stats) HeardWithin(d, now time.Duration) bool {
+// ReceivedWithin reports whether data was received from the upstream within the window.
+func (s *Stats) ReceivedWithin(window, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heardAt != 0 && now-s.heardAt < d
+	return s.receivedAt != 0 && now-s.receivedAt < window
 }
 
-// Silence returns for how long a request has been waiting while nothing at all came from
-// the upstream. A busy upstream answers others meanwhile; a dark one is silent to all.
+// Silence returns how long a request has been waiting while nothing at all was received from
+// the upstream. A busy upstream answers other requests meanwhile; an unresponsive one answers
+// none.
 func (s *Stats) Silence(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.unanswered) == 0 {
 		return 0
 	}
-	return max(0, now-max(s.heardAt, s.unanswered[0]))
+	return max(0, now-max(s.receivedAt, s.unanswered[0]))
 }
--- a/directory/stats.go
+++ b/directory/stats.go
@@ -8,121 +8,122 @@
 )
 
 const (
-	// failureWindow is the time constant with which failures are forgotten; an
-	// upstream that failed a few times is tried again with a tenth of its suspicion
-	// after about three times this.
+	// failureWindow is the time constant with which failures decay. After about three times
+	// this, a tenth of the score of an upstream that failed a few times is left, and it is
+	// tried again.
 	failureWindow = 4 * time.Second
-	// failureWeight is what one failure adds to the failure estimate: two in a row
-	// outweigh a queue of any usual length.
+	// failureWeight is what one failure adds to the failure score: two in a row outweigh a
+	// queue of any usual length.
 	failureWeight = 0.35
-	// successKeeps is the part of the failure estimate that outlives a whole answer:
-	// after three in a row half of it is left, so that an upstream that fails two
+	// successRetention is the fraction of the failure score that remains after a complete
+	// response: after three in a row half of it is left, so that an upstream that fails two
 	// requests in five stays suspect.
-	successKeeps = 0.8
+	successRetention = 0.8
 )
 
-// Stats is what this node learned of one incarnation of an upstream from its own
-// requests. It is safe for concurrent use.
+// Stats holds what this node observed of one incarnation of an upstream in its own requests. It
+// is safe for concurrent use.
 type Stats struct {
-	// InFlight counts this node's open requests, PromptInFlight the prompt tokens of
-	// those that have not answered yet.
+	// InFlight counts this node's open requests, PromptInFlight the prompt tokens of those
+	// without a response so far.
 	InFlight, PromptInFlight atomic.Int64
 
-	mu         sync.Mutex
-	running    int
-	waiting    int
-	loadAt     time.Duration
-	failure    float64
-	failureAt  time.Duration
-	darkUntil  time.Duration
-	darkInARow int
-	// unanswered holds when each request was sent that nothing came back for yet, the oldest
-	// first; heardAt is when anything last came from the upstream.
+	mu                     sync.Mutex
+	running                int
+	waiting                int
+	loadAt                 time.Duration
+	failureScore           float64
+	failureAt              time.Duration
+	backoffUntil           time.Duration
+	consecutiveUnreachable int
+	// unanswered holds the send times of requests for which nothing was received yet, oldest
+	// first; receivedAt is when anything was last received from the upstream.
 	unanswered []time.Duration
-	heardAt    time.Duration
-	// firstWait is how long the last first answer took, as of firstAt.
-	firstWait, firstAt time.Duration
+	receivedAt time.Duration
+	// responseWait is the last observed wait for the start of a response, as of
+	// responseStartedAt.
+	responseWait, responseStartedAt time.Duration
 }
 
-// Load is what an upstream last told of its load.
+// Load is the last load that an upstream reported.
 type Load struct {
 	Running, Waiting int
-	// At is the boot clock when it was told; zero if never.
+	// At is the boot clock time of the report; zero if there was none.
 	At time.Duration
 }
 
-// ObserveLoad keeps what an answer told of the upstream's load.
+// ObserveLoad stores the load that a response reported.
 func (s *Stats) ObserveLoad(running, waiting int, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running, s.waiting, s.loadAt = running, waiting, now
 }
 
-// Load returns the last load told.
+// Load returns the last reported load.
 func (s *Stats) Load() Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Load{Running: s.running, Waiting: s.waiting, At: s.loadAt}
 }
 
-// Fail counts a request that the upstream spoiled: an error, a broken answer, silence.
-func (s *Stats) Fail(now time.Duration) {
+// RecordFailure counts a request that the upstream failed: an error, a malformed response or
+// silence.
+func (s *Stats) RecordFailure(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.failure += failureWeight
+	s.failureScore += failureWeight
 }
 
-// Succeed counts a whole answer.
-func (s *Stats) Succeed(now time.Duration) {
+// RecordSuccess counts a complete response.
+func (s *Stats) RecordSuccess(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.failure *= successKeeps
-	s.darkInARow = 0
-	s.darkUntil = 0
+	s.failureScore *= successRetention
+	s.consecutiveUnreachable = 0
+	s.backoffUntil = 0
 }
 
-// Unreachable counts a connection that could not be made or a request that nothing came
-// back for. Each one in a row doubles the time for which the upstream is left alone,
-// from darkFirst to darkMost.
-func (s *Stats) Unreachable(now time.Duration) {
+// RecordUnreachable counts a failed connection attempt or a request without any response. Each
+// consecutive one doubles the backoff, from initialBackoff up to maxBackoff.
+func (s *Stats) RecordUnreachable(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.failure += failureWeight
-	pause := min(darkMost, darkFirst<<min(s.darkInARow, 4))
-	s.darkInARow++
-	s.darkUntil = now + pause
+	s.failureScore += failureWeight
+	backoff := min(maxBackoff, initialBackoff<<min(s.consecutiveUnreachable, 4))
+	s.consecutiveUnreachable++
+	s.backoffUntil = now + backoff
 }
 
 const (
-	// darkFirst is the pause after one failed connection: long enough that the other
+	// initialBackoff is the backoff after one failed connection: long enough that the other
 	// requests of that moment go elsewhere.
-	darkFirst = 500 * time.Millisecond
-	// darkMost bounds the pause, so that an upstream that came back is used again
-	// within the time that callers keep trying.
-	darkMost = 3 * time.Second
+	initialBackoff = 500 * time.Millisecond
+	// maxBackoff bounds the backoff, so that a recovered upstream is used again while callers
+	// are still retrying.
+	maxBackoff = 3 * time.Second
 )
 
-// Dark tells whether the upstream should be left alone now.
-func (s *Stats) Dark(now time.Duration) bool {
+// InBackoff reports whether the upstream should not be used now.
+func (s *Stats) InBackoff(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now < s.darkUntil
+	return now < s.backoffUntil
 }
 
-// Failure estimates how likely the next request fails, from zero up.
-func (s *Stats) Failure(now time.Duration) float64 {
+// FailureScore estimates how likely the next request is to fail; it is zero or more.
+func (s *Stats) FailureScore(now time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	return s.failure
+	return s.failureScore
 }
 
 func (s *Stats) decay(now time.Duration) {
-	if passed := now - s.failureAt; passed > 0 {
-		s.failure *= math.Exp(-passed.Seconds() / failureWindow.Seconds())
+	if elapsed := now - s.failureAt; elapsed > 0 {
+		s.failureScore *= math.Exp(-elapsed.Seconds() / failureWindow.Seconds())
 	}
 	s.failureAt = now
 }
--- a/directory/table.go
+++ b/directory/table.go
@@ -11,93 +11,93 @@
 )
 
 const (
-	// doubtFor is how long an upstream whose entry vanished may still be used when its
-	// service has no other. Entries that lapsed with the store come back about two
-	// seconds after it; a leaving upstream serves longer than that after its entry went.
-	doubtFor = 2200 * time.Millisecond
-	// storeAwayWithin is how recently reading the store must have failed for a vanished
-	// entry to count as lapsed with the store rather than as a leaving upstream.
-	storeAwayWithin = 5 * time.Second
+	// staleTTL is how long an upstream whose entry vanished may still be used when its service
+	// has no other. Entries that expired during a store outage return about two seconds after
+	// the store; a leaving upstream keeps serving longer than that after its entry was removed.
+	staleTTL = 2200 * time.Millisecond
+	// storeFailureWindow is how recently reading the store must have failed for a vanished
+	// entry to be attributed to the store outage rather than to a leaving upstream.
+	storeFailureWindow = 5 * time.Second
 )
 
-// Snapshot is the upstreams of each service at one moment. It is never changed.
+// Snapshot holds the upstreams of each service at one point in time. It is immutable.
 type Snapshot struct {
 	services map[string][]*Upstream
 }
 
-// Upstreams returns those of a service that are ready or doubted.
+// Upstreams returns the upstreams of a service that are ready, including stale ones.
 func (s *Snapshot) Upstreams(service string) []*Upstream { return s.services[service] }
 
-// Table follows the upstreams' entries. It is safe for concurrent use.
+// Table tracks the upstreams' entries. It is safe for concurrent use.
 type Table struct {
 	clock bootclock.Clock
 
 	mu      sync.Mutex
 	entries map[string]*Upstream
-	// storeLost is when reading the store last failed; zero if never.
-	storeLost time.Duration
-	current   atomic.Pointer[Snapshot]
-	// listed is closed once entries were taken over all at once, as a first reading does.
-	listed    chan struct{}
-	listedYet sync.Once
+	// storeFailedAt is when reading the store last failed; zero if never.
+	storeFailedAt time.Duration
+	current       atomic.Pointer[Snapshot]
+	// synced is closed once Replace has been called, which the first full read does.
+	synced     chan struct{}
+	syncedOnce sync.Once
 }
 
 // NewTable returns an empty table.
 func NewTable(clock bootclock.Clock) *Table {
-	t := &Table{clock: clock, entries: make(map[string]*Upstream), listed: make(chan struct{})}
+	t := &Table{clock: clock, entries: make(map[string]*Upstream), synced: make(chan struct{})}
 	t.current.Store(&Snapshot{})
 	return t
 }
 
-// Current returns the newest snapshot without locking.
+// Current returns the latest snapshot without locking.
 func (t *Table) Current() *Snapshot { return t.current.Load() }
 
-// StoreLost notes that the entries couldn't be read.
-func (t *Table) StoreLost() {
+// RecordStoreFailure records that the entries couldn't be read.
+func (t *Table) RecordStoreFailure() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.storeLost = t.clock.Now()
+	t.storeFailedAt = t.clock.Now()
 }
 
 // Change is how an entry changed the table, for logs.
 type Change int
 
 const (
-	// Unchanged: nothing that a request could notice.
+	// Unchanged means that nothing changed that a request could notice.
 	Unchanged Change = iota
-	// Joined: a new upstream or a new incarnation.
+	// Joined means a new upstream or a new incarnation.
 	Joined
-	// Left: the upstream drains or is gone.
+	// Left means that the upstream drains or is gone.
 	Left
 )
 
-// Put takes an entry over.
+// Put applies an entry.
 func (t *Table) Put(e Entry) Change { return t.Apply([]Update{{Entry: e}})[0] }
 
-// Remove takes note that an entry is gone and tells whether it was in use.
+// Remove applies the removal of an entry and reports whether it was in use.
 func (t *Table) Remove(id string) bool {
-	return t.Apply([]Update{{Entry: Entry{ID: id}, Gone: true}})[0] == Left
+	return t.Apply([]Update{{Entry: Entry{ID: id}, Removed: true}})[0] == Left
 }
 
-// Update is news of one upstream.
+// Update is a change to one upstream's entry.
 type Update struct {
-	// Entry is what it wrote; of one that is gone, the ID alone.
-	Entry Entry
-	Gone  bool
+	// Entry is the new entry; for a removed one only its ID.
+	Entry   Entry
+	Removed bool
 }
 
-// Apply takes updates over in order and tells what each of them changed.
+// Apply applies updates in order and returns what each of them changed.
 //
-// The snapshot is made once for all of them. It holds all upstreams in order: made for each
-// update, three thousand upstreams that register within seconds cost a node minutes of its
-// processor, and configurations waited behind them.
+// The snapshot is built once for all of them because it holds every upstream, sorted. Built for
+// each update, it cost a node minutes of CPU time when three thousand upstreams registered
+// within seconds, and configuration changes were delayed behind it.
 func (t *Table) Apply(updates []Update) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changes := make([]Change, len(updates))
 	for i, u := range updates {
 		switch {
-		case !u.Gone:
+		case !u.Removed:
 			changes[i] = t.put(u.Entry)
 		case t.remove(u.Entry.ID):
 			changes[i] = Left
@@ -108,20 +108,20 @@
 }
 
 func (t *Table) put(e Entry) Change {
-	old, known := t.entries[e.ID]
-	if known && !e.follows(old.Entry) {
+	old, exists := t.entries[e.ID]
+	if exists && !e.supersedes(old.Entry) {
 		return Unchanged
 	}
 	u := &Upstream{Entry: e, Stats: &Stats{}}
-	reborn := known && (e.Born != old.Born || e.Address != old.Address || e.Service != old.Service)
-	if known && !reborn {
+	restarted := exists && (e.StartedAt != old.StartedAt || e.Address != old.Address || e.Service != old.Service)
+	if exists && !restarted {
 		u.Stats = old.Stats
 	}
 	t.entries[e.ID] = u
 	switch {
-	case e.State == Draining && (!known || old.State != Draining):
+	case e.State == Draining && (!exists || old.State != Draining):
 		return Left
-	case !known || reborn || old.DoubtedUntil != 0 || old.State != e.State:
+	case !exists || restarted || old.StaleUntil != 0 || old.State != e.State:
 		return Joined
 	default:
 		return Unchanged
@@ -129,25 +129,25 @@
 }
 
 func (t *Table) remove(id string) bool {
-	old, known := t.entries[id]
-	if !known {
+	old, exists := t.entries[id]
+	if !exists {
 		return false
 	}
 	now := t.clock.Now()
-	lapsed := t.storeLost != 0 && now-t.storeLost < storeAwayWithin && old.State == Ready
-	if !lapsed {
+	expiredWithStore := t.storeFailedAt != 0 && now-t.storeFailedAt < storeFailureWindow && old.State == Ready
+	if !expiredWithStore {
 		delete(t.entries, id)
 		return true
 	}
-	if old.DoubtedUntil == 0 {
-		doubted := *old
-		doubted.DoubtedUntil = now + doubtFor
-		t.entries[id] = &doubted
+	if old.StaleUntil == 0 {
+		stale := *old
+		stale.StaleUntil = now + staleTTL
+		t.entries[id] = &stale
 	}
 	return true
 }
 
-// Replace takes over all entries at once, as after the store's history was lost.
+// Replace replaces all entries at once, for example after the store lost its history.
 func (t *Table) Replace(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,20 +162,20 @@
 		}
 	}
 	t.publish()
-	t.listedYet.Do(func() { close(t.listed) })
+	t.syncedOnce.Do(func() { close(t.synced) })
 }
 
-// Listed returns a channel that is closed once all entries were read.
-func (t *Table) Listed() <-chan struct{} { return t.listed }
+// Synced returns a channel that is closed once all entries were read.
+func (t *Table) Synced() <-chan struct{} { return t.synced }
 
-// Expire drops doubted upstreams whose time is over.
+// Expire removes stale upstreams whose time has passed.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	expired := false
 	for id, u := range t.entries {
-		if u.DoubtedUntil != 0 && now >= u.DoubtedUntil {
+		if u.StaleUntil != 0 && now >= u.StaleUntil {
 			delete(t.entries, id)
 			expired = true
 		}
@@ -185,7 +185,7 @@
 	}
 }
 
-// publish makes a new snapshot. Caller holds mu.
+// publish builds and stores a new snapshot. The caller must hold mu.
 func (t *Table) publish() {
 	s := &Snapshot{services: make(map[string][]*Upstream)}
 	for _, u := range t.entries {
--- a/directory/upstream.go
+++ b/directory/upstream.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// State is what an upstream says of itself.
+// State is the state that an upstream reports in its entry.
 type State int
 
 const (
-	// Ready upstreams take work.
+	// Ready upstreams accept requests.
 	Ready State = iota + 1
-	// Draining upstreams finish what they have and leave.
+	// Draining upstreams finish their open requests and leave.
 	Draining
 )
 
-// Entry is what an upstream wrote about itself.
+// Entry is an upstream's registration, written by the upstream itself.
 type Entry struct {
 	ID         string
 	Service    string
@@ -22,27 +22,27 @@
 	State      State
 	// Warmup is how much longer the upstream stays slow after its start.
 	Warmup time.Duration
-	// Born is when this incarnation started, in Unix milliseconds, zero if unsaid; an
-	// upstream may start again under the same ID and then holds nothing of before.
-	Born int64
+	// StartedAt is when this incarnation started, in Unix milliseconds; zero if not given. An
+	// upstream may restart under the same ID and then holds nothing from before.
+	StartedAt int64
 	// Sequence counts the entries of one incarnation.
 	Sequence int64
 }
 
-// follows tells whether e is a newer statement than old. Late deliveries of an earlier
-// incarnation's entries must not bring it back.
-func (e Entry) follows(old Entry) bool {
-	if e.Born != old.Born && e.Born != 0 && old.Born != 0 {
-		return e.Born > old.Born
+// supersedes reports whether e is newer than old. Late deliveries of an earlier incarnation's
+// entries must not bring it back.
+func (e Entry) supersedes(old Entry) bool {
+	if e.StartedAt != old.StartedAt && e.StartedAt != 0 && old.StartedAt != 0 {
+		return e.StartedAt > old.StartedAt
 	}
 	return e.Sequence >= old.Sequence
 }
 
-// Upstream is one incarnation of an upstream with what this node learned of it.
+// Upstream is one incarnation of an upstream with this node's statistics about it.
 type Upstream struct {
 	Entry
 	*Stats
-	// DoubtedUntil, by the boot clock, is set for an upstream whose entry vanished
-	// while the store was away: it may still serve, and only as the last resort.
-	DoubtedUntil time.Duration
+	// StaleUntil, by the boot clock, is set for an upstream whose entry vanished during a store
+	// outage: it may still serve, but is used only as a last resort.
+	StaleUntil time.Duration
 }
--- a/directory/wait.go
+++ b/directory/wait.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// waitFades is the time constant with which a wait that was seen is forgotten. A queue
-	// that began to answer on time is believed within some seconds.
-	waitFades = 700 * time.Millisecond
-	// waitKeeps is the part of the wait seen before that outlives a shorter one: answers of
-	// cached prompts overtake others, and say little about the queue.
-	waitKeeps = 0.75
+	// waitDecayTime is the time constant with which an observed wait decays. A queue that
+	// starts responding on time again is trusted within some seconds.
+	waitDecayTime = 700 * time.Millisecond
+	// waitRetention is the fraction of the previous wait that remains after a shorter one:
+	// responses to cached prompts overtake others, and say little about the queue.
+	waitRetention = 0.75
 )
 
-// Began notes that the answer to a request began after a wait.
-func (s *Stats) Began(wait, now time.Duration) {
+// RecordResponseStart records that the response to a request started after the given wait.
+func (s *Stats) RecordResponseStart(wait, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.firstWait, s.firstAt = max(wait, time.Duration(waitKeeps*float64(s.faded(now)))), now
+	s.responseWait, s.responseStartedAt = max(wait, time.Duration(waitRetention*float64(s.decayedWait(now)))), now
 }
 
-// Wait estimates how long a request waits now until its answer begins: as long as the last
-// ones did, and no less than one has waited here while none began. A single long prompt that
-// others overtake says nothing of them.
-func (s *Stats) Wait(now time.Duration) time.Duration {
+// EstimatedWait estimates how long a request sent now waits until its response starts: as long
+// as the last observed waits, and at least as long as a request has been waiting here without
+// any response starting. A single long prompt that others overtake says nothing about them.
+func (s *Stats) EstimatedWait(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := s.faded(now)
+	wait := s.decayedWait(now)
 	if len(s.unanswered) > 0 {
-		wait = max(wait, now-max(s.unanswered[0], s.firstAt))
+		wait = max(wait, now-max(s.unanswered[0], s.responseStartedAt))
 	}
 	return wait
 }
 
-// faded is what is left of the last wait seen. Caller holds mu.
-func (s *Stats) faded(now time.Duration) time.Duration {
-	return time.Duration(float64(s.firstWait) * math.Exp(-(now-s.firstAt).Seconds()/waitFades.Seconds()))
+// decayedWait returns what remains of the last observed wait. The caller must hold mu.
+func (s *Stats) decayedWait(now time.Duration) time.Duration {
+	return time.Duration(float64(s.responseWait) * math.Exp(-(now-s.responseStartedAt).Seconds()/waitDecayTime.Seconds()))
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -134,8 +134,8 @@
 func (c *call) observe(u *directory.Upstream, unreachable bool) {
 	now := c.g.Clock.Now()
 	if unreachable {
-		u.Unreachable(now)
+		u.RecordUnreachable(now)
 		return
 	}
-	u.Fail(now)
+	u.RecordFailure(now)
 }
--- a/placement/picker.go
+++ b/placement/picker.go
@@ -39,7 +39,7 @@
 	for _, lastResort := range []bool{false, true} {
 		home := p.home(q, upstreams)
 		for _, u := range upstreams {
-			if q.tried(u) || u.Dark(q.Now) != lastResort {
+			if q.tried(u) || u.InBackoff(q.Now) != lastResort {
 				continue
 			}
 			best.Candidates++
@@ -58,7 +58,7 @@
 
 // Observe notes that an upstream read a request's prompt.
 func (p *Picker) Observe(q *Query, u *directory.Upstream) {
-	p.memory.Observe(u.ID, u.Born, q.shared(), q.Now)
+	p.memory.Observe(u.ID, u.StartedAt, q.shared(), q.Now)
 }
 
 // home is the engine that all nodes send a shared prompt to, so that they find it in one
@@ -75,7 +75,7 @@
 	var home *directory.Upstream
 	var top uint64
 	for _, u := range upstreams {
-		if !anywhere && u.DataCentre != q.DataCentre || u.Dark(q.Now) || u.DoubtedUntil != 0 {
+		if !anywhere && u.DataCentre != q.DataCentre || u.InBackoff(q.Now) || u.StaleUntil != 0 {
 			continue
 		}
 		if rank := xxhash.Sum64String(key + "\x00" + u.ID); home == nil || rank > top {
@@ -100,7 +100,7 @@
 
 func (p *Picker) score(q *Query, u *directory.Upstream, missing int) time.Duration {
 	s := &p.settings
-	score := time.Duration(u.Failure(q.Now) * float64(s.Failure))
+	score := time.Duration(u.FailureScore(q.Now) * float64(s.Failure))
 	switch {
 	case u.DataCentre == q.DataCentre:
 	case p.regions[u.DataCentre] == q.Region:
@@ -108,7 +108,7 @@
 	default:
 		score += s.OtherRegion
 	}
-	if u.DoubtedUntil != 0 {
+	if u.StaleUntil != 0 {
 		score += s.Doubted
 	}
 	score += u.Warmup / warmupPart
@@ -136,7 +136,7 @@
 	if home || q.PromptTokens == 0 {
 		return 0
 	}
-	return sharedTokens(q.shared()) - p.memory.Cached(u.ID, u.Born, q.shared(), q.Now)
+	return sharedTokens(q.shared()) - p.memory.Cached(u.ID, u.StartedAt, q.shared(), q.Now)
 }
 
 // promptTime is the time to read the prompts ahead and what the engine lacks of this one.
