--- a/upstream/client.go
+++ b/upstream/client.go
@@ -7,31 +7,31 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// ChatRequest is one completion asked of an engine.
+// ChatRequest is a completion request to an engine.
 type ChatRequest struct {
 	// ID is echoed by the engine with every chunk.
 	ID string
-	// Body is the OpenAI-style request body, with streaming and usage switched on.
+	// Body is the OpenAI-style request body, with streaming and usage enabled.
 	Body []byte
-	// NotAfter is when the node's right to have the request run ends; zero for never.
-	// An upstream that checks it refuses a request that arrives later.
+	// NotAfter is when the node's right to have the request run ends; zero for never. An
+	// upstream that checks it refuses a request that arrives later.
 	NotAfter time.Time
 }
 
-// ChatStream is an answer in progress. Close must be called once.
+// ChatStream is a response in progress. Close must be called once.
 type ChatStream interface {
-	// Next returns the next chunk; io.EOF after an answer that ended whole.
+	// Next returns the next chunk, or io.EOF after a complete response.
 	Next() (Chunk, error)
 	Close()
 }
 
-// Chunk is one piece of an answer.
+// Chunk is one event of a streamed response.
 type Chunk struct {
-	// Number of the chunk within the engine's stream, from 0.
+	// Number is the chunk's position in the engine's stream, from 0.
 	Number uint64
-	// Data is the chunk as the engine sent it.
+	// Data is the chunk as sent by the engine.
 	Data []byte
-	// Content is the text within.
+	// Content is the text in the chunk.
 	Content string
 	// FinishReason is set on the last chunk with content.
 	FinishReason string
@@ -39,60 +39,60 @@
 	Usage *Usage
 }
 
-// Usage is what an engine counted for one request, in tokens.
+// Usage is an engine's token count for one request.
 type Usage struct {
 	PromptTokens     uint64 `json:"prompt_tokens"`
 	CompletionTokens uint64 `json:"completion_tokens"`
 }
 
-// Total returns prompt and completion together.
+// Total returns the sum of prompt and completion tokens.
 func (u Usage) Total() uint64 { return u.PromptTokens + u.CompletionTokens }
 
-// UsageState is what an engine knows of a request.
+// UsageState is the state of a request as known to an engine.
 type UsageState string
 
 // The states of a request at an engine.
 const (
-	// UsageUnknown: the engine never saw the request, or has forgotten it.
+	// UsageUnknown means that the engine never received the request, or no longer remembers it.
 	UsageUnknown  UsageState = "unknown"
 	UsageRunning  UsageState = "running"
 	UsageFinished UsageState = "finished"
 )
 
-// UsageReport is an engine's answer about one request.
+// UsageReport is an engine's state and token count of one request.
 type UsageReport struct {
 	State UsageState `json:"state"`
 	Usage
 }
 
-// CallRequest is one call of a plain service.
+// CallRequest is a call to a plain service.
 type CallRequest struct {
 	ID      string
 	Method  string
 	Path    string
 	Headers map[string]string
 	Body    []byte
-	// Once is set for a call that must not be sent twice.
-	Once bool
-	// NotAfter is as in ChatRequest.
+	// NoResend is set for a call that must not be sent twice.
+	NoResend bool
+	// NotAfter has the same meaning as in ChatRequest.
 	NotAfter time.Time
 }
 
-// CallAnswer is a plain service's whole answer.
-type CallAnswer struct {
+// CallResponse is a plain service's complete response.
+type CallResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Client asks upstreams. Errors are result errors: NoUpstream when nothing was
-// sent, RequestExpired when the upstream refused it as too late, UpstreamFailed or
-// OutcomeUnknown when something may have run.
+// Client sends requests to upstreams. Errors are result errors: NoUpstream if nothing was sent,
+// RequestExpired if the upstream refused the request as too late, UpstreamFailed or
+// OutcomeUnknown if it may have run.
 type Client interface {
 	Chat(ctx context.Context, to *operatorv1.Upstream, r ChatRequest) (ChatStream, error)
-	Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallAnswer, error)
-	// Usage asks an engine what it counted for a request, after the node that ran
-	// it died. An engine remembers finished requests for a while.
+	Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallResponse, error)
+	// Usage asks an engine for its token count of a request after the node that ran it has
+	// died. An engine remembers finished requests for a while.
 	Usage(ctx context.Context, to *operatorv1.Upstream, id string) (UsageReport, error)
 	// Cancel tells an engine to stop a request.
 	Cancel(ctx context.Context, to *operatorv1.Upstream, id string) error
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,6 +1,6 @@
-// Package upstream speaks to model engines and plain services over HTTP.
+// Package upstream is the HTTP client for model engines and plain services.
 //
-// Every answer is matched to the request that it was asked for, and counts as
-// whole only with its terminal marker: an engine that crosses answers or ends a
-// stream early is found out here, before anything wrong reaches a caller.
+// Every response is matched to its request and counts as complete only with its terminal
+// marker: an engine that mixes up responses or ends a stream early is detected here, before
+// wrong data reaches a caller.
 package upstream
--- a/upstream/http.go
+++ b/upstream/http.go
@@ -18,7 +18,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Statuses that tell what to do.
+// Status codes with special handling.
 const (
 	statusOK            = 200
 	statusBadRequest    = 400
@@ -30,59 +30,59 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// readTimeout bounds the silence within an answer: an engine that hangs is
-	// given up on, whatever its connection says.
-	readTimeout    = 30 * time.Second
-	maxConnections = 4096
-	idleConnection = 30 * time.Second
-	// maxAnswer bounds the answer of a plain service, in bytes.
-	maxAnswer = 8 << 20
+	// readTimeout bounds the time without data within a response: an engine that hangs is
+	// abandoned even if its connection stays open.
+	readTimeout     = 30 * time.Second
+	maxConnsPerHost = 4096
+	idleConnTimeout = 30 * time.Second
+	// maxResponseBytes bounds the response of a plain service.
+	maxResponseBytes = 8 << 20
 )
 
-// HeaderRequestID names a request; upstreams must echo it.
+// HeaderRequestID carries the request ID; upstreams must echo it.
 const HeaderRequestID = "X-Request-Id"
 
 // HTTPClient implements Client.
 type HTTPClient struct {
-	client *client.Client
-	// once opens a connection for each call. The library sends PUT and DELETE again
-	// by itself when a kept connection turns out closed, though the upstream may have
-	// run the first one: a work order would be filed twice. And a POST on a kept
-	// connection that the upstream had closed unused would end as "outcome unknown".
-	once *client.Client
+	pooled *client.Client
+	// unpooled opens a new connection for each call. On pooled connections the library resends
+	// PUT and DELETE by itself if the connection turns out to be closed, although the upstream
+	// may have run the first one: a work order would be filed twice. And a POST on a pooled
+	// connection that the upstream closed while idle would end as "outcome unknown".
+	unpooled *client.Client
 }
 
 var _ Client = (*HTTPClient)(nil)
 
 // NewHTTPClient returns a client with its own connection pool.
-func NewHTTPClient() (*HTTPClient, error) { return NewHTTPClientWithSilence(readTimeout) }
+func NewHTTPClient() (*HTTPClient, error) { return NewHTTPClientWithReadTimeout(readTimeout) }
 
-// NewHTTPClientWithSilence returns a client that gives an upstream up after it was
-// silent for so long within an answer.
-func NewHTTPClientWithSilence(silence time.Duration) (*HTTPClient, error) {
-	kept, err := newClient(client.WithClientReadTimeout(silence))
+// NewHTTPClientWithReadTimeout returns a client that abandons an upstream that sends no data
+// for the given time within a response.
+func NewHTTPClientWithReadTimeout(timeout time.Duration) (*HTTPClient, error) {
+	keepAlive, err := newClient(client.WithClientReadTimeout(timeout))
 	if err != nil {
-		return nil, errors.Annotate(err, "upstream client")
+		return nil, errors.Annotate(err, "create upstream HTTP client")
 	}
-	once, err := newClient(client.WithClientReadTimeout(silence), client.WithKeepAlive(false))
+	unpooled, err := newClient(client.WithClientReadTimeout(timeout), client.WithKeepAlive(false))
 	if err != nil {
-		return nil, errors.Annotate(err, "upstream client")
+		return nil, errors.Annotate(err, "create upstream HTTP client")
 	}
-	return &HTTPClient{client: kept, once: once}, nil
+	return &HTTPClient{pooled: keepAlive, unpooled: unpooled}, nil
 }
 
-func newClient(more ...config.ClientOption) (*client.Client, error) {
+func newClient(options ...config.ClientOption) (*client.Client, error) {
 	return client.NewClient(append([]config.ClientOption{
 		client.WithDialTimeout(dialTimeout),
-		client.WithMaxConnsPerHost(maxConnections),
-		client.WithMaxIdleConnDuration(idleConnection),
+		client.WithMaxConnsPerHost(maxConnsPerHost),
+		client.WithMaxIdleConnDuration(idleConnTimeout),
 		client.WithResponseBodyStream(true),
 		client.WithDialer(standard.NewDialer()),
-	}, more...)...)
+	}, options...)...)
 }
 
-// Close drops idle connections.
-func (c *HTTPClient) Close() { c.client.CloseIdleConnections() }
+// Close closes idle connections.
+func (c *HTTPClient) Close() { c.pooled.CloseIdleConnections() }
 
 // Chat implements Client.
 func (c *HTTPClient) Chat(ctx context.Context, to *operatorv1.Upstream, r ChatRequest) (ChatStream, error) {
@@ -93,65 +93,66 @@
 	request.Header.Set(HeaderRequestID, r.ID)
 	request.SetBody(r.Body)
 	setNotAfter(request, r.NotAfter)
-	return c.stream(ctx, to, request, streamAsk{id: r.ID, notAfter: r.NotAfter})
+	return c.stream(ctx, to, request, streamParams{id: r.ID, notAfter: r.NotAfter})
 }
 
-// streamAsk is what was asked of an engine that answers with an event stream.
-type streamAsk struct {
+// streamParams describes a request that is answered with an event stream.
+type streamParams struct {
 	id string
-	// from is the number of the first chunk wanted.
+	// from is the number of the first chunk requested.
 	from     uint64
 	notAfter time.Time
 }
 
-// stream sends a request that an event stream answers; it takes the request over.
-func (c *HTTPClient) stream(ctx context.Context, to *operatorv1.Upstream, request *protocol.Request, ask streamAsk) (ChatStream, error) {
-	response, err := send(ctx, c.client, request)
+// stream sends a request that is answered with an event stream; it takes ownership of the
+// request.
+func (c *HTTPClient) stream(ctx context.Context, to *operatorv1.Upstream, request *protocol.Request, params streamParams) (ChatStream, error) {
+	response, err := send(ctx, c.pooled, request)
 	if err != nil {
 		return nil, sendError(to, err)
 	}
-	if late := expired(to, response, ask.notAfter); late != nil {
+	if lateErr := expiredError(to, response, params.notAfter); lateErr != nil {
 		protocol.ReleaseResponse(response)
-		return nil, late
+		return nil, lateErr
 	}
 	switch status := response.StatusCode(); status {
 	case statusOK:
-		return newHTTPStream(ctx, to.GetName(), ask.id, ask.from, response)
+		return newHTTPStream(ctx, to.GetName(), params.id, params.from, response)
 	case statusNotFound, statusGone:
 		protocol.ReleaseResponse(response)
 		return nil, result.New(result.StreamLost, "%s doesn't hold the stream", to.GetName())
 	case statusBadRequest, statusUnprocessable:
 		body := string(response.Body())
 		protocol.ReleaseResponse(response)
-		return nil, result.New(result.MalformedRequest, "%s refused the request: %s", to.GetName(), clip(body))
+		return nil, result.New(result.MalformedRequest, "%s refused the request: %s", to.GetName(), truncate(body))
 	default:
 		body := string(response.Body())
 		protocol.ReleaseResponse(response)
-		return nil, result.New(result.UpstreamFailed, "%s answered %d: %s", to.GetName(), status, clip(body))
+		return nil, result.New(result.UpstreamFailed, "%s answered %d: %s", to.GetName(), status, truncate(body))
 	}
 }
 
-// send sends a request and returns as soon as the answer's head is there or ctx
-// ends. The library heeds no context once it has begun, so a caller that leaves
-// would hold its tokens until an engine that hangs is given up on.
-func send(ctx context.Context, by *client.Client, request *protocol.Request) (*protocol.Response, error) {
-	sent := make(chan sentResult, 1)
+// send sends a request and returns as soon as the response header has arrived or ctx ends. The
+// library ignores the context once it has started, so the tokens of a caller that disconnects
+// would stay reserved until a hanging engine times out.
+func send(ctx context.Context, httpClient *client.Client, request *protocol.Request) (*protocol.Response, error) {
+	results := make(chan sendResult, 1)
 	go func() {
 		response := protocol.AcquireResponse()
-		err := by.Do(ctx, request, response)
+		err := httpClient.Do(ctx, request, response)
 		protocol.ReleaseRequest(request)
 		if err != nil {
 			protocol.ReleaseResponse(response)
 			response = nil
 		}
-		sent <- sentResult{response, err}
+		results <- sendResult{response, err}
 	}()
 	select {
-	case done := <-sent:
-		return done.response, done.err
+	case r := <-results:
+		return r.response, r.err
 	case <-ctx.Done():
 		go func() {
-			if late := <-sent; late.response != nil {
+			if late := <-results; late.response != nil {
 				_ = late.response.CloseBodyStream()
 				protocol.ReleaseResponse(late.response)
 			}
@@ -160,13 +161,13 @@
 	}
 }
 
-type sentResult struct {
+type sendResult struct {
 	response *protocol.Response
 	err      error
 }
 
 // Call implements Client.
-func (c *HTTPClient) Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallAnswer, error) {
+func (c *HTTPClient) Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallResponse, error) {
 	request := protocol.AcquireRequest()
 	request.SetMethod(r.Method)
 	request.SetRequestURI("http://" + to.GetAddress() + r.Path)
@@ -176,42 +177,42 @@
 	request.Header.Set(HeaderRequestID, r.ID)
 	request.SetBody(r.Body)
 	setNotAfter(request, r.NotAfter)
-	by := c.client
-	if r.Once {
-		by = c.once
+	httpClient := c.pooled
+	if r.NoResend {
+		httpClient = c.unpooled
 	}
-	response, err := send(ctx, by, request)
+	response, err := send(ctx, httpClient, request)
 	if err != nil {
-		return CallAnswer{}, sendError(to, err)
+		return CallResponse{}, sendError(to, err)
 	}
 	defer protocol.ReleaseResponse(response)
-	if late := expired(to, response, r.NotAfter); late != nil {
-		return CallAnswer{}, late
+	if lateErr := expiredError(to, response, r.NotAfter); lateErr != nil {
+		return CallResponse{}, lateErr
 	}
-	body, err := readAnswer(response)
+	body, err := readResponse(response)
 	if err != nil {
-		return CallAnswer{}, result.New(result.AnswerCut, "%s: %v", to.GetName(), err)
+		return CallResponse{}, result.New(result.AnswerCut, "%s: %v", to.GetName(), err)
 	}
 	if echoed := response.Header.Get(HeaderRequestID); echoed != r.ID {
-		return CallAnswer{}, result.New(result.AnswerCrossed, "%s answered for %q", to.GetName(), echoed)
+		return CallResponse{}, result.New(result.AnswerCrossed, "%s answered for %q", to.GetName(), echoed)
 	}
-	return CallAnswer{
+	return CallResponse{
 		Status:      response.StatusCode(),
 		ContentType: string(response.Header.ContentType()),
 		Body:        body,
 	}, nil
 }
 
-// readAnswer reads a whole answer of bounded size: it is held in memory and passed
+// readResponse reads a complete response of bounded size: it is held in memory and passed
 // between nodes.
-func readAnswer(response *protocol.Response) ([]byte, error) {
+func readResponse(response *protocol.Response) ([]byte, error) {
 	if !response.IsBodyStream() {
 		return append([]byte(nil), response.Body()...), nil
 	}
 	defer func() { _ = response.CloseBodyStream() }()
-	body, err := io.ReadAll(io.LimitReader(response.BodyStream(), maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		err = errors.Errorf("the answer has more than %d bytes", maxAnswer)
+	body, err := io.ReadAll(io.LimitReader(response.BodyStream(), maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = errors.Errorf("the answer has more than %d bytes", maxResponseBytes)
 	}
 	return body, err
 }
@@ -224,20 +225,20 @@
 
 // Usage implements Client.
 func (c *HTTPClient) Usage(ctx context.Context, to *operatorv1.Upstream, id string) (UsageReport, error) {
-	answer, err := c.Call(ctx, to, CallRequest{ID: id, Method: "GET", Path: "/v1/usage"})
+	response, err := c.Call(ctx, to, CallRequest{ID: id, Method: "GET", Path: "/v1/usage"})
 	if err != nil {
 		return UsageReport{}, err
 	}
 	var report UsageReport
-	if err := json.Unmarshal(answer.Body, &report); err != nil {
+	if err := json.Unmarshal(response.Body, &report); err != nil {
 		return UsageReport{}, result.New(result.UpstreamFailed, "%s: usage: %v", to.GetName(), err)
 	}
 	return report, nil
 }
 
-// sendError tells apart an upstream that was never reached from one that may have
-// got the request. A refused or timed-out dial proves that nothing ran; any later
-// error proves nothing.
+// sendError distinguishes an upstream that was never reached from one that may have received
+// the request. A refused or timed-out dial proves that nothing ran; a later error proves
+// nothing.
 func sendError(to *operatorv1.Upstream, err error) error {
 	if errors.Is(err, hertzerrors.ErrNoFreeConns) {
 		return result.New(result.NoUpstream, "%s has no connection left", to.GetName())
@@ -249,11 +250,11 @@
 	return result.New(result.UpstreamFailed, "%s: %v", to.GetName(), err)
 }
 
-const clipLength = 200
+const maxErrorBodyLength = 200
 
-func clip(text string) string {
-	if len(text) > clipLength {
-		return text[:clipLength]
+func truncate(text string) string {
+	if len(text) > maxErrorBodyLength {
+		return text[:maxErrorBodyLength]
 	}
 	return text
 }
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	hexBase  = 16
-	hashBits = 64
-	loadID   = "load"
+	hexBase       = 16
+	hashBits      = 64
+	loadRequestID = "load"
 )
 
 // LoadReader reads engines' load reports and cache events through a Client.
@@ -28,13 +28,13 @@
 	_ routing.CacheEventSource = LoadReader{}
 )
 
-// loadBody is an engine's answer to GET /v1/load.
+// loadBody is an engine's response to GET /v1/load.
 type loadBody struct {
 	Running       int     `json:"running"`
 	Waiting       int     `json:"waiting"`
 	PendingTokens int     `json:"pending_tokens"`
 	MemoryUsed    float64 `json:"memory_used"`
-	// AgeMS is how old the sample is, in ms by the engine's own clock.
+	// AgeMS is the age of the sample in milliseconds, by the engine's own clock.
 	AgeMS  int64       `json:"age_ms"`
 	Models []loadModel `json:"models,omitempty"`
 }
@@ -46,12 +46,12 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// cacheEventsBody is an engine's answer to GET /v1/cache-events.
+// cacheEventsBody is an engine's response to GET /v1/cache-events.
 type cacheEventsBody struct {
 	Events []cacheEventBody `json:"events"`
 }
 
-// cacheEventBody is one event; the hash is in hexadecimal digits.
+// cacheEventBody is one event; the hash is in hexadecimal.
 type cacheEventBody struct {
 	Sequence uint64 `json:"sequence"`
 	Hash     string `json:"hash"`
@@ -59,9 +59,9 @@
 }
 
 // Load implements routing.LoadSource.
-func (l LoadReader) Load(ctx context.Context, of *operatorv1.Upstream) (routing.LoadReport, error) {
+func (l LoadReader) Load(ctx context.Context, target *operatorv1.Upstream) (routing.LoadReport, error) {
 	var body loadBody
-	if err := l.get(ctx, of, "/v1/load", &body); err != nil {
+	if err := l.get(ctx, target, "/v1/load", &body); err != nil {
 		return routing.LoadReport{}, err
 	}
 	report := routing.LoadReport{
@@ -75,32 +75,32 @@
 }
 
 // CacheEvents implements routing.CacheEventSource.
-func (l LoadReader) CacheEvents(ctx context.Context, of *operatorv1.Upstream, after uint64) ([]routing.CacheEvent, error) {
+func (l LoadReader) CacheEvents(ctx context.Context, target *operatorv1.Upstream, after uint64) ([]routing.CacheEvent, error) {
 	var body cacheEventsBody
-	if err := l.get(ctx, of, fmt.Sprintf("/v1/cache-events?after=%d", after), &body); err != nil {
+	if err := l.get(ctx, target, fmt.Sprintf("/v1/cache-events?after=%d", after), &body); err != nil {
 		return nil, err
 	}
 	events := make([]routing.CacheEvent, 0, len(body.Events))
 	for _, e := range body.Events {
 		hash, err := strconv.ParseUint(e.Hash, hexBase, hashBits)
 		if err != nil {
-			return nil, result.New(result.UpstreamFailed, "%s: cache event %d: %v", of.GetName(), e.Sequence, err)
+			return nil, result.New(result.UpstreamFailed, "%s: cache event %d: %v", target.GetName(), e.Sequence, err)
 		}
 		events = append(events, routing.CacheEvent{Sequence: e.Sequence, Hash: hash, Stored: e.Stored})
 	}
 	return events, nil
 }
 
-func (l LoadReader) get(ctx context.Context, of *operatorv1.Upstream, path string, into any) error {
-	answer, err := l.Client.Call(ctx, of, CallRequest{ID: loadID, Method: "GET", Path: path})
+func (l LoadReader) get(ctx context.Context, target *operatorv1.Upstream, path string, out any) error {
+	response, err := l.Client.Call(ctx, target, CallRequest{ID: loadRequestID, Method: "GET", Path: path})
 	if err != nil {
 		return err
 	}
-	if answer.Status != statusOK {
-		return result.New(result.UpstreamFailed, "%s answered %d to %s", of.GetName(), answer.Status, path)
+	if response.Status != statusOK {
+		return result.New(result.UpstreamFailed, "%s answered %d to %s", target.GetName(), response.Status, path)
 	}
-	if err := json.Unmarshal(answer.Body, into); err != nil {
-		return result.New(result.UpstreamFailed, "%s: %s: %v", of.GetName(), path, err)
+	if err := json.Unmarshal(response.Body, out); err != nil {
+		return result.New(result.UpstreamFailed, "%s: %s: %v", target.GetName(), path, err)
 	}
 	return nil
 }
--- a/upstream/load_test.go
+++ b/upstream/load_test.go
@@ -15,9 +15,9 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// What an engine says of its cache must name blocks as the router does, or no request
-// would ever be sent to where its prefix is.
-func TestAnEnginesCacheEventsNameTheRoutersBlocks(t *testing.T) {
+// An engine's cache events must identify blocks by the same hashes as the router, or no request
+// would ever be routed to the engine that caches its prefix.
+func TestCacheEventHashesMatchRouterBlocks(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/upstream/notafter_test.go
+++ b/upstream/notafter_test.go
@@ -33,17 +33,17 @@
 	return listener
 }
 
-// Guards against a call that runs though its sender was stopped until its right had ended.
-func TestLateCallDoesNotRun(t *testing.T) {
+// Guards against a call being run although its sender was paused until its right had ended.
+func TestLateCallIsRejected(t *testing.T) {
 	is := is.New(t)
 	listener := listen(t)
 	service := standin.NewService(listener, 0)
 	go func() { _ = service.Run() }()
 	t.Cleanup(service.Close)
 	client, to := newTestClient(t), &operatorv1.Upstream{Name: "orders", Address: listener.Addr().String()}
-	call := func(body string, left time.Duration) error {
+	call := func(body string, validFor time.Duration) error {
 		_, err := client.Call(context.Background(), to, CallRequest{
-			ID: "a.1", Method: "POST", Path: "/", Body: []byte(body), Once: true, NotAfter: time.Now().Add(left)})
+			ID: "a.1", Method: "POST", Path: "/", Body: []byte(body), NoResend: true, NotAfter: time.Now().Add(validFor)})
 		return err
 	}
 	is.Equal(result.CodeOf(call("late", past)), result.RequestExpired)
@@ -52,9 +52,9 @@
 	is.Equal(service.Runs()["in time"], 1)
 }
 
-// Guards against a completion that runs though its sender was stopped until its right had
+// Guards against a completion being run although its sender was paused until its right had
 // ended.
-func TestLateCompletionDoesNotRun(t *testing.T) {
+func TestLateChatIsRejected(t *testing.T) {
 	is := is.New(t)
 	listener := listen(t)
 	engine := standin.NewEngine(listener, standin.EngineOptions{})
@@ -66,22 +66,22 @@
 	is.Equal(len(engine.Served()), 0)
 }
 
-// Guards against an upstream whose clock is ahead being taken for one that works: each
-// of its refusals would end a caller's request.
-func TestUpstreamWithAClockAheadCountsAsOutOfReach(t *testing.T) {
+// Guards against treating an upstream whose clock is ahead as working: each of its refusals
+// would end a caller's request.
+func TestUpstreamWithFastClockIsUnreachable(t *testing.T) {
 	is := is.New(t)
-	err := callAnswered(t, ahead, HeaderExpired)
+	err := callServiceReturning408(t, ahead, HeaderExpired)
 	is.Equal(result.CodeOf(err), result.NoUpstream)
 }
 
-// Guards against a service's own status 408 being taken for "not run".
-func TestServicesOwnTimeoutIsItsAnswer(t *testing.T) {
+// Guards against interpreting a service's own status 408 as "not run".
+func TestServiceStatus408IsAResponse(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(callAnswered(t, past, "X-Other"))
+	is.NoErr(callServiceReturning408(t, past, "X-Other"))
 }
 
-// callAnswered calls a service that answers 408 with a header.
-func callAnswered(t *testing.T, left time.Duration, header string) error {
+// callServiceReturning408 calls a service that returns status 408 with the given header.
+func callServiceReturning408(t *testing.T, validFor time.Duration, header string) error {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID))
@@ -90,6 +90,6 @@
 	}))
 	t.Cleanup(server.Close)
 	to := &operatorv1.Upstream{Name: "orders", Address: strings.TrimPrefix(server.URL, "http://")}
-	_, err := newTestClient(t).Call(context.Background(), to, CallRequest{ID: "a.1", Method: "POST", Path: "/", NotAfter: time.Now().Add(left)})
+	_, err := newTestClient(t).Call(context.Background(), to, CallRequest{ID: "a.1", Method: "POST", Path: "/", NotAfter: time.Now().Add(validFor)})
 	return err
 }
--- a/upstream/resume.go
+++ b/upstream/resume.go
@@ -9,10 +9,10 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Resumer reads on from streams that engines keep for a while.
+// Resumer resumes streams that engines keep for a while.
 type Resumer interface {
-	// Resume returns the stream of a request from the chunk with number from on. It
-	// fails with StreamLost when the engine no longer holds it or has cancelled it.
+	// Resume returns the stream of a request, starting at the chunk with number from. It fails
+	// with StreamLost if the engine no longer holds the stream or has canceled it.
 	Resume(ctx context.Context, to *operatorv1.Upstream, id string, from uint64) (ChatStream, error)
 }
 
@@ -24,5 +24,5 @@
 	request.SetMethod("GET")
 	request.SetRequestURI(fmt.Sprintf("http://%s/v1/streams/%s?from=%d", to.GetAddress(), id, from))
 	request.Header.Set(HeaderRequestID, id)
-	return c.stream(ctx, to, request, streamAsk{id: id, from: from})
+	return c.stream(ctx, to, request, streamParams{id: id, from: from})
 }
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// doneMarker ends a whole answer.
+	// doneMarker ends a complete response.
 	doneMarker = "[DONE]"
-	// maxChunk bounds one line of an engine's stream, in bytes.
-	maxChunk = 1 << 20
+	// maxChunkBytes bounds one line of an engine's stream.
+	maxChunkBytes = 1 << 20
 )
 
-// httpStream reads an engine's event stream in the goroutine that asks for its chunks.
-// A goroutine of its own would cost each chunk a wait for a second wake-up, which on a
-// busy node is most of what a chunk waits for.
+// httpStream reads an engine's event stream in the goroutine that calls Next. A reader
+// goroutine would make each chunk wait for a second wake-up, which on a busy node is most of a
+// chunk's delay.
 type httpStream struct {
 	ctx      context.Context
 	upstream string
 	id       string
 	response *protocol.Response
 	reader   *sse.Reader
-	order    sequence
-	// resumed streams may stand behind the chunk with the usage.
-	resumed bool
-	usage   bool
+	reorder  reorderBuffer
+	// resumed streams may start after the chunk with the usage.
+	resumed   bool
+	usageSeen bool
 
-	// body is read into again and again.
+	// body is reused for every chunk.
 	body chunkBody
-	// ready holds the chunks whose turn has come, in the memory of buffer.
+	// ready holds the chunks that are next in order, in the memory of buffer.
 	ready  []Chunk
 	buffer []Chunk
 	err    error
-	// unwatch ends the watch over ctx; false if ctx ended first.
-	unwatch   func() bool
-	unblocked chan struct{}
+	// stopWatching stops watching ctx; it returns false if ctx ended first.
+	stopWatching func() bool
+	disconnected chan struct{}
 }
 
 func newHTTPStream(ctx context.Context, upstream, id string, from uint64, response *protocol.Response) (*httpStream, error) {
@@ -53,34 +53,34 @@
 		protocol.ReleaseResponse(response)
 		return nil, result.New(result.UpstreamFailed, "%s sent no event stream: %v", upstream, err)
 	}
-	reader.SetMaxBufferSize(maxChunk)
+	reader.SetMaxBufferSize(maxChunkBytes)
 	s := &httpStream{
 		ctx: ctx, upstream: upstream, id: id, response: response, reader: reader,
-		order: sequence{next: from}, resumed: from > 0, unblocked: make(chan struct{}),
+		reorder: reorderBuffer{next: from}, resumed: from > 0, disconnected: make(chan struct{}),
 	}
-	// A caller who leaves must not wait for an engine that hangs.
-	s.unwatch = context.AfterFunc(ctx, func() {
+	// A caller that disconnects must not wait for an engine that hangs.
+	s.stopWatching = context.AfterFunc(ctx, func() {
 		s.disconnect()
-		close(s.unblocked)
+		close(s.disconnected)
 	})
 	return s, nil
 }
 
-// forceCloser is the body of an answer whose connection can be closed under a read.
+// forceCloser is a response body whose connection can be closed during a read.
 type forceCloser interface{ ForceClose() error }
 
-// disconnect closes the connection: a read in progress returns.
+// disconnect closes the connection, which makes a read in progress return.
 func (s *httpStream) disconnect() {
 	if body, ok := s.response.BodyStream().(forceCloser); ok {
 		_ = body.ForceClose()
 	}
 }
 
-// chunkReader reads chunks as the standard library would, but the texts within share one
-// copy of the chunk.
-var chunkReader = sonic.Config{ValidateString: true}.Froze()
+// chunkDecoder decodes chunks like the standard library, except that the strings share one copy
+// of the chunk.
+var chunkDecoder = sonic.Config{ValidateString: true}.Froze()
 
-// chunkBody is the part of a chunk that the router reads.
+// chunkBody holds the fields of a chunk that the router reads.
 type chunkBody struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -92,7 +92,7 @@
 	Usage *Usage `json:"usage"`
 }
 
-// clear makes the body ready for the next chunk; the choices keep their memory.
+// clear prepares the body for the next chunk and keeps the memory of the choices.
 func (b *chunkBody) clear() {
 	clear(b.Choices[:cap(b.Choices)])
 	*b = chunkBody{Choices: b.Choices[:0]}
@@ -101,7 +101,7 @@
 // Next implements ChatStream.
 func (s *httpStream) Next() (Chunk, error) {
 	for len(s.ready) == 0 && s.err == nil {
-		s.err = s.step()
+		s.err = s.readEvent()
 	}
 	if s.ctx.Err() != nil {
 		return Chunk{}, result.New(result.AnswerCut, "%s: the request was given up", s.upstream)
@@ -112,20 +112,20 @@
 	chunk := s.ready[0]
 	s.ready = s.ready[1:]
 	if string(chunk.Data) == doneMarker {
-		s.err = s.end()
+		s.err = s.finish()
 		s.ready = nil
 		return Chunk{}, s.err
 	}
-	s.usage = s.usage || chunk.Usage != nil
+	s.usageSeen = s.usageSeen || chunk.Usage != nil
 	return chunk, nil
 }
 
-// Close implements ChatStream. The connection of an answer that ended goes back to the
-// pool once its last bytes are read, for which the caller doesn't wait. Any other one is
-// closed: read to its end, it would be held for as long as the engine goes on.
+// Close implements ChatStream. The connection of a complete response returns to the pool once
+// its last bytes are read, which the caller doesn't wait for. Any other connection is closed:
+// draining it would hold it for as long as the engine keeps generating.
 func (s *httpStream) Close() {
-	if !s.unwatch() {
-		<-s.unblocked
+	if !s.stopWatching() {
+		<-s.disconnected
 	} else if s.err != io.EOF {
 		s.disconnect()
 	}
@@ -135,28 +135,28 @@
 	}()
 }
 
-// step reads one event and passes on what is in order. An answer without usage or
-// without its terminal marker is cut, and one with another id is crossed: neither
-// may be passed on as whole, or a caller would act on half a summary or on somebody
-// else's.
-func (s *httpStream) step() error {
+// readEvent reads one event and makes available the chunks that are in order. A response
+// without usage or without its terminal marker is truncated, and one with another ID belongs to
+// another request: neither may be passed on as complete, or a caller would act on half a
+// summary or on somebody else's.
+func (s *httpStream) readEvent() error {
 	var event sse.Event
 	if err := s.reader.Read(&event); err != nil {
 		return s.readError(err)
 	}
-	chunk, err := s.parse(event.Data)
+	chunk, err := s.parseChunk(event.Data)
 	if err != nil {
 		return err
 	}
 	number, err := strconv.ParseUint(event.ID, 10, 64)
 	chunk.Number = number
-	s.buffer, err = s.order.add(s.buffer[:0], chunk, err == nil)
+	s.buffer, err = s.reorder.add(s.buffer[:0], chunk, err == nil)
 	s.ready = s.buffer
 	return err
 }
 
-// readError tells an engine that went silent from a stream that broke off: asked for
-// the rest, a silent engine would make its caller wait as long once more.
+// readError distinguishes an engine that stopped sending from a stream that broke off: if the
+// rest were requested from a silent engine, the caller would wait for just as long again.
 func (s *httpStream) readError(err error) error {
 	var timeout net.Error
 	if errors.Is(err, hertzerrors.ErrTimeout) || (errors.As(err, &timeout) && timeout.Timeout()) {
@@ -165,20 +165,20 @@
 	return result.New(result.AnswerCut, "%s ended the stream early: %v", s.upstream, err)
 }
 
-func (s *httpStream) end() error {
-	if !s.usage && !s.resumed {
+func (s *httpStream) finish() error {
+	if !s.usageSeen && !s.resumed {
 		return result.New(result.AnswerCut, "%s reported no usage", s.upstream)
 	}
 	return io.EOF
 }
 
-func (s *httpStream) parse(data []byte) (Chunk, error) {
+func (s *httpStream) parseChunk(data []byte) (Chunk, error) {
 	if string(data) == doneMarker {
 		return Chunk{Data: data}, nil
 	}
 	body := &s.body
 	body.clear()
-	if err := chunkReader.Unmarshal(data, body); err != nil {
+	if err := chunkDecoder.Unmarshal(data, body); err != nil {
 		return Chunk{}, result.New(result.AnswerCut, "%s sent a broken chunk: %v", s.upstream, err)
 	}
 	if body.ID != s.id {
--- a/upstream/stream_bench_test.go
+++ b/upstream/stream_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// One chunk read, parsed, matched and put in order.
+// Measures reading, parsing, matching and ordering one chunk.
 func BenchmarkStreamChunk(b *testing.B) {
 	const chunks = 1000
 	var body bytes.Buffer
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -15,18 +15,18 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// openStream asks an engine that sends one chunk and then does as it is told; left is
-// closed when the engine sees its connection gone.
-func openStream(t *testing.T, ctx context.Context, then string) (stream ChatStream, left <-chan struct{}) {
-	gone := make(chan struct{})
+// openStream opens a stream at an engine that sends one chunk and then rest, or hangs if rest
+// is empty; disconnected is closed when the engine sees its connection closed.
+func openStream(t *testing.T, ctx context.Context, rest string) (stream ChatStream, disconnected <-chan struct{}) {
+	closed := make(chan struct{})
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
-		_, _ = fmt.Fprintf(w, "id: 0\ndata: {\"id\":\"a.1\",\"choices\":[{\"delta\":{\"content\":\"one\"}}]}\n\n%s", then)
+		_, _ = fmt.Fprintf(w, "id: 0\ndata: {\"id\":\"a.1\",\"choices\":[{\"delta\":{\"content\":\"one\"}}]}\n\n%s", rest)
 		w.(http.Flusher).Flush()
-		if then == "" {
+		if rest == "" {
 			<-r.Context().Done()
-			close(gone)
+			close(closed)
 		}
 	}))
 	t.Cleanup(engine.Close)
@@ -39,36 +39,36 @@
 	chunk, err := stream.Next()
 	is.New(t).NoErr(err)
 	is.New(t).Equal(chunk.Content, "one")
-	return stream, gone
+	return stream, closed
 }
 
-// An engine hangs within an answer and its caller leaves. The request must end now and
-// the engine learn of it: else the caller's tokens stay reserved, and the engine's slot
-// taken, until the engine is given up on.
-func TestCallerLeavesAnEngineThatHangs(t *testing.T) {
+// An engine hangs within a response and its caller disconnects. The request must end
+// immediately and the engine must notice: otherwise the caller's tokens stay reserved, and the
+// engine's slot taken, until the read timeout.
+func TestCancelClosesAHangingStream(t *testing.T) {
 	is := is.New(t)
-	ctx, leave := context.WithCancel(context.Background())
-	stream, left := openStream(t, ctx, "")
-	ended := make(chan error)
+	ctx, cancel := context.WithCancel(context.Background())
+	stream, disconnected := openStream(t, ctx, "")
+	done := make(chan error)
 	go func() {
 		_, err := stream.Next()
 		stream.Close()
-		ended <- err
+		done <- err
 	}()
-	leave()
-	is.Equal(result.CodeOf(<-ended), result.AnswerCut)
-	<-left
+	cancel()
+	is.Equal(result.CodeOf(<-done), result.AnswerCut)
+	<-disconnected
 }
 
-// An answer is given up in the middle, as when another engine's repetition differs.
-// Were its connection kept, it would be read to the end for nobody.
-func TestAStreamGivenUpClosesItsConnection(t *testing.T) {
-	stream, left := openStream(t, context.Background(), "")
+// A response is abandoned midway, for example when the rerun on another engine differs. If its
+// connection were kept, it would be read to the end for nobody.
+func TestCloseDropsAnUnfinishedStreamsConnection(t *testing.T) {
+	stream, disconnected := openStream(t, context.Background(), "")
 	stream.Close()
-	<-left
+	<-disconnected
 }
 
-func TestAWholeAnswerEndsOnce(t *testing.T) {
+func TestCompleteStreamEndsWithEOF(t *testing.T) {
 	is := is.New(t)
 	stream, _ := openStream(t, context.Background(),
 		"id: 1\ndata: {\"id\":\"a.1\",\"choices\":[],\"usage\":{\"prompt_tokens\":1,\"completion_tokens\":1}}\n\nid: 2\ndata: [DONE]\n\n")
