--- a/orders/client.go
+++ b/orders/client.go
@@ -6,7 +6,8 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Order is what an engine is told: everything that it should hold, and as what it should serve.
+// Order is the complete desired state of an engine: the models that it should hold and its
+// role.
 type Order struct {
 	// Fencing is the epoch of the lease under which the order is given.
 	Fencing uint64  `json:"fencing"`
@@ -15,11 +16,11 @@
 	Role string `json:"role,omitempty"`
 }
 
-// Client speaks to engines about what they hold.
+// Client exchanges reports and orders with engines.
 type Client interface {
-	// Report asks an engine what it holds.
+	// Report asks an engine for its current state.
 	Report(ctx context.Context, engine *operatorv1.Upstream) (Report, error)
-	// Send gives an order. An engine that checks fencing numbers refuses one whose
-	// number is old with NotHolder.
+	// Send gives an order. An engine that checks fencing numbers refuses an outdated one with
+	// NotHolder.
 	Send(ctx context.Context, engine *operatorv1.Upstream, order Order) error
 }
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -21,16 +21,16 @@
 	// LeaseName is the lease under which orders are given.
 	LeaseName = "orders"
 
-	roundInterval = 2 * time.Second
+	reconcileInterval = 2 * time.Second
 	// callTimeout bounds one report or order.
 	callTimeout = 2 * time.Second
-	// QuietTime is how long a new holder leaves engines alone that ignore fencing
-	// numbers: an order of the former holder, sent just before its lease ended,
-	// arrives within callTimeout, and several times that is waited.
-	QuietTime = 10 * time.Second
-	// patience is how long an engine may take to report an order as done before it
-	// is planned for anew.
-	patience = 2 * time.Minute
+	// TakeoverDelay is how long a new lease holder sends nothing to engines that ignore fencing
+	// numbers: an order of the former holder, sent just before its lease ended, arrives within
+	// callTimeout, and the delay is several times that.
+	TakeoverDelay = 10 * time.Second
+	// orderTimeout is how long an engine may take to report an order as done. After that it is
+	// planned for again.
+	orderTimeout = 2 * time.Minute
 )
 
 // Executor gives orders while this node holds the lease.
@@ -42,39 +42,39 @@
 	Clock   clockwork.Clock
 	Events  *event.Recorder
 
-	epoch    uint64
-	taken    time.Time
-	planners map[string]*Planner
-	ordered  map[string]outstanding
-	// fetchAfter is when the weight store admits the next fetch.
-	fetchAfter time.Time
+	epoch        uint64
+	leaseTakenAt time.Time
+	planners     map[string]*Planner
+	pending      map[string]pendingOrder
+	// nextFetchAt is when the weight store accepts the next fetch.
+	nextFetchAt time.Time
 }
 
-// outstanding is an order that an engine hasn't reported as done.
-type outstanding struct {
-	models []Model
-	role   string
-	at     time.Time
+// pendingOrder is an order that an engine hasn't reported as done.
+type pendingOrder struct {
+	models    []Model
+	role      string
+	orderedAt time.Time
 }
 
 // Run gives orders until ctx ends.
 func (e *Executor) Run(ctx context.Context) {
 	e.Lessor.Want(LeaseName)
-	periodic.Run(ctx, e.Clock, roundInterval, e.Round)
+	periodic.Run(ctx, e.Clock, reconcileInterval, e.Reconcile)
 }
 
-// Round looks at all engines once and gives the orders that are due.
-func (e *Executor) Round(ctx context.Context) {
+// Reconcile checks all engines once and gives the orders that are due.
+func (e *Executor) Reconcile(ctx context.Context) {
 	held, ok := e.Lessor.Held(LeaseName)
 	if !ok {
 		return
 	}
 	if held.Epoch != e.epoch {
 		e.epoch = held.Epoch
-		e.taken = e.Clock.Now()
+		e.leaseTakenAt = e.Clock.Now()
 		e.planners = map[string]*Planner{}
-		e.ordered = map[string]outstanding{}
-		e.fetchAfter = time.Time{}
+		e.pending = map[string]pendingOrder{}
+		e.nextFetchAt = time.Time{}
 	}
 	view := e.Config()
 	for _, service := range view.Services() {
@@ -87,50 +87,50 @@
 			planner = NewPlanner()
 			e.planners[service.GetName()] = planner
 		}
-		engines := e.reports(ctx, view.Upstreams(service.GetName()))
+		engines := e.collectReports(ctx, view.Upstreams(service.GetName()))
 		for _, step := range planner.Plan(goals, service.GetModels(), engines) {
 			e.execute(ctx, step)
 		}
 	}
 }
 
-// reports asks the engines at once; those that don't answer are left out, so they
-// get no orders and count as no copy.
-func (e *Executor) reports(ctx context.Context, upstreams []*operatorv1.Upstream) []Engine {
+// collectReports asks all engines concurrently. Engines that don't respond are left out, so
+// they get no orders and don't count as copies.
+func (e *Executor) collectReports(ctx context.Context, upstreams []*operatorv1.Upstream) []Engine {
 	ctx, cancel := clockwork.WithTimeout(ctx, e.Clock, callTimeout)
 	defer cancel()
-	answered := make([]*Report, len(upstreams))
-	var wait sync.WaitGroup
+	reports := make([]*Report, len(upstreams))
+	var wg sync.WaitGroup
 	for i, u := range upstreams {
 		if u.GetDraining() {
 			continue
 		}
-		wait.Go(func() {
+		wg.Go(func() {
 			if report, err := e.Client.Report(ctx, u); err == nil {
-				answered[i] = &report
+				reports[i] = &report
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	var engines []Engine
-	for i, report := range answered {
+	for i, report := range reports {
 		if report != nil {
-			engines = append(engines, e.withOrder(Engine{Upstream: upstreams[i], Report: *report}))
+			engines = append(engines, e.withPendingOrder(Engine{Upstream: upstreams[i], Report: *report}))
 		}
 	}
 	return engines
 }
 
-// withOrder adds what the engine was ordered and doesn't report yet.
-func (e *Executor) withOrder(engine Engine) Engine {
+// withPendingOrder adds the order that the engine hasn't reported as done.
+func (e *Executor) withPendingOrder(engine Engine) Engine {
 	name := engine.Upstream.GetName()
-	order, found := e.ordered[name]
+	order, found := e.pending[name]
 	if !found {
 		return engine
 	}
 	done := sameModels(order.models, engine.Report.Models) && order.role == engine.Report.Role
-	if done || e.Clock.Since(order.at) > patience {
-		delete(e.ordered, name)
+	if done || e.Clock.Since(order.orderedAt) > orderTimeout {
+		delete(e.pending, name)
 		return engine
 	}
 	engine.Ordered, engine.OrderedRole = order.models, order.role
@@ -149,16 +149,16 @@
 	return true
 }
 
-// execute sends one order. The lease is asked again right before: a node that was
-// paused after its plan would otherwise give an order after another took over. An
-// engine that checks fencing numbers refuses such an order even when the pause
-// falls between this check and the send; for the others see docs/design/06-orders.md.
+// execute sends one order. It checks the lease again immediately before: a node that was paused
+// after planning would otherwise give an order after another node took over. An engine that
+// checks fencing numbers refuses such an order even if the pause falls between this check and
+// the send; for the others see docs/design/06-orders.md.
 func (e *Executor) execute(ctx context.Context, step Step) {
 	engine := step.Engine.Upstream
-	if !engine.GetChecksFencing() && e.Clock.Since(e.taken) < QuietTime {
+	if !engine.GetChecksFencing() && e.Clock.Since(e.leaseTakenAt) < TakeoverDelay {
 		return
 	}
-	if !e.fetch(ctx, step.Fetch) {
+	if !e.fetchWeights(ctx, step.Fetch) {
 		return
 	}
 	held, ok := e.Lessor.Held(LeaseName)
@@ -168,36 +168,37 @@
 	ctx, cancel := clockwork.WithTimeout(ctx, e.Clock, callTimeout)
 	defer cancel()
 	err := e.Client.Send(ctx, engine, Order{Fencing: held.Epoch, Models: step.Models, Role: step.Role})
-	if err == nil || step.takesAway() && result.CodeOf(err) != result.NotHolder {
-		e.ordered[engine.GetName()] = outstanding{models: step.Models, role: step.Role, at: e.Clock.Now()}
+	if err == nil || step.stopsServing() && result.CodeOf(err) != result.NotHolder {
+		e.pending[engine.GetName()] = pendingOrder{models: step.Models, role: step.Role, orderedAt: e.Clock.Now()}
 	}
 	e.Events.Record(event.OrderGiven, "upstream", engine.GetName(), "lease", LeaseName, "epoch", held.Epoch,
-		"models", names(step.Models), "role", step.Role, "code", uint32(result.CodeOf(err)))
+		"models", formatModels(step.Models), "role", step.Role, "code", uint32(result.CodeOf(err)))
 }
 
-// fetch asks the weight store for a model; false means not yet.
-func (e *Executor) fetch(ctx context.Context, model *Model) bool {
+// fetchWeights asks the weight store to fetch a model; it returns false if that isn't possible
+// yet.
+func (e *Executor) fetchWeights(ctx context.Context, model *Model) bool {
 	if model == nil {
 		return true
 	}
-	if e.Clock.Now().Before(e.fetchAfter) {
+	if e.Clock.Now().Before(e.nextFetchAt) {
 		return false
 	}
 	ctx, cancel := clockwork.WithTimeout(ctx, e.Clock, callTimeout)
 	defer cancel()
 	_, wait, err := e.Weights.Fetch(ctx, model.Name, model.Version)
 	if err != nil {
-		e.fetchAfter = e.Clock.Now().Add(roundInterval)
+		e.nextFetchAt = e.Clock.Now().Add(reconcileInterval)
 		return false
 	}
 	if wait > 0 {
-		e.fetchAfter = e.Clock.Now().Add(wait)
+		e.nextFetchAt = e.Clock.Now().Add(wait)
 		return false
 	}
 	return true
 }
 
-func names(models []Model) string {
+func formatModels(models []Model) string {
 	text := ""
 	for i, m := range models {
 		if i > 0 {
--- a/orders/executor_test.go
+++ b/orders/executor_test.go
@@ -24,8 +24,8 @@
 	newModel = Model{Name: "small", Version: "2"}
 )
 
-// viewOf folds a service that wants copies of the new model on the engines.
-func viewOf(t *testing.T, engines *fakeEngines, copies uint32) func() *config.View {
+// newView builds the view of a service that wants copies of the new model on the engines.
+func newView(t *testing.T, engines *fakeEngines, copies uint32) func() *config.View {
 	t.Helper()
 	changes := []*operatorv1.Change{{Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{
 		Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"small"},
@@ -49,71 +49,71 @@
 	}
 }
 
-func twoRegions(checks bool) *fakeEngines {
+func newTwoRegionFleet(checks bool) *fakeEngines {
 	engines := newFakeEngines(
-		engineIn("east", "east-1", checks, oldModel), engineIn("east", "east-2", checks, oldModel),
-		engineIn("west", "west-1", checks, oldModel))
-	engines.watched = oldModel.Name
+		newFakeEngine("east", "east-1", checks, oldModel), newFakeEngine("east", "east-2", checks, oldModel),
+		newFakeEngine("west", "west-1", checks, oldModel))
+	engines.watchedModel = oldModel.Name
 	return engines
 }
 
-// A new version is rolled out: it gets all its copies first, then the old one goes.
-// Callers see the model served all the while.
-func TestRollsOutANewVersion(t *testing.T) {
+// A new version is rolled out: it gets all its copies before the old one is dropped. Callers
+// see the model served throughout.
+func TestRolloutOfNewVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engines := twoRegions(true)
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, viewOf(t, engines, 2), time.Second)
+		engines := newTwoRegionFleet(true)
+		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 2), time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(5 * time.Minute)
-		is.Equal(engines.holders(newModel), 3)
-		is.Equal(engines.holders(oldModel), 0)
+		is.Equal(engines.countHolding(newModel), 3)
+		is.Equal(engines.countHolding(oldModel), 0)
 		is.Equal(engines.violations, nil)
 	})
 }
 
-// Every engine is full and holds the only copies. Room can't be made without
-// dropping a region's last copy, so nothing is dropped there; callers keep the old
-// version rather than none.
-func TestKeepsTheLastCopyOfARegion(t *testing.T) {
+// Every engine is full and holds the only copies. Room can't be made without dropping a
+// region's last copy, so nothing is dropped there: callers keep the old version rather than
+// none.
+func TestRetainsLastCopyInRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engines := newFakeEngines(engineIn("east", "east-1", true, oldModel))
+		engines := newFakeEngines(newFakeEngine("east", "east-1", true, oldModel))
 		engines.engines["east-1"].report.Capacity = 1
-		engines.watched = oldModel.Name
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, viewOf(t, engines, 1), time.Second)
+		engines.watchedModel = oldModel.Name
+		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 1), time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(5 * time.Minute)
-		is.Equal(engines.holders(oldModel), 1)
+		is.Equal(engines.countHolding(oldModel), 1)
 		is.Equal(engines.violations, nil)
 	})
 }
 
-// The node that gives orders dies at its first, second, ... order, before or after
-// the order arrives, and another takes over. Whatever the step, the rollout ends
-// complete, and no region is without the model at any time.
-func TestHolderDiesAtEveryStep(t *testing.T) {
+// The lease holder crashes at its first, second, ... order, before or after the order arrives,
+// and another node takes over. At whichever step, the rollout completes and no region is
+// without the model at any time.
+func TestRolloutSurvivesHolderCrashAtEveryStep(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		for step := 1; step <= 6; step++ {
 			for _, arrives := range []bool{true, false} {
 				t.Run(fmt.Sprintf("checks=%v/step=%d/arrives=%v", checks, step, arrives), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { dieAtStep(t, checks, step, arrives) })
+					synctest.Test(t, func(t *testing.T) { testCrashAtStep(t, checks, step, arrives) })
 				})
 			}
 		}
 	}
 }
 
-func dieAtStep(t *testing.T, checks bool, step int, arrives bool) {
+func testCrashAtStep(t *testing.T, checks bool, step int, arrives bool) {
 	is := is.New(t)
-	engines := twoRegions(checks)
-	view := viewOf(t, engines, 2)
-	ctx, die := context.WithCancel(t.Context())
+	engines := newTwoRegionFleet(checks)
+	view := newView(t, engines, 2)
+	ctx, cancel := context.WithCancel(t.Context())
 	engines.onSend = func(n int) bool {
 		if n != step {
 			return true
 		}
-		die()
+		cancel()
 		return arrives
 	}
 	first := newExecutor(&fakeLessor{epoch: 1}, engines, view, time.Second)
@@ -122,51 +122,51 @@
 	second := newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second)
 	go second.Run(t.Context())
 	time.Sleep(10 * time.Minute)
-	is.Equal(engines.holders(newModel), 3)
-	is.Equal(engines.holders(oldModel), 0)
+	is.Equal(engines.countHolding(newModel), 3)
+	is.Equal(engines.countHolding(oldModel), 0)
 	is.Equal(engines.violations, nil)
 }
 
-// The holder is paused after it planned and wakes when another has taken over and
-// given orders. It must find out before it sends, or the engine would get orders of
-// two holders in turn.
-func TestPausedHolderSendsNothing(t *testing.T) {
+// The holder is paused after planning and resumes when another node has taken over and given
+// orders. It must detect this before it sends, or the engine would get orders from two holders
+// in turn.
+func TestPausedHolderSendsNoOrders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				engines := twoRegions(checks)
-				view := viewOf(t, engines, 2)
+				engines := newTwoRegionFleet(checks)
+				view := newView(t, engines, 2)
 				lessor := &fakeLessor{epoch: 1}
 				paused := newExecutor(lessor, engines, view, time.Second)
-				paused.Round(t.Context())
-				time.Sleep(QuietTime + time.Second) // past the quiet time of its own epoch
-				questions := 0
-				lessor.onHeld = func() {
-					questions++
-					if questions == 1 {
+				paused.Reconcile(t.Context())
+				time.Sleep(TakeoverDelay + time.Second) // past the takeover delay of its own epoch
+				leaseChecks := 0
+				lessor.beforeHeld = func() {
+					leaseChecks++
+					if leaseChecks == 1 {
 						return // the plan is made under a lease that is still held
 					}
 					lessor.set(0)
 				}
-				before := engines.sent()
-				paused.Round(t.Context())
-				is.Equal(engines.sent(), before)
+				before := engines.sentCount()
+				paused.Reconcile(t.Context())
+				is.Equal(engines.sentCount(), before)
 			})
 		})
 	}
 }
 
-// An order of the former holder is still on its way when the lease changes hands.
-// An engine that checks fencing numbers refuses it. One that ignores them gets no
-// order of the new holder until every such order has arrived or is lost.
+// An order of the former holder is still in flight when the lease changes hands. An engine that
+// checks fencing numbers refuses it. One that ignores them gets no order from the new holder
+// until every such order has arrived or is lost.
 func TestOrderInFlightDuringTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				engines := twoRegions(checks)
-				view := viewOf(t, engines, 2)
+				engines := newTwoRegionFleet(checks)
+				view := newView(t, engines, 2)
 				engines.onSend = func(n int) bool {
 					if n == 1 {
 						time.Sleep(callTimeout + time.Second) // longer than the former holder itself waits
@@ -174,35 +174,35 @@
 					return true
 				}
 				first := newExecutor(&fakeLessor{epoch: 1}, engines, view, time.Second)
-				ctx, die := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				go first.Run(ctx)
-				for engines.sent() == 0 {
+				for engines.sentCount() == 0 {
 					time.Sleep(100 * time.Millisecond)
 				}
-				die()
+				cancel()
 				second := newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second)
 				go second.Run(t.Context())
 				time.Sleep(10 * time.Minute)
-				is.Equal(engines.holders(newModel), 3)
+				is.Equal(engines.countHolding(newModel), 3)
 				is.Equal(engines.violations, nil)
 			})
 		})
 	}
 }
 
-// The weight store admits one fetch in twenty seconds. Asking more often would use
-// up the rate that engines elsewhere wait for.
-func TestWeightStoreRateIsKept(t *testing.T) {
+// The weight store accepts one fetch per twenty seconds. Asking more often would use up the
+// rate that engines elsewhere wait for.
+func TestRespectsWeightStoreRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engines := newFakeEngines(engineIn("east", "east-1", true), engineIn("east", "east-2", true), engineIn("east", "east-3", true))
+		engines := newFakeEngines(newFakeEngine("east", "east-1", true), newFakeEngine("east", "east-2", true), newFakeEngine("east", "east-3", true))
 		engines.loadTime = 90 * time.Second // the reports lag by several fetches
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, viewOf(t, engines, 3), 20*time.Second)
+		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 3), 20*time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(21 * time.Second)
-		is.True(engines.sent() <= 2)
+		is.True(engines.sentCount() <= 2)
 		time.Sleep(4 * time.Minute)
-		is.Equal(engines.holders(newModel), 3)
-		is.Equal(engines.sent(), 3) // each copy was fetched and ordered once, although reports lag
+		is.Equal(engines.countHolding(newModel), 3)
+		is.Equal(engines.sentCount(), 3) // each copy was fetched and ordered once, although reports lag
 	})
 }
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -13,34 +13,35 @@
 
 const defaultLoadTime = 7 * time.Second
 
-// sent is one order that reached a fake engine.
-type sent struct {
-	epoch uint64
-	taken bool
+// receivedOrder is an order that reached a fake engine.
+type receivedOrder struct {
+	epoch    uint64
+	accepted bool
 }
 
-// fakeEngine holds models and takes orders, after a delay in fake time.
+// fakeEngine holds models and carries out orders after a delay in fake time.
 type fakeEngine struct {
 	upstream *operatorv1.Upstream
 	report   Report
-	orders   []sent
-	// moving is set while the engine changes its role, and serves in none.
-	moving bool
+	orders   []receivedOrder
+	// changingRole is set while the engine changes its role; it serves in no role then.
+	changingRole bool
 }
 
 // fakeEngines implements Client.
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	// onSend, when set, is called before an order arrives; false loses the order.
+	// onSend, if set, is called before an order arrives; if it returns false, the order is
+	// lost.
 	onSend func(n int) bool
 	sends  int
-	// violations lists what must never be seen.
+	// violations lists the invariants that were broken.
 	violations []string
 	// loadTime is how long an engine takes to load or drop a model.
 	loadTime time.Duration
-	// watched names a model that must never vanish from a region that had it.
-	watched string
+	// watchedModel names a model that must never vanish from a region that had it.
+	watchedModel string
 }
 
 func newFakeEngines(engines ...*fakeEngine) *fakeEngines {
@@ -51,7 +52,7 @@
 	return f
 }
 
-func engineIn(region, name string, checks bool, models ...Model) *fakeEngine {
+func newFakeEngine(region, name string, checks bool, models ...Model) *fakeEngine {
 	return &fakeEngine{
 		upstream: &operatorv1.Upstream{Name: name, Service: "chat", Region: region, DataCentre: region + "-a", Address: "127.0.0.1:1", ChecksFencing: checks},
 		report:   Report{Models: models, Capacity: 2, Slots: 10},
@@ -79,56 +80,56 @@
 	engine := f.engines[u.GetName()]
 	stale := order.Fencing < engine.report.Fencing
 	if u.GetChecksFencing() && stale {
-		engine.orders = append(engine.orders, sent{order.Fencing, false})
+		engine.orders = append(engine.orders, receivedOrder{order.Fencing, false})
 		return result.New(result.NotHolder, "old fencing number")
 	}
 	if stale {
 		f.violations = append(f.violations, "an old holder's order was taken by "+u.GetName())
 	}
 	engine.report.Fencing = order.Fencing
-	engine.orders = append(engine.orders, sent{order.Fencing, true})
+	engine.orders = append(engine.orders, receivedOrder{order.Fencing, true})
 	if order.Role != engine.report.Role {
-		f.changes(engine, func() { engine.moving = true })
-		engine.report.InFlight = engine.report.Slots // what it no longer serves queues up
+		f.applyChange(engine, func() { engine.changingRole = true })
+		engine.report.InFlight = engine.report.Slots // requests that it no longer serves queue up
 		if !slices.Contains(engine.report.Roles, order.Role) {
-			f.violations = append(f.violations, engine.upstream.GetName()+" was told a role that it can't take")
+			f.violations = append(f.violations, engine.upstream.GetName()+" was ordered to take a role that it can't take")
 		}
 	}
-	time.AfterFunc(f.loadTime, func() { f.done(engine, order) })
+	time.AfterFunc(f.loadTime, func() { f.finishOrder(engine, order) })
 	return nil
 }
 
-func (f *fakeEngines) done(engine *fakeEngine, order Order) {
+func (f *fakeEngines) finishOrder(engine *fakeEngine, order Order) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	models := order.Models
-	f.changes(engine, func() {
+	f.applyChange(engine, func() {
 		engine.report.Models = slices.Clone(models)
 		engine.report.Role = order.Role
 		engine.report.InFlight = 0
-		engine.moving = false
+		engine.changingRole = false
 	})
 	if len(models) > engine.report.Capacity {
 		f.violations = append(f.violations, "more models than fit on "+engine.upstream.GetName())
 	}
 }
 
-// changes changes an engine, and notes when its region served the watched model before
-// and no longer does.
-func (f *fakeEngines) changes(engine *fakeEngine, change func()) {
-	before := f.copies(engine.upstream.GetRegion())
+// applyChange changes an engine, and records a violation if its region served the watched model
+// before and no longer does.
+func (f *fakeEngines) applyChange(engine *fakeEngine, change func()) {
+	before := f.servingCopies(engine.upstream.GetRegion())
 	change()
-	if before > 0 && f.copies(engine.upstream.GetRegion()) == 0 {
+	if before > 0 && f.servingCopies(engine.upstream.GetRegion()) == 0 {
 		f.violations = append(f.violations, "the last copy in "+engine.upstream.GetRegion()+" was dropped")
 	}
 }
 
-// copies counts what serves the watched model in a region: engines that do all by
-// themselves, and pairs of which one prefills and the other decodes.
-func (f *fakeEngines) copies(region string) int {
+// servingCopies counts what serves the watched model in a region: engines that serve on their
+// own, and pairs of a prefill and a decode engine.
+func (f *fakeEngines) servingCopies(region string) int {
 	count, prefill, decode := 0, 0, 0
 	for _, e := range f.engines {
-		if e.upstream.GetRegion() != region || e.moving || !(Engine{Report: e.report}).keeps(f.watched) {
+		if e.upstream.GetRegion() != region || e.changingRole || !(Engine{Report: e.report}).retains(f.watchedModel) {
 			continue
 		}
 		switch e.report.Role {
@@ -143,7 +144,7 @@
 	return count + min(prefill, decode)
 }
 
-func (f *fakeEngines) holders(m Model) int {
+func (f *fakeEngines) countHolding(m Model) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -163,17 +164,18 @@
 	return all
 }
 
-// fakeLessor is held or not as the test says.
+// fakeLessor holds the lease or not as set by the test.
 type fakeLessor struct {
 	mu    sync.Mutex
 	epoch uint64
-	// onHeld, when set, is called on each question; it stands for a pause.
-	onHeld func()
+	// beforeHeld, if set, is called before each check of the lease, for example to simulate a
+	// pause.
+	beforeHeld func()
 }
 
 func (l *fakeLessor) Held(name string) (lease.Lease, bool) {
 	l.mu.Lock()
-	hook := l.onHeld
+	hook := l.beforeHeld
 	l.mu.Unlock()
 	if hook != nil {
 		hook()
@@ -192,8 +194,8 @@
 func (l *fakeLessor) Want(string)    {}
 func (l *fakeLessor) Release(string) {}
 
-// sent returns how many orders left the executor.
-func (f *fakeEngines) sent() int {
+// sentCount returns how many orders the executor has sent.
+func (f *fakeEngines) sentCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sends
--- a/orders/httpclient.go
+++ b/orders/httpclient.go
@@ -23,12 +23,12 @@
 
 // Report implements Client.
 func (c HTTPClient) Report(ctx context.Context, engine *operatorv1.Upstream) (Report, error) {
-	answer, err := c.Upstreams.Call(ctx, engine, upstream.CallRequest{ID: uuid.NewString(), Method: http.MethodGet, Path: modelsPath})
+	response, err := c.Upstreams.Call(ctx, engine, upstream.CallRequest{ID: uuid.NewString(), Method: http.MethodGet, Path: modelsPath})
 	if err != nil {
 		return Report{}, err
 	}
 	var report Report
-	if err := json.Unmarshal(answer.Body, &report); err != nil {
+	if err := json.Unmarshal(response.Body, &report); err != nil {
 		return Report{}, result.New(result.UpstreamFailed, "%s: report: %v", engine.GetName(), err)
 	}
 	return report, nil
@@ -40,16 +40,16 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.Upstreams.Call(ctx, engine, upstream.CallRequest{ID: uuid.NewString(), Method: http.MethodPost, Path: modelsPath, Body: body})
+	response, err := c.Upstreams.Call(ctx, engine, upstream.CallRequest{ID: uuid.NewString(), Method: http.MethodPost, Path: modelsPath, Body: body})
 	if err != nil {
 		return err
 	}
-	switch answer.Status {
+	switch response.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
 		return result.New(result.NotHolder, "%s has seen a higher fencing number", engine.GetName())
 	default:
-		return result.New(result.UpstreamFailed, "%s answered the order with %d", engine.GetName(), answer.Status)
+		return result.New(result.UpstreamFailed, "%s answered the order with %d", engine.GetName(), response.Status)
 	}
 }
--- a/orders/model.go
+++ b/orders/model.go
@@ -6,7 +6,7 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Model is one model as an engine holds it.
+// Model is a model as held by an engine.
 type Model struct {
 	Name     string   `json:"name"`
 	Version  string   `json:"version"`
@@ -25,10 +25,10 @@
 	Role string
 }
 
-// fits tells whether an engine in a role may be a copy.
-func (g Goal) fits(role string) bool { return g.Role == "" || g.Role == role }
+// acceptsRole reports whether an engine in a role counts as a copy.
+func (g Goal) acceptsRole(role string) bool { return g.Role == "" || g.Role == role }
 
-// Goals returns what a service declares.
+// Goals returns the goals that a service declares.
 func Goals(service *operatorv1.Service) []Goal {
 	goals := make([]Goal, 0, len(service.GetDesired()))
 	for _, d := range service.GetDesired() {
--- a/orders/plan.go
+++ b/orders/plan.go
@@ -6,86 +6,85 @@
 )
 
 const (
-	// highLoad and lowLoad bound the band in which the number of copies stays.
+	// highLoad and lowLoad bound the load range in which the number of copies doesn't change.
 	highLoad = 0.85
 	lowLoad  = 0.30
-	// steadyPlans is how many plans in a row must see the load outside the band
-	// before a copy is added or dropped: reports lag, and a model that comes and
-	// goes would spend the weight store's rate on nothing.
-	steadyPlans = 5
-	// unsurePlans is for how many plans a new holder takes nothing away, neither a copy
-	// nor an engine's role. An order of the former holder may be at work without a report
-	// of it, or come late from a process that was stopped, at an engine that ignores
-	// fencing numbers: what it takes away was safe by what stood then, and still is while
-	// nobody else takes away more. Otherwise a region could lose its last copy to two
-	// orders that were each right.
-	unsurePlans = int(patience / roundInterval)
+	// sustainedPlans is how many consecutive plans must see the load outside the range before a
+	// copy is added or dropped: reports lag, and a model that is repeatedly loaded and dropped
+	// would waste the weight store's rate limit.
+	sustainedPlans = 5
+	// settlingPlans is for how many plans a new holder removes nothing, neither a copy nor an
+	// engine's role. An order of the former holder may be in progress without being reported,
+	// or arrive late from a paused process at an engine that ignores fencing numbers. What that
+	// order removes was safe in the state it was planned for, and stays safe while nobody else
+	// removes more. Otherwise a region could lose its last copy to two orders that were each
+	// correct.
+	settlingPlans = int(orderTimeout / reconcileInterval)
 )
 
-// Step is one change to one engine. Models is the engine's whole desired set and Role
-// the role that it should have from then on.
+// Step is one change to one engine. Models is the engine's complete set of models and Role the
+// role that it should have after the change.
 type Step struct {
 	Engine Engine
 	Models []Model
 	Role   string
-	// Fetch is the model whose weights must be fetched first; nil when the step
-	// only drops something.
+	// Fetch is the model whose weights must be fetched first; nil if the step loads no model.
 	Fetch *Model
 }
 
-// takesAway tells whether the engine stops something that it does. The answer to such an
-// order may be lost after the order was taken: the engine then counts as going, or the
-// next plan could take away the copy that is left.
-func (s Step) takesAway() bool { return s.Fetch == nil }
+// stopsServing reports whether the engine stops something that it does. The response to such an
+// order may be lost after the order was accepted: the engine must then count as lost, or the
+// next plan could remove the remaining copy.
+func (s Step) stopsServing() bool { return s.Fetch == nil }
 
-// heatKey names a model in a role in a region.
-type heatKey struct{ region, model, role string }
+// goalKey identifies a model in a role in a region.
+type goalKey struct{ region, model, role string }
 
-// roleKey names a role in a region.
+// roleKey identifies a role in a region.
 type roleKey struct{ region, role string }
 
-func keyOf(region string, goal Goal) heatKey { return heatKey{region, goal.Name, goal.Role} }
+func newGoalKey(region string, goal Goal) goalKey { return goalKey{region, goal.Name, goal.Role} }
 
-// Planner plans the engines of one service. It keeps how long the load has been
-// outside the band and a role has lacked engines, and nothing else: a new holder starts
-// with a fresh one.
+// Planner plans the engines of one service. Its only state is how long the load has been out of
+// range and roles have lacked engines, and what was decided from that; a new lease holder
+// starts with a new planner.
 type Planner struct {
-	hot, cold map[heatKey]int
-	extra     map[heatKey]int
-	lacking   map[heatKey]int
-	// gained is in which plan an engine was last told to take a role.
-	gained map[roleKey]int
-	plans  int
+	highLoadPlans, lowLoadPlans map[goalKey]int
+	extraCopies                 map[goalKey]int
+	shortagePlans               map[goalKey]int
+	// roleAssignedAt is the plan in which an engine was last ordered to take a role.
+	roleAssignedAt map[roleKey]int
+	planCount      int
 }
 
-// NewPlanner returns a planner that has seen no load yet.
+// NewPlanner returns a planner that has observed no load yet.
 func NewPlanner() *Planner {
-	return &Planner{hot: map[heatKey]int{}, cold: map[heatKey]int{}, extra: map[heatKey]int{},
-		lacking: map[heatKey]int{}, gained: map[roleKey]int{}}
+	return &Planner{highLoadPlans: map[goalKey]int{}, lowLoadPlans: map[goalKey]int{}, extraCopies: map[goalKey]int{},
+		shortagePlans: map[goalKey]int{}, roleAssignedAt: map[roleKey]int{}}
 }
 
-// Plan returns the next steps, at most one per region and engine. served lists the
-// models that callers may ask the service for: the last copy of such a model in a
-// region is never dropped.
+// Plan returns the next steps, at most one per region and engine. served lists the models that
+// callers may request from the service: the last copy of such a model in a region is never
+// dropped.
 func (p *Planner) Plan(goals []Goal, served []string, engines []Engine) []Step {
 	var steps []Step
-	p.plans++
+	p.planCount++
 	for _, region := range regions(engines) {
 		local := inRegion(engines, region)
 		for _, goal := range goals {
-			p.heat(region, goal, local)
+			p.adjustCopies(region, goal, local)
 		}
 		if loads := p.loads(region, goals, local); len(loads) > 0 {
 			steps = append(steps, loads...)
 			continue
 		}
-		if move, found, waiting := p.move(region, goals, served, local); found || waiting {
+		if roleChange, found, waiting := p.roleChange(region, goals, served, local); found || waiting {
 			if found {
-				steps = append(steps, move)
+				steps = append(steps, roleChange)
 			}
 			continue
 		}
-		if p.plans <= unsurePlans {
+		if p.planCount <= settlingPlans {
 			continue
 		}
 		if drop, found := p.drop(region, goals, served, local); found {
@@ -115,7 +114,7 @@
 	return local
 }
 
-func holders(goal Goal, engines []Engine) []Engine {
+func serving(goal Goal, engines []Engine) []Engine {
 	var found []Engine
 	for _, e := range engines {
 		if e.serves(goal) {
@@ -125,57 +124,57 @@
 	return found
 }
 
-// heat moves the number of extra copies of a goal by the reported load.
-func (p *Planner) heat(region string, goal Goal, engines []Engine) {
-	key := keyOf(region, goal)
-	held := holders(goal, engines)
-	if len(held) == 0 {
+// adjustCopies changes the number of extra copies for a goal according to the reported load.
+func (p *Planner) adjustCopies(region string, goal Goal, engines []Engine) {
+	key := newGoalKey(region, goal)
+	servingEngines := serving(goal, engines)
+	if len(servingEngines) == 0 {
 		return
 	}
 	total := 0.0
-	for _, e := range held {
+	for _, e := range servingEngines {
 		total += e.load()
 	}
-	mean := total / float64(len(held))
-	p.hot[key] = countIf(mean > highLoad, p.hot[key])
-	p.cold[key] = countIf(mean < lowLoad, p.cold[key])
+	mean := total / float64(len(servingEngines))
+	p.highLoadPlans[key] = countConsecutive(mean > highLoad, p.highLoadPlans[key])
+	p.lowLoadPlans[key] = countConsecutive(mean < lowLoad, p.lowLoadPlans[key])
 	switch {
-	case p.hot[key] >= steadyPlans && p.want(region, goal, engines) < len(engines):
-		p.extra[key]++
-		p.hot[key] = 0
-	case p.cold[key] >= steadyPlans && p.extra[key] > 0:
-		p.extra[key]--
-		p.cold[key] = 0
+	case p.highLoadPlans[key] >= sustainedPlans && p.wantedCopies(region, goal, engines) < len(engines):
+		p.extraCopies[key]++
+		p.highLoadPlans[key] = 0
+	case p.lowLoadPlans[key] >= sustainedPlans && p.extraCopies[key] > 0:
+		p.extraCopies[key]--
+		p.lowLoadPlans[key] = 0
 	}
 }
 
-func countIf(outside bool, before int) int {
-	if outside {
-		return before + 1
+func countConsecutive(holds bool, count int) int {
+	if holds {
+		return count + 1
 	}
 	return 0
 }
 
-// want is how many copies of a goal a region should hold now.
-func (p *Planner) want(region string, goal Goal, engines []Engine) int {
-	return min(goal.CopiesPerRegion+p.extra[keyOf(region, goal)], len(engines))
+// wantedCopies returns how many copies for a goal a region should hold now.
+func (p *Planner) wantedCopies(region string, goal Goal, engines []Engine) int {
+	return min(goal.CopiesPerRegion+p.extraCopies[newGoalKey(region, goal)], len(engines))
 }
 
-// loads returns the steps that bring missing copies, one model per engine.
+// loads returns the steps that add missing copies, one model per engine.
 func (p *Planner) loads(region string, goals []Goal, engines []Engine) []Step {
 	var steps []Step
 	used := map[string]bool{}
 	for _, goal := range goals {
-		missing := p.missing(region, goal, engines)
+		missingCopies := p.missingCopies(region, goal, engines)
 		for _, e := range byLoad(engines) {
-			if missing <= 0 {
+			if missingCopies <= 0 {
 				break
 			}
-			if used[e.Upstream.GetName()] || e.holds(goal.Model) || !e.free() || !goal.fits(e.Report.Role) {
+			if used[e.Upstream.GetName()] || e.holds(goal.Model) || !e.hasRoom() || !goal.acceptsRole(e.Report.Role) {
 				continue
 			}
 			used[e.Upstream.GetName()] = true
-			missing--
+			missingCopies--
 			model := goal.Model
 			steps = append(steps, Step{Engine: e, Models: append(slices.Clone(e.Report.Models), model), Role: e.Report.Role, Fetch: &model})
 		}
@@ -183,15 +182,15 @@
 	return steps
 }
 
-// missing is how many copies of a goal a region has yet to be ordered.
-func (p *Planner) missing(region string, goal Goal, engines []Engine) int {
-	missing := p.want(region, goal, engines) - len(holders(goal, engines))
+// missingCopies returns how many copies for a goal are neither held nor ordered in a region.
+func (p *Planner) missingCopies(region string, goal Goal, engines []Engine) int {
+	missingCopies := p.wantedCopies(region, goal, engines) - len(serving(goal, engines))
 	for _, e := range engines {
-		if e.coming(goal) {
-			missing--
+		if e.becoming(goal) {
+			missingCopies--
 		}
 	}
-	return missing
+	return missingCopies
 }
 
 func byLoad(engines []Engine) []Engine {
@@ -200,9 +199,9 @@
 	return sorted
 }
 
-// drop returns one model to drop in the region: one that nothing wants any more, or
-// a copy above the number wanted. It is asked only when no load can go ahead: either
-// all goals are met, or the engines are full and room must be made.
+// drop returns a step that drops one model in the region: one that no goal wants any more,
+// or a copy above the wanted number. It is called only when no load is possible: either all
+// goals are met, or the engines are full and room must be made.
 func (p *Planner) drop(region string, goals []Goal, served []string, engines []Engine) (Step, bool) {
 	for _, e := range byLoad(engines) {
 		if e.Ordered != nil {
@@ -211,7 +210,7 @@
 		for i, m := range e.Report.Models {
 			after := e
 			after.Report.Models = slices.Delete(slices.Clone(e.Report.Models), i, i+1)
-			if p.surplus(region, e, m, goals, engines) && !lastCopy(m.Name, e.Report.Role, goals, served, replace(engines, after)) {
+			if p.isSurplus(region, e, m, goals, engines) && !removesLastCopy(m.Name, e.Report.Role, goals, served, withReplaced(engines, after)) {
 				return Step{Engine: e, Models: after.Report.Models, Role: e.Report.Role}, true
 			}
 		}
--- a/orders/roles.go
+++ b/orders/roles.go
@@ -2,46 +2,47 @@
 
 import "slices"
 
-// restPlans is for how many plans no engine leaves a role that one of its region was
-// given. It bounds how often a load that swings between two roles moves engines.
-const restPlans = unsurePlans
+// roleCooldownPlans is for how many plans no engine leaves a role after an engine of the same
+// region was assigned to it. It bounds how often a load that alternates between two roles moves
+// engines.
+const roleCooldownPlans = settlingPlans
 
-// move returns the change of one engine's role, for a goal that no engine of its role
-// has room for. waiting tells that one may follow soon: nothing is dropped until then,
-// since an engine that changes its role keeps its models.
-func (p *Planner) move(region string, goals []Goal, served []string, engines []Engine) (step Step, found, waiting bool) {
-	// One at a time: what an engine did in its former role falls to the others.
-	if slices.ContainsFunc(engines, Engine.moving) {
+// roleChange returns the change of one engine's role, for a goal that no engine in its role
+// has room for. waiting reports that one may follow soon: nothing is dropped until then, since
+// an engine that changes its role keeps its models.
+func (p *Planner) roleChange(region string, goals []Goal, served []string, engines []Engine) (step Step, found, waiting bool) {
+	// One at a time: the load of an engine's former role falls to the others.
+	if slices.ContainsFunc(engines, Engine.changingRole) {
 		return Step{}, false, true
 	}
 	for _, goal := range goals {
-		lacks := goal.Role != "" && p.missing(region, goal, engines) > 0
-		key := keyOf(region, goal)
-		p.lacking[key] = countIf(lacks, p.lacking[key])
-		if !lacks {
+		short := goal.Role != "" && p.missingCopies(region, goal, engines) > 0
+		key := newGoalKey(region, goal)
+		p.shortagePlans[key] = countConsecutive(short, p.shortagePlans[key])
+		if !short {
 			continue
 		}
-		engine, candidate := p.candidate(region, goal, goals, served, engines)
-		if !candidate {
+		engine, exists := p.roleCandidate(region, goal, goals, served, engines)
+		if !exists {
 			continue
 		}
-		if p.lacking[key] < steadyPlans || p.plans <= unsurePlans {
+		if p.shortagePlans[key] < sustainedPlans || p.planCount <= settlingPlans {
 			waiting = true
 			continue
 		}
-		p.lacking[key] = 0
-		p.gained[roleKey{region, goal.Role}] = p.plans
+		p.shortagePlans[key] = 0
+		p.roleAssignedAt[roleKey{region, goal.Role}] = p.planCount
 		return Step{Engine: engine, Models: append([]Model{}, engine.Report.Models...), Role: goal.Role}, true, false
 	}
 	return Step{}, false, waiting
 }
 
-// candidate returns the engine that may best be told to take a goal's role: one that
-// holds the model already, or else the least loaded.
-func (p *Planner) candidate(region string, goal Goal, goals []Goal, served []string, engines []Engine) (Engine, bool) {
+// roleCandidate returns the engine best suited to take a goal's role: one that already holds
+// the model, otherwise the least loaded.
+func (p *Planner) roleCandidate(region string, goal Goal, goals []Goal, served []string, engines []Engine) (Engine, bool) {
 	var best *Engine
 	for _, e := range byLoad(engines) {
-		if !p.movable(region, e, goal.Role, goals, served, engines) {
+		if !p.canChangeRole(region, e, goal.Role, goals, served, engines) {
 			continue
 		}
 		if e.holds(goal.Model) {
@@ -57,17 +58,17 @@
 	return *best, true
 }
 
-// movable tells whether an engine can take a role and isn't needed in its own: each of
-// its copies must be above what is wanted there, and none the last one.
-func (p *Planner) movable(region string, e Engine, role string, goals []Goal, served []string, engines []Engine) bool {
+// canChangeRole reports whether an engine can take a role and isn't needed in its current one:
+// each of its copies must exceed the wanted number there, and none may be the last one.
+func (p *Planner) canChangeRole(region string, e Engine, role string, goals []Goal, served []string, engines []Engine) bool {
 	if e.Ordered != nil || e.Report.Role == role || !slices.Contains(e.Report.Roles, role) {
 		return false
 	}
-	if at, gained := p.gained[roleKey{region, e.Report.Role}]; gained && p.plans-at < restPlans {
+	if assignedAt, assigned := p.roleAssignedAt[roleKey{region, e.Report.Role}]; assigned && p.planCount-assignedAt < roleCooldownPlans {
 		return false
 	}
 	for _, m := range e.Report.Models {
-		if !p.surplus(region, e, m, goals, engines) || lastCopy(m.Name, e.Report.Role, goals, served, without(engines, e)) {
+		if !p.isSurplus(region, e, m, goals, engines) || removesLastCopy(m.Name, e.Report.Role, goals, served, without(engines, e)) {
 			return false
 		}
 	}
