--- a/admission/controller.go
+++ b/admission/controller.go
@@ -52,7 +52,7 @@
 // Admit blocks until the request may be sent. release must be called when the request has left
 // its upstream; further calls do nothing. The error is Overloaded, or CallerGone if ctx was
 // canceled first; in both cases nothing was sent.
-func (c *Controller) Admit(ctx context.Context, params routing.Ask) (release func(), err error) {
+func (c *Controller) Admit(ctx context.Context, params routing.Request) (release func(), err error) {
 	decision := make(chan error, 1)
 	scheduler, request := c.submit(params, decision)
 	select {
@@ -77,7 +77,7 @@
 	return result.New(result.CallerGone, "the caller left while its request waited")
 }
 
-func (c *Controller) submit(params routing.Ask, decision chan<- error) (*Scheduler, *Request) {
+func (c *Controller) submit(params routing.Request, decision chan<- error) (*Scheduler, *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	scheduler := c.schedulers[params.Service]
--- a/admission/request.go
+++ b/admission/request.go
@@ -8,7 +8,7 @@
 
 // Request is one request within a Scheduler.
 type Request struct {
-	Params routing.Ask
+	Params routing.Request
 
 	state       requestState
 	cost        float64
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -62,7 +62,7 @@
 
 // Submit asks for a request's admission. onDecision is called once with the decision, possibly
 // before Submit returns, and must not call the scheduler.
-func (s *Scheduler) Submit(now time.Time, params routing.Ask, onDecision func(err error)) *Request {
+func (s *Scheduler) Submit(now time.Time, params routing.Request, onDecision func(err error)) *Request {
 	r := &Request{Params: params, submittedAt: now, onDecision: onDecision, cost: s.cost(&params)}
 	r.account = s.queue.account(params.Team, params.Account, float64(max(1, params.Weight)))
 	r.belowShare = s.queue.isBelowShare(r.account, now, true)
@@ -85,7 +85,7 @@
 	return r
 }
 
-func (s *Scheduler) cost(params *routing.Ask) float64 {
+func (s *Scheduler) cost(params *routing.Request) float64 {
 	if tokens := params.PromptTokens + params.AnswerTokens; tokens > 0 {
 		return float64(tokens)
 	}
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -20,7 +20,7 @@
 	err   error
 }
 
-func submit(c *Scheduler, now time.Time, params routing.Ask) *outcome {
+func submit(c *Scheduler, now time.Time, params routing.Request) *outcome {
 	v := &outcome{}
 	v.req = c.Submit(now, params, func(err error) {
 		v.times++
@@ -29,8 +29,8 @@
 	return v
 }
 
-func request(team, account string) routing.Ask {
-	return routing.Ask{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
+func request(team, account string) routing.Request {
+	return routing.Request{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
 }
 
 // newFullScheduler returns a scheduler whose limit is used up by another account.
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,7 +25,7 @@
 }
 
 // send sends the request to one upstream and passes its answer on.
-func (c *call) send(ctx context.Context, choice placement.Choice) verdict {
+func (c *call) send(ctx context.Context, choice placement.PickResult) verdict {
 	u := choice.Upstream
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -36,7 +36,7 @@
 	sent := c.g.Clock.Now()
 	u.RecordSent(sent)
 	c.sentAt = sent
-	prompt := int64(choice.Unread)
+	prompt := int64(choice.Uncached)
 	u.PromptInFlight.Add(prompt)
 	reading := true
 	answered := func() {
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -21,9 +21,9 @@
 			waits = append(waits, u.EstimatedWait(now))
 		}
 	}
-	usual, policy := shedding.Usual(waits), c.g.settings.Shedding
+	usual, policy := shedding.MedianWait(waits), c.g.settings.Shedding
 	if policy.Admit(usual, c.route.Objective, draw()) {
 		return nil
 	}
-	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.Return(draw()))
+	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.RetryAfter(draw()))
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -105,5 +105,5 @@
 	if c.repeatTaken.Swap(false) {
 		return true
 	}
-	return c.g.repeats(c.service.Name).TryRepeat(c.g.Nodes())
+	return c.g.repeats(c.service.Name).TryRetry(c.g.Nodes())
 }
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -66,7 +66,7 @@
 // take runs a caller's request.
 func (n *node) take(c call) {
 	a := &attempts{node: n, call: c, arrived: n.fleet.sim.Now(), tried: map[string]bool{}}
-	a.ask = routing.Ask{
+	a.ask = routing.Request{
 		Service: serviceName, Region: n.region, Account: c.account.name, Team: c.account.team,
 		PromptTokens: c.prompt, AnswerTokens: meanAnswer, Prefix: c.prefix, Tried: a.tried, Priority: c.priority,
 	}
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -35,7 +35,7 @@
 
 // Executor gives orders while this node holds the lease.
 type Executor struct {
-	Lessor  lease.Lessor
+	Lessor  lease.Holder
 	Client  Client
 	Weights ports.Weights
 	Config  func() *config.View
@@ -59,7 +59,7 @@
 
 // Run gives orders until ctx ends.
 func (e *Executor) Run(ctx context.Context) {
-	e.Lessor.Want(LeaseName)
+	e.Lessor.Campaign(LeaseName)
 	periodic.Run(ctx, e.Clock, reconcileInterval, e.Reconcile)
 }
 
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -191,8 +191,8 @@
 	l.epoch = epoch
 }
 
-func (l *fakeLessor) Want(string)    {}
-func (l *fakeLessor) Release(string) {}
+func (l *fakeLessor) Campaign(string) {}
+func (l *fakeLessor) Release(string)  {}
 
 // sentCount returns how many orders the executor has sent.
 func (f *fakeEngines) sentCount() int {
--- a/recovery/outcome.go
+++ b/recovery/outcome.go
@@ -57,7 +57,7 @@
 		return orWorst(open, waited)
 	}
 	if report, err = engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs()); err == nil && report.State == upstream.UsageFinished {
-		return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+		return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 	}
 	return orWorst(open, waited)
 }
@@ -66,7 +66,7 @@
 // when neither has finished it.
 func factOf(ctx context.Context, engines Engines, open *fleetv1.OpenRequest) outcome {
 	if open.GetFinished() {
-		return outcome{budget.BilledTo(open, open.GetUsed()), fromNode}
+		return outcome{budget.BilledTokens(open, open.GetUsed()), fromNode}
 	}
 	if !engines.Counts(open.GetUpstream()) {
 		return outcome{}
@@ -75,7 +75,7 @@
 	if err != nil || report.State != upstream.UsageFinished {
 		return outcome{}
 	}
-	return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+	return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 }
 
 func orWorst(open *fleetv1.OpenRequest, waited time.Duration) outcome {
--- a/witness/teller.go
+++ b/witness/teller.go
@@ -142,7 +142,7 @@
 	if held == nil {
 		return
 	}
-	if budget.BilledTo(held, used) == 0 {
+	if budget.BilledTokens(held, used) == 0 {
 		t.drop(request)
 		t.first.forgets(request)
 		t.second.forgets(request)
