--- a/admission/core_test.go
+++ b/admission/scheduler_test.go
@@ -13,16 +13,16 @@
 
 var start = time.Unix(1000, 0)
 
-// verdict is what a test's caller was told.
-type verdict struct {
-	item  *Request
+// outcome records the decisions that a test's caller received.
+type outcome struct {
+	req   *Request
 	times int
 	err   error
 }
 
-func offer(c *Scheduler, now time.Time, ask routing.Request) *verdict {
-	v := &verdict{}
-	v.item = c.Submit(now, ask, func(err error) {
+func submit(c *Scheduler, now time.Time, params routing.Request) *outcome {
+	v := &outcome{}
+	v.req = c.Submit(now, params, func(err error) {
 		v.times++
 		v.err = err
 	})
@@ -33,29 +33,29 @@
 	return routing.Request{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
 }
 
-// full returns a core whose limit is used up by another account.
-func full(change func(*Settings)) (*Scheduler, []*verdict) {
+// newFullScheduler returns a scheduler whose limit is used up by another account.
+func newFullScheduler(change func(*Settings)) (*Scheduler, []*outcome) {
 	s := DefaultSettings(4)
 	s.BelowShareReserve = 0
 	if change != nil {
 		change(&s)
 	}
 	c := NewScheduler(s)
-	var held []*verdict
+	var held []*outcome
 	for len(held) < 4 {
-		held = append(held, offer(c, start, request("other", "other")))
+		held = append(held, submit(c, start, request("other", "other")))
 	}
 	return c, held
 }
 
-// serveNext releases one admitted request and returns those of the list that are
-// admitted through it.
-func serveNext(c *Scheduler, now time.Time, admitted *verdict, waiting []*verdict) *verdict {
-	before := map[*verdict]bool{}
+// releaseAndNext releases one admitted request and returns the waiting request that is admitted
+// as a result.
+func releaseAndNext(c *Scheduler, now time.Time, admitted *outcome, waiting []*outcome) *outcome {
+	before := map[*outcome]bool{}
 	for _, v := range waiting {
 		before[v] = v.times > 0
 	}
-	c.Release(now, admitted.item)
+	c.Release(now, admitted.req)
 	for _, v := range waiting {
 		if !before[v] && v.times > 0 && v.err == nil {
 			return v
@@ -64,16 +64,16 @@
 	return nil
 }
 
-// A caller that is never told waits for ever; one told twice may run twice. Whatever
-// comes in which order, each is told once and the bounds hold.
+// A caller that gets no decision waits forever; one that gets two may run twice. In any order
+// of events, each gets exactly one and the bounds hold.
 func TestEveryRequestGetsOneDecisionWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := DefaultSettings(3)
 		s.MaxQueue, s.MaxAccountQueue = 6, 4
 		c := NewScheduler(s)
 		now := start
-		var all []*verdict
-		left := map[*verdict]bool{}
+		var all []*outcome
+		canceled := map[*outcome]bool{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
@@ -83,54 +83,54 @@
 				if rapid.Bool().Draw(t, "deadline") {
 					a.Deadline = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "left")) * time.Millisecond)
 				}
-				all = append(all, offer(c, now, a))
+				all = append(all, submit(c, now, a))
 			case step < 8 && len(all) > 0:
-				c.Release(now, rapid.SampledFrom(all).Draw(t, "release").item)
+				c.Release(now, rapid.SampledFrom(all).Draw(t, "release").req)
 			case step == 8 && len(all) > 0:
 				v := rapid.SampledFrom(all).Draw(t, "leave")
-				if c.Cancel(v.item) {
-					left[v] = true
+				if c.Cancel(v.req) {
+					canceled[v] = true
 				}
 			default:
 				c.Observe(now, routing.Pressure{Running: 16, Waiting: float64(rapid.IntRange(0, 3).Draw(t, "waiting")), Slots: 16}, routing.Pressure{})
 			}
 			c.Expire(now)
 			if c.Waiting() > s.MaxQueue || c.InFlight() > s.MaxLimit {
-				t.Fatalf("%d wait, %d in flight", c.Waiting(), c.InFlight())
+				t.Fatalf("%d waiting, %d in flight", c.Waiting(), c.InFlight())
 			}
 		}
 		c.Expire(now.Add(s.MaxWait))
 		for i, v := range all {
-			if want := map[bool]int{false: 1, true: 0}[left[v]]; v.times != want {
-				t.Fatalf("request %d was told %d times, want %d", i, v.times, want)
+			if want := map[bool]int{false: 1, true: 0}[canceled[v]]; v.times != want {
+				t.Fatalf("request %d got %d decisions, want %d", i, v.times, want)
 			}
-			c.Release(now, v.item)
+			c.Release(now, v.req)
 		}
 		if c.InFlight() != 0 || c.Waiting() != 0 || c.queue.backlog > 1e-6 {
-			t.Fatalf("%d in flight, %d wait, backlog %f are left", c.InFlight(), c.Waiting(), c.queue.backlog)
+			t.Fatalf("%d in flight, %d waiting, backlog %f remain", c.InFlight(), c.Waiting(), c.queue.backlog)
 		}
 	})
 }
 
-// One team floods the fleet before the others come. Were requests served in the order
-// of arrival the other teams would get nothing until the flood is through.
+// One team fills the queue before the others arrive. In order of arrival, the other teams would
+// get nothing until that backlog is served.
 func TestTeamsAndAccountsShareByWeight(t *testing.T) {
 	is := is.New(t)
-	c, held := full(func(s *Settings) { s.MaxWait = time.Hour })
-	var waiting []*verdict
+	c, held := newFullScheduler(func(s *Settings) { s.MaxWait = time.Hour })
+	var waiting []*outcome
 	for range 60 {
-		waiting = append(waiting, offer(c, start, request("flood", "flood")))
+		waiting = append(waiting, submit(c, start, request("flood", "flood")))
 	}
 	for range 60 {
 		heavy := request("calm", "heavy")
 		heavy.Weight = 3
-		waiting = append(waiting, offer(c, start, heavy), offer(c, start, request("calm", "plain")))
+		waiting = append(waiting, submit(c, start, heavy), submit(c, start, request("calm", "plain")))
 	}
 	served := map[string]int{}
 	next := held[0]
 	for range 80 {
-		next = serveNext(c, start, next, waiting)
-		served[next.item.account.name]++
+		next = releaseAndNext(c, start, next, waiting)
+		served[next.req.account.name]++
 	}
 	near := func(account string, want int) {
 		got := served[account]
@@ -143,56 +143,55 @@
 
 func TestHigherPriorityGoesFirstWithinAccount(t *testing.T) {
 	is := is.New(t)
-	c, held := full(nil)
-	low := offer(c, start, request("a", "x"))
+	c, held := newFullScheduler(nil)
+	low := submit(c, start, request("a", "x"))
 	urgent := request("a", "x")
 	urgent.Priority = 1
-	high := offer(c, start, urgent)
-	is.Equal(serveNext(c, start, held[0], []*verdict{low, high}), high)
+	high := submit(c, start, urgent)
+	is.Equal(releaseAndNext(c, start, held[0], []*outcome{low, high}), high)
 }
 
-// The queue is long already. A request that would only be late must be told at once
-// and when to come back, not be held until its deadline has passed.
+// The queue is already long. A request that would miss its deadline must be refused immediately
+// with a retry delay, not held until the deadline has passed.
 func TestLateRequestIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
-	c, held := full(func(s *Settings) { s.MaxWait = time.Minute })
+	c, held := newFullScheduler(func(s *Settings) { s.MaxWait = time.Minute })
 	for range 20 {
-		offer(c, start, request("a", "x"))
+		submit(c, start, request("a", "x"))
 	}
-	c.Release(start, held[0].item) // now a drain rate is known
-	hurried := request("a", "x")
-	hurried.Deadline = start.Add(2 * time.Second)
-	late := offer(c, start, hurried)
+	c.Release(start, held[0].req) // the drain rate is known from here on
+	params := request("a", "x")
+	params.Deadline = start.Add(2 * time.Second)
+	late := submit(c, start, params)
 	is.Equal(result.CodeOf(late.err), result.Overloaded)
-	is.True(late.item.state == stateOver)
-	is.True(result.From(late.err).RetryAfter > leastRetryAfter)
-	hurried.Deadline = start.Add(2 * time.Minute)
-	is.Equal(offer(c, start, hurried).times, 0)
+	is.True(late.req.state == stateDone)
+	is.True(result.From(late.err).RetryAfter > minRetryAfter)
+	params.Deadline = start.Add(2 * time.Minute)
+	is.Equal(submit(c, start, params).times, 0)
 }
 
-// One account's flood fills the whole queue. A small account's request must not be
-// turned away for it.
+// One account fills the whole queue. A small account's request must not be refused because of
+// it.
 func TestFullQueueEvictsFromTheMostBackloggedAccount(t *testing.T) {
 	is := is.New(t)
-	c, _ := full(func(s *Settings) { s.MaxQueue, s.MaxAccountQueue = 10, 100 })
-	var flood []*verdict
+	c, _ := newFullScheduler(func(s *Settings) { s.MaxQueue, s.MaxAccountQueue = 10, 100 })
+	var flood []*outcome
 	for range 10 {
-		flood = append(flood, offer(c, start, request("a", "flood")))
+		flood = append(flood, submit(c, start, request("a", "flood")))
 	}
-	small := offer(c, start, request("b", "small"))
+	small := submit(c, start, request("b", "small"))
 	is.Equal(small.times, 0)
 	is.Equal(result.CodeOf(flood[9].err), result.Overloaded)
 	is.Equal(flood[0].times, 0)
-	is.Equal(result.CodeOf(offer(c, start, request("a", "flood")).err), result.Overloaded)
+	is.Equal(result.CodeOf(submit(c, start, request("a", "flood")).err), result.Overloaded)
 }
 
-// Everybody asks for more than there is, for long. With a long queue everybody's
-// answer is late, and as many are refused. Whoever had less than its share may still
-// wait for its turn.
+// Demand exceeds capacity for a long time. With a long queue every answer is late and just as
+// many requests are refused. Accounts below their share may still wait for their turn.
 func TestStandingQueueShortensWaits(t *testing.T) {
 	is := is.New(t)
-	c, _ := full(nil)
-	burst := offer(c, start, request("other", "other"))
+	c, _ := newFullScheduler(nil)
+	burst := submit(c, start, request("other", "other"))
 	now := start.Add(500 * time.Millisecond)
 	c.Expire(now)
 	is.Equal(burst.times, 0) // a burst may wait
@@ -200,15 +199,15 @@
 	c.Observe(now, routing.Pressure{Running: 16, Waiting: 0, Slots: 16}, routing.Pressure{})
 	c.Expire(now)
 	is.Equal(result.CodeOf(burst.err), result.Overloaded)
-	heavy, light := offer(c, now, request("other", "other")), offer(c, now, request("a", "small"))
+	heavy, light := submit(c, now, request("other", "other")), submit(c, now, request("a", "small"))
 	is.True(c.Waiting() > 0)
 	c.Expire(now.Add(200 * time.Millisecond))
 	is.Equal(result.CodeOf(heavy.err), result.Overloaded)
 	is.NoErr(light.err)
 }
 
-// The engines' queues grow: what they hold is served in their order, not fairly, and
-// late. The limit must come down, and up again when they are free.
+// The engines' queues grow. Requests queued there are served late and in engine order, not
+// fairly. The limit must fall, and rise again when the engines are free.
 func TestLimitFollowsEngineQueues(t *testing.T) {
 	is := is.New(t)
 	c := NewScheduler(DefaultSettings(100))
@@ -223,8 +222,8 @@
 	is.Equal(c.Limit(), 100)
 }
 
-// Reports stop after a bad time, as when the engines' load interface fails. A limit
-// that stayed low would go on refusing requests that the engines have room for.
+// Reports stop after a period of overload, as when the engines' load endpoint fails. A limit
+// that stayed low would keep refusing requests that the engines have room for.
 func TestLimitRecoversWithoutReports(t *testing.T) {
 	is := is.New(t)
 	c := NewScheduler(DefaultSettings(100))
@@ -237,14 +236,14 @@
 	is.Equal(c.Limit(), 100)
 }
 
-// This region is full and the other one idles: requests refused now would be refused
-// falsely. Once the other region is busy itself, or not heard of, they must not go on.
+// This region is full and the other one idles: refusing requests now would be wrong. Once the
+// other region is busy itself, or its reports stop, the overflow must end.
 func TestOverflowGoesToAnIdleRegion(t *testing.T) {
 	is := is.New(t)
-	c, _ := full(nil)
+	c, _ := newFullScheduler(nil)
 	busy := routing.Pressure{Running: 16, Waiting: 1, Slots: 16}
 	for range 10 {
-		offer(c, start, request("a", "x"))
+		submit(c, start, request("a", "x"))
 		c.Observe(start, busy, routing.Pressure{Running: 4, Slots: 32})
 	}
 	is.True(c.InFlight() > 8)
@@ -266,6 +265,6 @@
 			retries++
 		}
 	}
-	is.True(retries <= 100+retryReserve)
+	is.True(retries <= 100+maxRetryBalance)
 	is.True(retries >= 99)
 }
--- a/directory/wait_test.go
+++ b/directory/wait_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// An engine's queue grows under a crowd. The node must see it grow while nothing answers,
-// remember it while short answers overtake, and forget it when the crowd is over.
+// An engine's queue grows under high load. The estimate must grow while no response starts,
+// last while short responses overtake, and decay when the load is over.
 func TestEstimatedWaitFollowsTheQueue(t *testing.T) {
 	is := is.New(t)
 	s := &Stats{}
@@ -23,7 +23,7 @@
 	is.True(s.EstimatedWait(time.Hour+10*time.Second) < 10*time.Millisecond)
 }
 
-// An upstream answers other requests while one waits: it is busy and not silent.
+// An upstream responds to other requests while one waits: it is busy, not silent.
 func TestSilenceEndsWithAnyResponse(t *testing.T) {
 	is := is.New(t)
 	s := &Stats{}
