--- a/membership/addresses.go
+++ b/membership/addresses.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// loadFactor and loadSlack bound what a node of a region may carry above the
-	// region's mean before an account's callers are sent past it.
+	// A node whose load exceeds loadFactor times its region's mean plus loadMargin is
+	// ranked after the region's other nodes.
 	loadFactor = 1.25
-	loadSlack  = 4
+	loadMargin = 4
 )
 
-// Address is one node that callers may use.
+// Address is the HTTP address and location of a node that callers may use.
 type Address struct {
 	Address    string `json:"address"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
 }
 
-// Asker is who asks for addresses, and the node that answers.
-type Asker struct {
-	// Account is the caller's client account; empty when it isn't known.
+// AddressQuery describes the caller that asks for addresses and the answering node.
+type AddressQuery struct {
+	// Account is the caller's client account, empty if unknown.
 	Account string
-	// Self is the answering node, and SelfServes tells whether it takes callers.
+	// Self is the answering node; SelfServing is set while it accepts callers.
 	Self         *recordv1.NodeInfo
-	SelfServes   bool
+	SelfServing  bool
 	SelfInFlight uint32
 }
 
-// Addresses returns the nodes that callers should use, the best first.
-func (m *Members) Addresses(asker Asker) []Address {
-	asker.Self = m.self
-	return Rank(asker, m.All())
+// Addresses returns the nodes that callers should use, best first.
+func (m *Members) Addresses(query AddressQuery) []Address {
+	query.Self = m.self
+	return Rank(query, m.All())
 }
 
 // Rank orders the usable nodes for a caller: those of the answering node's region
-// first. Within a region a known account's callers get the same order everywhere
+// first. Within a region, a known account's callers get the same order from every node
 // (rendezvous hashing), so that its budget is split over few nodes; nodes far above
-// the region's mean load come after the others. Without an account those of the
-// answering node's data centre come first, then the least loaded.
+// the region's mean load come last. Without an account, nodes of the answering node's
+// data centre come first, then the least loaded.
 //
-// A draining, silent or unsettled node is never handed out, as a caller would keep
-// its address and be refused.
-func Rank(asker Asker, members []Member) []Address {
+// Draining, suspected and damped nodes are never handed out, since a caller would keep
+// the address and be refused.
+func Rank(query AddressQuery, members []Member) []Address {
 	var usable []Member
-	if asker.SelfServes {
-		usable = append(usable, Member{Node: asker.Self, InFlight: asker.SelfInFlight})
+	if query.SelfServing {
+		usable = append(usable, Member{Node: query.Self, InFlight: query.SelfInFlight})
 	}
 	for _, member := range members {
 		if member.Usable() {
 			usable = append(usable, member)
 		}
 	}
-	limits := limitsOf(usable)
-	sort.SliceStable(usable, func(i, j int) bool { return asker.before(usable[i], usable[j], limits) })
+	limits := loadLimits(usable)
+	sort.SliceStable(usable, func(i, j int) bool { return query.less(usable[i], usable[j], limits) })
 	addresses := make([]Address, 0, len(usable))
 	for _, c := range usable {
 		addresses = append(addresses, Address{c.Node.GetHttpAddress(), c.Node.GetRegion(), c.Node.GetDataCentre()})
@@ -65,41 +65,41 @@
 	return addresses
 }
 
-// limitsOf returns for each region the load above which a node is passed over.
-func limitsOf(members []Member) map[string]float64 {
+// loadLimits returns for each region the load above which a node is ranked last.
+func loadLimits(members []Member) map[string]float64 {
 	total, count := map[string]float64{}, map[string]float64{}
 	for _, m := range members {
 		total[m.Node.GetRegion()] += float64(m.InFlight)
 		count[m.Node.GetRegion()]++
 	}
 	for region := range total {
-		total[region] = total[region]/count[region]*loadFactor + loadSlack
+		total[region] = total[region]/count[region]*loadFactor + loadMargin
 	}
 	return total
 }
 
-func (a Asker) before(x, y Member, limits map[string]float64) bool {
-	if nearX, nearY := x.Node.GetRegion() == a.Self.GetRegion(), y.Node.GetRegion() == a.Self.GetRegion(); nearX != nearY {
-		return nearX
+func (q AddressQuery) less(x, y Member, limits map[string]float64) bool {
+	if sameRegionX, sameRegionY := x.Node.GetRegion() == q.Self.GetRegion(), y.Node.GetRegion() == q.Self.GetRegion(); sameRegionX != sameRegionY {
+		return sameRegionX
 	}
 	if x.Node.GetRegion() != y.Node.GetRegion() {
 		return x.Node.GetRegion() < y.Node.GetRegion()
 	}
-	fullX := float64(x.InFlight) > limits[x.Node.GetRegion()]
-	if fullY := float64(y.InFlight) > limits[y.Node.GetRegion()]; fullX != fullY {
-		return fullY
+	overloadedX := float64(x.InFlight) > limits[x.Node.GetRegion()]
+	if overloadedY := float64(y.InFlight) > limits[y.Node.GetRegion()]; overloadedX != overloadedY {
+		return overloadedY
 	}
-	if a.Account != "" {
-		return score(a.Account, x) < score(a.Account, y)
+	if q.Account != "" {
+		return rendezvousHash(q.Account, x) < rendezvousHash(q.Account, y)
 	}
-	if closeX, closeY := x.Node.GetDataCentre() == a.Self.GetDataCentre(), y.Node.GetDataCentre() == a.Self.GetDataCentre(); closeX != closeY {
-		return closeX
+	if sameDataCentreX, sameDataCentreY := x.Node.GetDataCentre() == q.Self.GetDataCentre(), y.Node.GetDataCentre() == q.Self.GetDataCentre(); sameDataCentreX != sameDataCentreY {
+		return sameDataCentreX
 	}
 	return x.InFlight < y.InFlight
 }
 
-// score is by address rather than by incarnation, so that an account's callers stay
-// where they were when a node restarts.
-func score(account string, m Member) uint64 {
+// rendezvousHash hashes the address and not the incarnation, so that an account's callers
+// stay on the same nodes when a node restarts.
+func rendezvousHash(account string, m Member) uint64 {
 	return xxhash.Sum64String(account + "\x00" + m.Node.GetHttpAddress())
 }
--- a/membership/change.go
+++ b/membership/change.go
@@ -1,6 +1,6 @@
 package membership
 
-// ChangeKind is what happened to a member.
+// ChangeKind classifies a membership change.
 type ChangeKind int
 
 // The kinds of changes.
@@ -12,19 +12,19 @@
 	Stalled
 )
 
-// Change is one decision, for the time line.
+// Change is one membership change, to be recorded as an event.
 type Change struct {
 	Kind        ChangeKind
 	Incarnation string
 }
 
-// Changes returns what happened since it was called last.
-func (t *Table) Changes() []Change {
+// TakeChanges returns the changes since the last call.
+func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-func (t *Table) note(kind ChangeKind, incarnation string) {
+func (t *Table) recordChange(kind ChangeKind, incarnation string) {
 	t.changes = append(t.changes, Change{Kind: kind, Incarnation: incarnation})
 }
--- a/membership/instances.go
+++ b/membership/instances.go
@@ -16,83 +16,85 @@
 )
 
 const (
-	// listInterval is how often the platform's list is asked for. With what the
-	// answer takes it stays well under the three seconds within which a leaving
-	// upstream must get no new work.
+	// listInterval is the time between two requests for the platform's instance list.
+	// Together with the response time it stays well below the three seconds within which
+	// a leaving upstream must stop getting new work.
 	listInterval = time.Second
-	// listTimeout bounds one answer, and maxAsking how many are waited for at once: a
-	// platform that answers slowly is asked as often as one that doesn't, since waiting
-	// for each answer would add its time to the interval.
-	listTimeout  = 5 * time.Second
-	maxAsking    = int(listTimeout / listInterval)
-	roleEntry    = "entry"
-	roleUpstream = "upstream"
+	// listTimeout bounds one request and maxConcurrentLists how many are in flight. Requests
+	// overlap so that a slow platform is polled as often as a fast one: waiting for each
+	// response would add the response time to the interval.
+	listTimeout        = 5 * time.Second
+	maxConcurrentLists = int(listTimeout / listInterval)
+	roleEntry          = "entry"
+	roleUpstream       = "upstream"
 )
 
-// Instances keeps the platform's last answer. It is safe for concurrent use.
+// Instances polls the platform's instance list and caches the last response. It is safe
+// for concurrent use.
 type Instances struct {
-	list   ports.Instances
-	clock  clockwork.Clock
-	events *event.Recorder
-	last   atomic.Pointer[listed]
-	asked  atomic.Uint64
+	list     ports.Instances
+	clock    clockwork.Clock
+	events   *event.Recorder
+	last     atomic.Pointer[listing]
+	requests atomic.Uint64
 
 	mu   sync.Mutex
 	down bool
-	// heard is the number of the latest question that was answered or failed.
-	heard uint64
+	// latestReply is the number of the latest request that was answered or failed.
+	latestReply uint64
 }
 
-// listed is one answer, indexed for the request path. It never changes.
-type listed struct {
+// listing is one response, indexed for the request path. It is immutable.
+type listing struct {
 	peers   []string
 	leaving map[string]bool
-	// entries holds the addresses of all entry instances, live or leaving.
+	// entries is the set of addresses of all entry instances, live or leaving.
 	entries map[string]bool
-	// at is when the answer came; zero before the first.
-	at time.Time
-	// changes counts how often leaving became another one.
-	changes uint64
+	// receivedAt is when the response arrived, zero before the first.
+	receivedAt time.Time
+	// leavingVersion counts the changes of leaving.
+	leavingVersion uint64
 }
 
-// NewInstances returns a list that knows nothing yet.
+// NewInstances returns Instances with an empty list.
 func NewInstances(list ports.Instances, clock clockwork.Clock, events *event.Recorder) *Instances {
 	i := &Instances{list: list, clock: clock, events: events}
-	i.last.Store(&listed{leaving: map[string]bool{}})
+	i.last.Store(&listing{leaving: map[string]bool{}})
 	return i
 }
 
-// Run asks for the list until ctx ends.
+// Run polls the list until ctx is done.
 func (i *Instances) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	asking := make(chan struct{}, maxAsking)
+	inFlight := make(chan struct{}, maxConcurrentLists)
 	periodic.RunNow(ctx, i.clock, listInterval, func(ctx context.Context) {
 		select {
-		case asking <- struct{}{}:
+		case inFlight <- struct{}{}:
 			wait.Go(func() {
 				i.Refresh(ctx)
-				<-asking
+				<-inFlight
 			})
 		default:
 		}
 	})
 }
 
-// Refresh asks once. While the platform's list is down the last answer stays in use:
-// leaving upstreams stay out, and no node is taken as gone for it. An answer that a later
-// question overtook says nothing: it would bring back an upstream that leaves.
+// Refresh requests the list once. If that fails, the last response stays in use: leaving
+// upstreams stay excluded, and no node counts as gone because of the failure. A response
+// overtaken by that of a later request is dropped, as it could make a leaving upstream
+// available again.
 func (i *Instances) Refresh(ctx context.Context) {
 	ctx, cancel := clockwork.WithTimeout(ctx, i.clock, listTimeout)
 	defer cancel()
-	number := i.asked.Add(1)
+	number := i.requests.Add(1)
 	instances, err := i.list.List(ctx)
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if number < i.heard {
+	if number < i.latestReply {
 		return
 	}
-	i.heard = number
+	i.latestReply = number
 	if err != nil {
 		if !i.down {
 			i.events.Record(event.InstancesDown, "why", err)
@@ -101,49 +103,49 @@
 		return
 	}
 	i.down = false
-	i.take(instances)
+	i.apply(instances)
 }
 
-func (i *Instances) take(instances []*platformv1.Instance) {
+func (i *Instances) apply(instances []*platformv1.Instance) {
 	before := i.last.Load()
-	// An upstream that vanishes after it was leaving is gone, not back.
-	now := &listed{leaving: maps.Clone(before.leaving), entries: map[string]bool{}, at: i.clock.Now()}
+	// An upstream that was leaving and is no longer listed is gone, so it stays in leaving.
+	current := &listing{leaving: maps.Clone(before.leaving), entries: map[string]bool{}, receivedAt: i.clock.Now()}
 	for _, instance := range instances {
 		if instance.GetRole() == roleEntry {
-			now.entries[instance.GetAddress()] = true
+			current.entries[instance.GetAddress()] = true
 		}
 		leaving := instance.GetState() == platformv1.InstanceState_INSTANCE_STATE_LEAVING
 		switch {
 		case instance.GetRole() == roleEntry && !leaving:
-			now.peers = append(now.peers, instance.GetAddress())
+			current.peers = append(current.peers, instance.GetAddress())
 		case instance.GetRole() == roleUpstream && !leaving:
-			delete(now.leaving, instance.GetAddress())
+			delete(current.leaving, instance.GetAddress())
 		case instance.GetRole() == roleUpstream:
-			now.leaving[instance.GetAddress()] = true
+			current.leaving[instance.GetAddress()] = true
 			if !before.leaving[instance.GetAddress()] {
 				i.events.Record(event.UpstreamLeaving, "upstream", instance.GetAddress())
 			}
 		}
 	}
-	now.changes = before.changes
-	if !maps.Equal(now.leaving, before.leaving) {
-		now.changes++
+	current.leavingVersion = before.leavingVersion
+	if !maps.Equal(current.leaving, before.leaving) {
+		current.leavingVersion++
 	}
-	i.last.Store(now)
+	i.last.Store(current)
 }
 
-// Peers returns the peer addresses of the entry instances listed as live.
-func (i *Instances) Peers() []string { return i.last.Load().peers }
+// PeerAddresses returns the peer addresses of all live entry instances.
+func (i *Instances) PeerAddresses() []string { return i.last.Load().peers }
 
-// Entries returns the peer addresses of all entry instances that the last answer
-// shows, live or leaving, and when it came. The map must not be changed.
-func (i *Instances) Entries() (addresses map[string]bool, at time.Time) {
+// EntryAddresses returns the peer addresses of all entry instances in the last response,
+// live or leaving, and when it arrived. The map must not be modified.
+func (i *Instances) EntryAddresses() (addresses map[string]bool, at time.Time) {
 	last := i.last.Load()
-	return last.entries, last.at
+	return last.entries, last.receivedAt
 }
 
-// Changes returns a number that rises whenever an upstream begins or ceases to leave.
-func (i *Instances) Changes() uint64 { return i.last.Load().changes }
+// LeavingVersion returns a number that increases whenever the set of leaving upstreams changes.
+func (i *Instances) LeavingVersion() uint64 { return i.last.Load().leavingVersion }
 
-// Leaving tells whether the list shows the upstream at an address as leaving.
-func (i *Instances) Leaving(address string) bool { return i.last.Load().leaving[address] }
+// IsLeaving reports whether the upstream at an address is listed as leaving.
+func (i *Instances) IsLeaving(address string) bool { return i.last.Load().leaving[address] }
--- a/membership/member.go
+++ b/membership/member.go
@@ -7,34 +7,35 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// Member is what this node knows of another one.
+// Member is this node's view of another node.
 type Member struct {
 	Node     *recordv1.NodeInfo
 	Draining bool
-	// Suspect is set while the node answers neither this one nor those asked to try.
+	// Suspect is set while the node answers neither direct nor indirect pings.
 	Suspect bool
-	// Settling is set while a node that came and went is not trusted yet.
-	Settling bool
+	// Damped is set while a flapping node is kept out of the addresses.
+	Damped   bool
 	InFlight uint32
-	// ConfigOffset is the highest offset that the node said it had folded.
+	// ConfigOffset is the highest offset that the node reported as folded.
 	ConfigOffset uint64
 
+	// beat is the version of the node's view of itself.
 	beat uint64
-	// private marks a suspicion of a node that may itself be cut off.
-	private bool
-	// heard is when the node itself answered last.
-	heard time.Time
-	// flaps counts returns from suspicion, settles is when the last one is trusted.
-	flaps   int
-	settles time.Time
-	// news is how many more messages carry what changed about the node.
-	news int
+	// localSuspicion is set when this node may itself be cut off, so the suspicion isn't gossiped.
+	localSuspicion bool
+	// lastHeard is when the node itself last answered.
+	lastHeard time.Time
+	// flaps counts recoveries from suspicion; damping after the last one ends at dampedUntil.
+	flaps       int
+	dampedUntil time.Time
+	// retransmits is how many more messages carry the member's latest update.
+	retransmits int
 }
 
-// Usable tells whether callers may be sent to the node.
-func (m Member) Usable() bool { return !m.Draining && !m.Suspect && !m.Settling }
+// Usable reports whether callers may be sent to the node.
+func (m Member) Usable() bool { return !m.Draining && !m.Suspect && !m.Damped }
 
-func (m *Member) view() *fleetv1.PeerView {
+func (m *Member) peerView() *fleetv1.PeerView {
 	return &fleetv1.PeerView{Node: m.Node, Beat: m.beat, Draining: m.Draining, InFlight: m.InFlight,
 		ConfigOffset: m.ConfigOffset, Suspect: m.Suspect}
 }
--- a/membership/members.go
+++ b/membership/members.go
@@ -17,62 +17,63 @@
 )
 
 const (
-	pingTimeout = 500 * time.Millisecond
-	// viaTimeout bounds an indirect ping, and helpers is how many are asked for one.
-	viaTimeout = time.Second
-	helpers    = 2
-	// pushPause is the least time between two pushes of news to all neighbours. It
-	// doubles up to maxPushPause while news keeps coming: when a fleet starts at once,
-	// pushes would otherwise take the processors that answer pings, and pings that go
-	// unanswered are the next news.
-	pushPause    = 100 * time.Millisecond
-	maxPushPause = 32 * pushPause
-	// announceTimeout and announceAtOnce bound the announcement of a drain.
-	announceTimeout = 2 * time.Second
-	announceAtOnce  = 32
+	directPingTimeout = 500 * time.Millisecond
+	// indirectPingTimeout bounds an indirect ping; maxHelpers is how many members are asked for one.
+	indirectPingTimeout = time.Second
+	maxHelpers          = 2
+	// minPushInterval is the minimum time between two pushes of updates to all neighbours.
+	// The interval doubles up to maxPushInterval while updates keep coming: when a whole
+	// fleet starts at once, pushes would otherwise starve the answers to pings of CPU, and
+	// unanswered pings cause further updates.
+	minPushInterval = 100 * time.Millisecond
+	maxPushInterval = 32 * minPushInterval
+	// announceTimeout bounds each ping of a drain announcement, maxConcurrentPings how many
+	// run at once.
+	announceTimeout    = 2 * time.Second
+	maxConcurrentPings = 32
 )
 
-// Members pings the other nodes and keeps what they answer. It is safe for
-// concurrent use.
+// Members pings the other nodes and maintains the table of their states. It is safe
+// for concurrent use.
 type Members struct {
 	self   *recordv1.NodeInfo
 	clock  clockwork.Clock
 	caller peer.Caller
 	events *event.Recorder
-	// known lists the nodes that the log holds open.
-	known func() []*recordv1.NodeInfo
-	view  func() *fleetv1.PeerView
-	// listed returns peer addresses from the platform's list.
-	listed func() []string
-	urgent chan struct{}
-	wake   chan struct{}
+	// openNodes returns the nodes that are open in the log.
+	openNodes func() []*recordv1.NodeInfo
+	selfView  func() *fleetv1.PeerView
+	// platformAddresses returns the peer addresses in the platform's instance list.
+	platformAddresses func() []string
+	pushRequested     chan struct{}
+	wake              chan struct{}
 
-	mu    sync.Mutex
-	table *Table
-	turn  int
+	mu          sync.Mutex
+	table       *Table
+	unknownTurn int
 }
 
-// NewMembers returns an empty table. known lists the incarnations that the log
-// holds open, view describes this node to others.
+// NewMembers returns Members with an empty table. openNodes returns the incarnations
+// that are open in the log, selfView describes this node to others.
 func NewMembers(self *recordv1.NodeInfo, clock clockwork.Clock, caller peer.Caller, events *event.Recorder,
-	known func() []*recordv1.NodeInfo, view func() *fleetv1.PeerView) *Members {
-	return &Members{self: self, clock: clock, caller: caller, events: events, known: known, view: view,
-		listed: func() []string { return nil }, urgent: make(chan struct{}, 1), wake: make(chan struct{}, 1), table: NewTable(self)}
+	openNodes func() []*recordv1.NodeInfo, selfView func() *fleetv1.PeerView) *Members {
+	return &Members{self: self, clock: clock, caller: caller, events: events, openNodes: openNodes, selfView: selfView,
+		platformAddresses: func() []string { return nil }, pushRequested: make(chan struct{}, 1), wake: make(chan struct{}, 1), table: NewTable(self)}
 }
 
-// Listed registers where to learn of nodes that the log doesn't show, as while it is
-// down. It must be called before Run.
-func (m *Members) Listed(listed func() []string) { m.listed = listed }
+// SetPlatformAddresses sets a second source of nodes, for those that the log doesn't
+// show, for example while it is down. It must be called before Run.
+func (m *Members) SetPlatformAddresses(addresses func() []string) { m.platformAddresses = addresses }
 
-// Run pings a member every period until ctx ends.
+// Run pings one member per ping interval until ctx is done.
 func (m *Members) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	wait.Go(func() { m.pushes(ctx) })
-	ticker := m.clock.NewTicker(period)
+	wait.Go(func() { m.runPushes(ctx) })
+	ticker := m.clock.NewTicker(pingInterval)
 	defer ticker.Stop()
 	for {
-		m.round(ctx, &wait)
+		m.runPeriod(ctx, &wait)
 		select {
 		case <-ctx.Done():
 			return
@@ -82,7 +83,7 @@
 	}
 }
 
-// Wake begins the next period at once, for when the log opened a node.
+// Wake starts the next period immediately, for when the log opened a node.
 func (m *Members) Wake() {
 	select {
 	case m.wake <- struct{}{}:
@@ -90,50 +91,50 @@
 	}
 }
 
-func (m *Members) round(ctx context.Context, wait *sync.WaitGroup) {
-	known := m.known()
+func (m *Members) runPeriod(ctx context.Context, wait *sync.WaitGroup) {
+	open := m.openNodes()
 	m.mu.Lock()
-	target := m.table.Step(m.clock.Now(), known)
-	stranger := m.stranger()
-	grown := m.table.Grown()
+	target := m.table.Step(m.clock.Now(), open)
+	unknown := m.nextUnknownAddress()
+	added := m.table.NodesAdded()
 	m.mu.Unlock()
-	m.record()
-	m.push(grown)
+	m.recordChanges()
+	m.requestPush(added)
 	if target != nil {
 		wait.Go(func() { m.probe(ctx, target) })
 	}
-	if stranger != "" {
-		wait.Go(func() { _ = m.ping(ctx, stranger, pingTimeout) })
+	if unknown != "" {
+		wait.Go(func() { _ = m.ping(ctx, unknown, directPingTimeout) })
 	}
 }
 
-// stranger returns in turn an address of the platform's list that no member holds.
-func (m *Members) stranger() string {
-	var strangers []string
-	for _, address := range m.listed() {
-		if address != m.self.GetPeerAddress() && !m.table.Knows(address) {
-			strangers = append(strangers, address)
+// nextUnknownAddress returns, round-robin, a platform address that no member has.
+func (m *Members) nextUnknownAddress() string {
+	var unknown []string
+	for _, address := range m.platformAddresses() {
+		if address != m.self.GetPeerAddress() && !m.table.HasAddress(address) {
+			unknown = append(unknown, address)
 		}
 	}
-	if len(strangers) == 0 {
+	if len(unknown) == 0 {
 		return ""
 	}
-	m.turn++
-	return strangers[m.turn%len(strangers)]
+	m.unknownTurn++
+	return unknown[m.unknownTurn%len(unknown)]
 }
 
-// probe pings a member, and asks others to try when it doesn't answer: a cut between
-// two nodes alone must take neither out of the addresses.
+// probe pings a member directly and, if that fails, indirectly through other members:
+// a partition between just two nodes must not remove either from the addresses.
 func (m *Members) probe(ctx context.Context, target *recordv1.NodeInfo) {
 	started := m.clock.Now()
-	if m.ping(ctx, target.GetPeerAddress(), pingTimeout) == nil || ctx.Err() != nil {
+	if m.ping(ctx, target.GetPeerAddress(), directPingTimeout) == nil || ctx.Err() != nil {
 		return
 	}
 	m.mu.Lock()
-	asked := m.table.Helpers(target.GetIncarnation(), helpers)
+	helpers := m.table.Helpers(target.GetIncarnation(), maxHelpers)
 	m.mu.Unlock()
-	for _, helper := range asked {
-		if m.pingVia(ctx, helper, target) == nil {
+	for _, helper := range helpers {
+		if m.pingIndirect(ctx, helper, target) == nil {
 			return
 		}
 	}
@@ -141,36 +142,36 @@
 		return
 	}
 	m.mu.Lock()
-	news := m.table.Failed(m.clock.Now(), started, target.GetIncarnation())
+	urgent := m.table.ProbeFailed(m.clock.Now(), started, target.GetIncarnation())
 	m.mu.Unlock()
-	m.record()
-	m.push(news)
+	m.recordChanges()
+	m.requestPush(urgent)
 }
 
-// ping exchanges views with the node at an address. Where one of the two knows the
-// other by no number, as while its log lags, it pings again with this node written out,
-// which has the answer written out too.
-func (m *Members) ping(ctx context.Context, address string, limit time.Duration) error {
-	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, limit)
+// ping exchanges views with the node at an address. If either side can't resolve the
+// other's member ID, for example because its log lags, it pings again with this node's
+// full information, which makes the answer carry full information too.
+func (m *Members) ping(ctx context.Context, address string, timeout time.Duration) error {
+	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, timeout)
 	defer cancel()
-	known, err := m.exchange(ctx, address, pingOf(m.say(short)))
+	known, err := m.exchange(ctx, address, pingRequest(m.messageViews(compactFormat)))
 	if err == nil && !known {
-		_, err = m.exchange(ctx, address, pingOf(m.say(writtenOut)))
+		_, err = m.exchange(ctx, address, pingRequest(m.messageViews(fullFormat)))
 	}
 	return err
 }
 
-func (m *Members) pingVia(ctx context.Context, helper, target *recordv1.NodeInfo) error {
-	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, viaTimeout)
+func (m *Members) pingIndirect(ctx context.Context, helper, target *recordv1.NodeInfo) error {
+	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, indirectPingTimeout)
 	defer cancel()
 	_, err := m.exchange(ctx, helper.GetPeerAddress(), &fleetv1.Request{Body: &fleetv1.Request_PingVia{
-		PingVia: &fleetv1.PingVia{PeerAddress: target.GetPeerAddress(), Views: m.say(short)},
+		PingVia: &fleetv1.PingVia{PeerAddress: target.GetPeerAddress(), Views: m.messageViews(compactFormat)},
 	}})
 	return err
 }
 
-// exchange sends a request and takes in the views of the answer. known is false when
-// this node or the one that answered doesn't know the other.
+// exchange sends a request and applies the views in the response. known is false if
+// either node doesn't know the other.
 func (m *Members) exchange(ctx context.Context, address string, request *fleetv1.Request) (known bool, err error) {
 	request.Hlc = uint64(m.events.Clock().Now())
 	answer, err := m.caller.Call(ctx, address, request)
@@ -181,141 +182,143 @@
 	if answer.GetCode() != 0 {
 		return false, result.New(result.Code(answer.GetCode()), "%s", answer.GetMessage())
 	}
-	return m.Heard(answer.GetPong().GetViews()), nil
+	return m.HandleViews(answer.GetPong().GetViews()), nil
 }
 
-// Heard takes in a message; its first view is the sender's own. It tells whether the
-// sender is known.
-func (m *Members) Heard(views []*fleetv1.PeerView) bool {
+// HandleViews applies the views of a message, of which the first is the sender's own.
+// It reports whether the sender is known.
+func (m *Members) HandleViews(views []*fleetv1.PeerView) bool {
 	if len(views) == 0 {
 		return false
 	}
 	m.mu.Lock()
-	sender := m.table.nodeOf(views[0])
-	news := m.table.Heard(m.clock.Now(), sender.GetIncarnation(), views)
+	sender := m.table.resolveNode(views[0])
+	urgent := m.table.ApplyViews(m.clock.Now(), sender.GetIncarnation(), views)
 	m.mu.Unlock()
-	m.record()
-	m.push(news)
+	m.recordChanges()
+	m.requestPush(urgent)
 	return sender != nil
 }
 
-// Answer takes in a ping and returns the answer's views; none when the ping names its
-// sender by a number that isn't known here. A sender that wrote itself out may not know
-// this node either, so the answer does the same.
-func (m *Members) Answer(views []*fleetv1.PeerView) []*fleetv1.PeerView {
+// HandlePing applies the views of a ping and returns those of the answer, or none if the
+// sender's member ID is unknown here. A sender that included its full information may not
+// know this node either, so the answer includes it too.
+func (m *Members) HandlePing(views []*fleetv1.PeerView) []*fleetv1.PeerView {
 	if len(views) == 0 {
-		return m.say(writtenOut)
+		return m.messageViews(fullFormat)
 	}
 	m.mu.Lock()
-	sender := m.table.nodeOf(views[0])
-	newcomer := m.table.Newcomer(sender.GetIncarnation())
+	sender := m.table.resolveNode(views[0])
+	newcomer := m.table.IsNewcomer(sender.GetIncarnation())
 	m.mu.Unlock()
-	m.Heard(views)
+	m.HandleViews(views)
 	switch {
 	case sender == nil:
 		return nil
 	case newcomer:
-		return m.say(introducing)
+		return m.messageViews(introductionFormat)
 	case views[0].GetNode() != nil:
-		return m.say(writtenOut)
+		return m.messageViews(fullFormat)
 	}
-	return m.say(short)
+	return m.messageViews(compactFormat)
 }
 
-// Via pings a member for another one, which may not know who answers at the address now.
-func (m *Members) Via(ctx context.Context, r *fleetv1.PingVia) ([]*fleetv1.PeerView, error) {
-	m.Heard(r.GetViews())
-	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, pingTimeout)
+// HandlePingVia pings a member on behalf of another one. It sends this node's full
+// information, as the member may not know which node now has this address.
+func (m *Members) HandlePingVia(ctx context.Context, r *fleetv1.PingVia) ([]*fleetv1.PeerView, error) {
+	m.HandleViews(r.GetViews())
+	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, directPingTimeout)
 	defer cancel()
 	answer, err := m.caller.Call(ctx, r.GetPeerAddress(), &fleetv1.Request{
 		Hlc:  uint64(m.events.Clock().Now()),
-		Body: &fleetv1.Request_Ping{Ping: &fleetv1.Ping{Views: m.say(writtenOut)}},
+		Body: &fleetv1.Request_Ping{Ping: &fleetv1.Ping{Views: m.messageViews(fullFormat)}},
 	})
 	if err != nil {
 		return nil, result.New(result.PeerUnreachable, "%v", err)
 	}
-	m.Heard(answer.GetPong().GetViews())
+	m.HandleViews(answer.GetPong().GetViews())
 	return answer.GetPong().GetViews(), nil
 }
 
-func (m *Members) push(news bool) {
-	if !news {
+func (m *Members) requestPush(urgent bool) {
+	if !urgent {
 		return
 	}
 	select {
-	case m.urgent <- struct{}{}:
+	case m.pushRequested <- struct{}{}:
 	default:
 	}
 }
 
-// pushes passes news to all neighbours at once rather than at the next pings.
-func (m *Members) pushes(ctx context.Context) {
-	pause, pushed := pushPause, time.Time{}
+// runPushes sends updates to all neighbours at once, without waiting for the next pings.
+func (m *Members) runPushes(ctx context.Context) {
+	interval, lastPush := minPushInterval, time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.urgent:
+		case <-m.pushRequested:
 		}
-		pause = nextPause(pause, m.clock.Since(pushed))
+		interval = nextPushInterval(interval, m.clock.Since(lastPush))
 		m.mu.Lock()
 		neighbours := m.table.Neighbours()
 		m.mu.Unlock()
-		m.pingAll(ctx, neighbours, pingTimeout)
-		pushed = m.clock.Now()
+		m.pingAll(ctx, neighbours, directPingTimeout)
+		lastPush = m.clock.Now()
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.clock.After(pause):
+		case <-m.clock.After(interval):
 		}
 	}
 }
 
-// nextPause doubles the pause when news came within it, or within as much again.
-func nextPause(pause, quiet time.Duration) time.Duration {
-	if quiet > 2*pause {
-		return pushPause
+// nextPushInterval doubles the interval if an update came within twice the interval
+// since the last push, and resets it otherwise.
+func nextPushInterval(interval, sinceLast time.Duration) time.Duration {
+	if sinceLast > 2*interval {
+		return minPushInterval
 	}
-	return min(2*pause, maxPushPause)
+	return min(2*interval, maxPushInterval)
 }
 
-// pingAll returns how many did not answer.
-func (m *Members) pingAll(ctx context.Context, nodes []*recordv1.NodeInfo, limit time.Duration) int {
+// pingAll pings nodes concurrently and returns how many did not answer.
+func (m *Members) pingAll(ctx context.Context, nodes []*recordv1.NodeInfo, timeout time.Duration) int {
 	var group errgroup.Group
-	group.SetLimit(announceAtOnce)
-	silent := make(chan struct{}, len(nodes))
+	group.SetLimit(maxConcurrentPings)
+	unanswered := make(chan struct{}, len(nodes))
 	for _, node := range nodes {
 		group.Go(func() error {
-			if m.ping(ctx, node.GetPeerAddress(), limit) != nil {
-				silent <- struct{}{}
+			if m.ping(ctx, node.GetPeerAddress(), timeout) != nil {
+				unanswered <- struct{}{}
 			}
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return len(silent)
+	return len(unanswered)
 }
 
-// Announce tells every member at once what this node's view says now, so that none
-// hands its address out any more. It returns how many did not answer.
-func (m *Members) Announce(ctx context.Context) int {
+// AnnounceDrain sends this node's current view to every member at once, so that none
+// hands out its address any more. It returns how many did not answer.
+func (m *Members) AnnounceDrain(ctx context.Context) int {
 	m.mu.Lock()
-	m.table.Raise()
+	m.table.IncrementBeat()
 	m.mu.Unlock()
-	silent, told := m.tell(ctx)
-	m.events.Record(event.DrainAnnounced, "told", told, "silent", silent)
-	return silent
+	unanswered, answered := m.pingMembers(ctx)
+	m.events.Record(event.DrainAnnounced, "told", answered, "silent", unanswered)
+	return unanswered
 }
 
-// Serves passes on, by way of the neighbours, that this node begins to serve.
-func (m *Members) Serves() {
+// AnnounceServing gossips through the neighbours that this node is now serving.
+func (m *Members) AnnounceServing() {
 	m.mu.Lock()
-	m.table.Raise()
+	m.table.IncrementBeat()
 	m.mu.Unlock()
-	m.push(true)
+	m.requestPush(true)
 }
 
-func (m *Members) tell(ctx context.Context) (silent, told int) {
+func (m *Members) pingMembers(ctx context.Context) (unanswered, answered int) {
 	m.mu.Lock()
 	var nodes []*recordv1.NodeInfo
 	for _, member := range m.table.All() {
@@ -324,8 +327,8 @@
 		}
 	}
 	m.mu.Unlock()
-	silent = m.pingAll(ctx, nodes, announceTimeout)
-	return silent, len(nodes) - silent
+	unanswered = m.pingAll(ctx, nodes, announceTimeout)
+	return unanswered, len(nodes) - unanswered
 }
 
 var changeEvents = map[ChangeKind]event.Number{
@@ -333,23 +336,23 @@
 	Replaced: event.PeerReplaced, Stalled: event.ProcessStalled,
 }
 
-func (m *Members) record() {
+func (m *Members) recordChanges() {
 	m.mu.Lock()
-	changes := m.table.Changes()
+	changes := m.table.TakeChanges()
 	m.mu.Unlock()
 	for _, c := range changes {
 		m.events.Record(changeEvents[c.Kind], "peer", c.Incarnation)
 	}
 }
 
-// Suspects tells whether a node doesn't answer; true for one that isn't a member.
+// Suspects reports whether a node is suspected or isn't a member.
 func (m *Members) Suspects(incarnation string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Suspects(incarnation)
 }
 
-// All returns the other nodes, sorted by incarnation.
+// All returns the members, sorted by incarnation.
 func (m *Members) All() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -8,9 +8,9 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// Neighbours returns the members that this node pings: those 1, 2, 4… places after
-// it in the order of hashed names. Each node so has as many watchers as it watches,
-// the logarithm of the fleet's size, and news takes as many hops.
+// Neighbours returns the members that this node pings: those 1, 2, 4… places after it on
+// the hash ring. Each node thus pings, and is pinged by, a number of nodes logarithmic in
+// the fleet size, and updates take as many hops.
 func (t *Table) Neighbours() []*recordv1.NodeInfo {
 	ring := t.ring()
 	var neighbours []*recordv1.NodeInfo
@@ -20,7 +20,7 @@
 	return neighbours
 }
 
-// ring returns the members in the order of hashed names, beginning after self.
+// ring returns the members in the order of their hashed incarnations, starting after self.
 func (t *Table) ring() []*recordv1.NodeInfo {
 	ring := make([]*recordv1.NodeInfo, 0, len(t.members))
 	for _, m := range t.members {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -3,84 +3,85 @@
 import "time"
 
 const (
-	// isolatedAfter is how long without any answer a node takes itself as cut off.
-	isolatedAfter = 6 * time.Second
-	// firstFlap is the number of returns from which on a member has to settle.
-	firstFlap = 2
-	// maxSettle bounds the time for which a flapping member is left out.
-	maxSettle = time.Minute
-	// calmAfter is how long without a return halves the count of returns.
-	calmAfter = 2 * time.Minute
+	// isolationTimeout is the time without any answer after which a node considers itself
+	// isolated.
+	isolationTimeout = 6 * time.Second
+	// maxUndampedFlaps is the number of flaps above which a member is damped.
+	maxUndampedFlaps = 2
+	// maxDamping bounds how long a flapping member is damped.
+	maxDamping = time.Minute
+	// flapDecayInterval is the time without a flap after which the flap count is halved.
+	flapDecayInterval = 2 * time.Minute
 )
 
-// isolate suspects everybody while nobody answers: only the neighbours are pinged,
-// and of the others nothing is known any more. It is this node that is cut off, so
-// the suspicion is kept private.
-func (t *Table) isolate(now time.Time) {
-	if !t.alone(now) {
+// suspectAllWhenIsolated suspects all members while none answers: only the neighbours are
+// pinged, so the state of the others is unknown. As it is this node that is cut off, the
+// suspicion isn't gossiped.
+func (t *Table) suspectAllWhenIsolated(now time.Time) {
+	if !t.isolated(now) {
 		return
 	}
 	for _, m := range t.members {
 		if !m.Suspect {
 			t.suspect(m)
-			t.keepPrivate(m)
+			t.markLocalSuspicion(m)
 		}
 	}
 }
 
-// alone tells that no member has answered for a while.
-func (t *Table) alone(now time.Time) bool { return now.Sub(t.answered) > isolatedAfter }
+// isolated reports whether no member has answered for longer than isolationTimeout.
+func (t *Table) isolated(now time.Time) bool { return now.Sub(t.lastAnswer) > isolationTimeout }
 
-// keepPrivate holds a suspicion back from others. Were it passed on once this node is
-// back, it would take the whole fleet out of the addresses.
-func (t *Table) keepPrivate(m *Member) {
-	m.private = true
-	m.news = 0
+// markLocalSuspicion keeps a suspicion from being gossiped. Sent out once this node is
+// connected again, it would remove the whole fleet from the addresses.
+func (t *Table) markLocalSuspicion(m *Member) {
+	m.localSuspicion = true
+	m.retransmits = 0
 }
 
-func (t *Table) settle(now time.Time) {
+func (t *Table) updateDamping(now time.Time) {
 	for _, m := range t.members {
-		m.Settling = now.Before(m.settles)
-		if m.flaps > 0 && !m.Suspect && now.Sub(m.settles) > calmAfter {
+		m.Damped = now.Before(m.dampedUntil)
+		if m.flaps > 0 && !m.Suspect && now.Sub(m.dampedUntil) > flapDecayInterval {
 			m.flaps /= 2
-			m.settles = now
+			m.dampedUntil = now
 		}
 	}
 }
 
-// returned ends a suspicion. A member that keeps coming and going is left out for
-// longer each time; its callers would be refused every time it goes.
-func (t *Table) returned(now time.Time, m *Member) {
+// clearSuspicion ends a suspicion. A flapping member is damped for longer each time, since
+// callers are refused whenever it goes away again.
+func (t *Table) clearSuspicion(now time.Time, m *Member) {
 	m.Suspect = false
-	t.note(Joined, m.Node.GetIncarnation())
-	if m.private {
-		m.private = false
+	t.recordChange(Joined, m.Node.GetIncarnation())
+	if m.localSuspicion {
+		m.localSuspicion = false
 		return
 	}
 	m.flaps++
-	if m.flaps > firstFlap {
-		m.settles = now.Add(min(time.Second<<min(m.flaps, 10), maxSettle))
-		m.Settling = true
+	if m.flaps > maxUndampedFlaps {
+		m.dampedUntil = now.Add(min(time.Second<<min(m.flaps, 10), maxDamping))
+		m.Damped = true
 	} else {
-		m.settles = now
+		m.dampedUntil = now
 	}
 }
 
-// Failed takes in that a member answered neither this node nor the helpers, in an
-// attempt that began at started. It returns whether that is news.
-func (t *Table) Failed(now, started time.Time, incarnation string) bool {
+// ProbeFailed records that a member answered neither this node nor the helpers, in a probe
+// that began at started. It reports whether that is an update to push.
+func (t *Table) ProbeFailed(now, started time.Time, incarnation string) bool {
 	m := t.members[incarnation]
-	if m == nil || m.Suspect || !m.heard.Before(started) {
+	if m == nil || m.Suspect || !m.lastHeard.Before(started) {
 		return false
 	}
-	// An attempt during which this process stood says nothing of the other one.
-	if started.Before(t.woke) || now.Sub(started) > stall {
+	// A probe during which this process was suspended says nothing about the member.
+	if started.Before(t.resumedAt) || now.Sub(started) > stallThreshold {
 		return false
 	}
 	t.suspect(m)
-	// While nobody else answers either, this node itself may be cut off.
-	if now.Sub(t.answered) > trustDirect {
-		t.keepPrivate(m)
+	// If no other member answers either, this node itself may be cut off.
+	if now.Sub(t.lastAnswer) > directAnswerPriority {
+		t.markLocalSuspicion(m)
 		return false
 	}
 	return true
@@ -88,6 +89,6 @@
 
 func (t *Table) suspect(m *Member) {
 	m.Suspect = true
-	m.news = t.spread()
-	t.note(Suspected, m.Node.GetIncarnation())
+	m.retransmits = t.retransmitLimit()
+	t.recordChange(Suspected, m.Node.GetIncarnation())
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -8,81 +8,82 @@
 )
 
 const (
-	// period is the time between two pings of this node.
-	period = time.Second
-	// stall is a pause between two steps that can only mean that the process stood.
-	stall = 3 * period
-	// forgetAfter is how long a silent member is kept that the log doesn't hold open.
+	// pingInterval is the time between two pings sent by this node.
+	pingInterval = time.Second
+	// stallThreshold is the gap between two steps beyond which the process must have been
+	// suspended.
+	stallThreshold = 3 * pingInterval
+	// forgetAfter is how long a silent member that isn't open in the log is kept.
 	forgetAfter = 10 * time.Minute
-	// maxTombs is how many ended incarnations are remembered, so that late words of
-	// theirs don't bring them back.
-	maxTombs = 1024
+	// maxTombstones is how many ended incarnations are remembered, so that late messages
+	// about them don't add them again.
+	maxTombstones = 1024
 )
 
-// Table is the decisions of one node about the others. It knows neither clock nor
-// network: whoever drives it passes the time in. It isn't safe for concurrent use.
+// Table is one node's state machine for the membership of the others. It uses neither
+// clock nor network: callers pass in the time. It isn't safe for concurrent use.
 type Table struct {
 	self    *recordv1.NodeInfo
 	beat    uint64
 	members map[string]*Member
-	// numbers finds members by what messages name them by.
-	numbers map[uint64]*Member
-	// open is the set that the log holds open, this node included.
+	// byID indexes members by the member ID used in messages.
+	byID map[uint64]*Member
+	// open is the set of incarnations open in the log, including this node's.
 	open map[string]bool
-	// ended holds closed and replaced incarnations, tombs their order.
-	ended map[string]bool
-	tombs []string
-	turn  int
-	fill  int
-
-	stepped time.Time
-	// woke is when the process was seen to run again after it stood.
-	woke time.Time
-	// answered is when any member answered last.
-	answered time.Time
-	changes  []Change
-	// grown tells that the log opened a node since Grown was called last.
-	grown bool
+	// ended is the set of closed and replaced incarnations, tombstones lists them oldest first.
+	ended      map[string]bool
+	tombstones []string
+	// pingTurn and loadTurn are round-robin counters for pings and for load views.
+	pingTurn int
+	loadTurn int
+
+	lastStep time.Time
+	// resumedAt is when the process was found to run again after a suspension.
+	resumedAt time.Time
+	// lastAnswer is when any member last answered.
+	lastAnswer time.Time
+	changes    []Change
+	// nodesAdded is set if the log opened a node since the last call of NodesAdded.
+	nodesAdded bool
 }
 
 // NewTable returns a table without members.
 func NewTable(self *recordv1.NodeInfo) *Table {
-	return &Table{self: self, beat: 1, members: map[string]*Member{}, numbers: map[uint64]*Member{}, open: map[string]bool{}, ended: map[string]bool{}}
+	return &Table{self: self, beat: 1, members: map[string]*Member{}, byID: map[uint64]*Member{}, open: map[string]bool{}, ended: map[string]bool{}}
 }
 
-// Step begins a period: it takes in the nodes that the log holds open and returns
-// the member to ping, nil when there is none.
+// Step begins a period: it applies the set of nodes open in the log and returns the
+// member to ping, or nil if there is none.
 func (t *Table) Step(now time.Time, open []*recordv1.NodeInfo) *recordv1.NodeInfo {
-	t.wake(now)
-	t.keep(now, open)
-	t.settle(now)
-	t.isolate(now)
+	t.detectStall(now)
+	t.syncOpenNodes(now, open)
+	t.updateDamping(now)
+	t.suspectAllWhenIsolated(now)
 	neighbours := t.Neighbours()
 	if len(neighbours) == 0 {
 		return nil
 	}
-	t.turn++
-	return neighbours[t.turn%len(neighbours)]
+	t.pingTurn++
+	return neighbours[t.pingTurn%len(neighbours)]
 }
 
-// wake notices that the process stood. Without this every member would seem to have
-// been silent for as long, and a stopped and woken node would declare all others
-// dead and hand out its own address alone.
-func (t *Table) wake(now time.Time) {
-	if !t.stepped.IsZero() && now.Sub(t.stepped) > stall {
-		t.woke = now
-		t.answered = t.answered.Add(now.Sub(t.stepped))
-		t.note(Stalled, t.self.GetIncarnation())
+// detectStall detects that the process was suspended, and shifts the times of the last
+// answers by the gap. Otherwise all members would seem to have been silent that long,
+// and a resumed node would suspect them all and hand out only its own address.
+func (t *Table) detectStall(now time.Time) {
+	if !t.lastStep.IsZero() && now.Sub(t.lastStep) > stallThreshold {
+		t.resumedAt = now
+		t.lastAnswer = t.lastAnswer.Add(now.Sub(t.lastStep))
+		t.recordChange(Stalled, t.self.GetIncarnation())
 		for _, m := range t.members {
-			m.heard = m.heard.Add(now.Sub(t.stepped))
+			m.lastHeard = m.lastHeard.Add(now.Sub(t.lastStep))
 		}
 	}
-	t.stepped = now
+	t.lastStep = now
 }
 
-// keep follows the log: it adds the nodes that the log opened and drops those that
-// it closed.
-func (t *Table) keep(now time.Time, open []*recordv1.NodeInfo) {
+// syncOpenNodes adds the nodes that the log opened and removes those that it closed.
+func (t *Table) syncOpenNodes(now time.Time, open []*recordv1.NodeInfo) {
 	before := t.open
 	t.open = make(map[string]bool, len(open))
 	for _, node := range open {
@@ -91,24 +92,25 @@
 		if node.GetPeerAddress() == t.self.GetPeerAddress() {
 			continue
 		}
-		if t.members[incarnation] == nil && !t.ended[incarnation] && !t.outdated(node) {
+		if t.members[incarnation] == nil && !t.ended[incarnation] && !t.superseded(node) {
 			t.add(now, node)
-			t.grown = true
+			t.nodesAdded = true
 		}
 	}
 	for incarnation, m := range t.members {
 		closed := before[incarnation] && !t.open[incarnation]
-		forgotten := m.Suspect && !t.open[incarnation] && now.Sub(m.heard) > forgetAfter
+		forgotten := m.Suspect && !t.open[incarnation] && now.Sub(m.lastHeard) > forgetAfter
 		if closed || forgotten {
-			t.end(Gone, incarnation)
+			t.remove(Gone, incarnation)
 		}
 	}
 }
 
-// outdated tells that another incarnation, which the log doesn't show yet, answers at
-// the node's address: the log lags. Were the node entered, it would end the one that
-// answers, which is never admitted again, and this node would hand out one address less.
-func (t *Table) outdated(node *recordv1.NodeInfo) bool {
+// superseded reports whether another incarnation that the log doesn't show yet answers at
+// the node's address, as when the log lags. Adding the node would remove the incarnation
+// that answers, which is never admitted again, and this node would hand out one address
+// too few.
+func (t *Table) superseded(node *recordv1.NodeInfo) bool {
 	for incarnation, m := range t.members {
 		if m.Node.GetPeerAddress() == node.GetPeerAddress() {
 			return !m.Suspect && !t.open[incarnation]
@@ -117,41 +119,41 @@
 	return false
 }
 
-func (t *Table) end(kind ChangeKind, incarnation string) {
-	delete(t.numbers, numberOf(t.members[incarnation].Node))
+func (t *Table) remove(kind ChangeKind, incarnation string) {
+	delete(t.byID, memberID(t.members[incarnation].Node))
 	delete(t.members, incarnation)
-	t.note(kind, incarnation)
+	t.recordChange(kind, incarnation)
 	t.ended[incarnation] = true
-	t.tombs = append(t.tombs, incarnation)
-	if len(t.tombs) > maxTombs {
-		delete(t.ended, t.tombs[0])
-		t.tombs = t.tombs[1:]
+	t.tombstones = append(t.tombstones, incarnation)
+	if len(t.tombstones) > maxTombstones {
+		delete(t.ended, t.tombstones[0])
+		t.tombstones = t.tombstones[1:]
 	}
 }
 
-// add enters a member that has yet to answer. It replaces an earlier incarnation at
+// add adds a member that has not answered yet. It replaces an earlier incarnation at
 // the same address, since only one process can hold the address.
 func (t *Table) add(now time.Time, node *recordv1.NodeInfo) *Member {
 	for incarnation, m := range t.members {
 		if m.Node.GetPeerAddress() == node.GetPeerAddress() {
-			t.end(Replaced, incarnation)
+			t.remove(Replaced, incarnation)
 		}
 	}
-	m := &Member{Node: node, Suspect: true, heard: now}
+	m := &Member{Node: node, Suspect: true, lastHeard: now}
 	t.members[node.GetIncarnation()] = m
-	t.numbers[numberOf(node)] = m
+	t.byID[memberID(node)] = m
 	return m
 }
 
-// Grown tells whether the log opened a node since it was called last.
-func (t *Table) Grown() bool {
-	grown := t.grown
-	t.grown = false
-	return grown
+// NodesAdded reports whether the log opened a node since the last call.
+func (t *Table) NodesAdded() bool {
+	added := t.nodesAdded
+	t.nodesAdded = false
+	return added
 }
 
-// Knows tells whether a member holds a peer address.
-func (t *Table) Knows(address string) bool {
+// HasAddress reports whether a member has the peer address.
+func (t *Table) HasAddress(address string) bool {
 	for _, m := range t.members {
 		if m.Node.GetPeerAddress() == address {
 			return true
@@ -160,13 +162,13 @@
 	return false
 }
 
-// Beat returns this node's own beat.
+// Beat returns the version of this node's own view.
 func (t *Table) Beat() uint64 { return t.beat }
 
-// Raise makes this node's own view outweigh all earlier ones.
-func (t *Table) Raise() { t.beat++ }
+// IncrementBeat makes this node's own view supersede all earlier ones.
+func (t *Table) IncrementBeat() { t.beat++ }
 
-// Suspects tells whether a node doesn't answer; true for one that isn't a member.
+// Suspects reports whether a node is suspected or isn't a member.
 func (t *Table) Suspects(incarnation string) bool {
 	m := t.members[incarnation]
 	return m == nil || m.Suspect
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -14,7 +14,7 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// TestMain pins the property tests' seed, so that every run gives the same verdict.
+// TestMain fixes the seed of the property tests to make them deterministic.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261203"); err != nil {
@@ -23,20 +23,20 @@
 	os.Exit(m.Run())
 }
 
-func tableOf(now time.Time, count int) (*Table, []*recordv1.NodeInfo) {
-	table := NewTable(info("self", "a"))
+func newTestTable(now time.Time, count int) (*Table, []*recordv1.NodeInfo) {
+	table := NewTable(nodeInfo("self", "a"))
 	var open []*recordv1.NodeInfo
 	for i := range count {
-		open = append(open, info(fmt.Sprint("n", i), fmt.Sprint("a", i)))
+		open = append(open, nodeInfo(fmt.Sprint("n", i), fmt.Sprint("a", i)))
 	}
 	table.Step(now, open)
 	for _, node := range open {
-		table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
+		table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
 	}
 	return table, open
 }
 
-func usable(table *Table) int {
+func usableCount(table *Table) int {
 	count := 0
 	for _, m := range table.All() {
 		if m.Usable() {
@@ -46,55 +46,55 @@
 	return count
 }
 
-// A process is stopped for an hour, as a suspended machine is, in the middle of its
-// pings, and woken. It must not take the silence for the death of all others, or it
-// hands out nothing but itself.
-func TestWokenProcessSuspectsNobody(t *testing.T) {
+// A process is suspended for an hour in the middle of its pings, as when its machine
+// sleeps, and resumed. It must not suspect all others for that gap, or it hands out only
+// its own address.
+func TestResumedProcessSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	table, open := tableOf(now, 6)
-	woken := now.Add(time.Hour)
-	is.Equal(table.Failed(woken, now.Add(time.Millisecond), "n1"), false) // the timeout fires first after waking
-	table.Step(woken, open)
-	is.Equal(table.Failed(woken.Add(time.Second), now, "n2"), false)
-	is.Equal(usable(table), 6)
-	later := woken.Add(time.Second)
+	table, open := newTestTable(now, 6)
+	resumed := now.Add(time.Hour)
+	is.Equal(table.ProbeFailed(resumed, now.Add(time.Millisecond), "n1"), false) // the timeout fires first after resuming
+	table.Step(resumed, open)
+	is.Equal(table.ProbeFailed(resumed.Add(time.Second), now, "n2"), false)
+	is.Equal(usableCount(table), 6)
+	later := resumed.Add(time.Second)
 	table.Step(later, open)
-	table.Heard(later, "n5", []*fleetv1.PeerView{{Node: open[5], Beat: 1}})
-	is.Equal(table.Failed(later.Add(time.Second), later, "n1"), true) // a ping after waking counts
-	is.Equal(usable(table), 5)
+	table.ApplyViews(later, "n5", []*fleetv1.PeerView{{Node: open[5], Beat: 1}})
+	is.Equal(table.ProbeFailed(later.Add(time.Second), later, "n1"), true) // a ping after resuming counts
+	is.Equal(usableCount(table), 5)
 }
 
-// A node comes and goes every few seconds. Callers sent there are refused every time
-// it goes, so it is left out for longer each time, and trusted again once it is calm.
-func TestFlappingNodeSettles(t *testing.T) {
+// A node flaps every few seconds. Callers sent there are refused each time it goes, so it is
+// damped for longer each time, and used again once it is stable.
+func TestFlappingNodeIsDamped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	table, open := tableOf(now, 3)
+	table, open := newTestTable(now, 3)
 	for range 8 {
 		now = now.Add(2 * time.Second)
 		table.Step(now, open)
-		table.Heard(now, "n1", []*fleetv1.PeerView{{Node: open[1], Beat: 1}})
-		table.Failed(now.Add(time.Second), now.Add(time.Millisecond), "n0")
-		table.Heard(now.Add(time.Second), "n0", []*fleetv1.PeerView{{Node: open[0], Beat: 1}})
+		table.ApplyViews(now, "n1", []*fleetv1.PeerView{{Node: open[1], Beat: 1}})
+		table.ProbeFailed(now.Add(time.Second), now.Add(time.Millisecond), "n0")
+		table.ApplyViews(now.Add(time.Second), "n0", []*fleetv1.PeerView{{Node: open[0], Beat: 1}})
 	}
 	for second := range 90 {
 		now = now.Add(time.Second)
 		for _, node := range open {
-			table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
+			table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
 		}
 		table.Step(now, open)
-		is.True(second >= 50 || usable(table) == 2)
+		is.True(second >= 50 || usableCount(table) == 2)
 	}
-	is.Equal(usable(table), 3)
+	is.Equal(usableCount(table), 3)
 }
 
-// Any messages in any order, of closed, draining, restarted and unknown nodes, lead
-// to a table whose addresses hold only nodes that answer and stay, one for each address.
-func TestTableKeepsItsRules(t *testing.T) {
+// Any sequence of messages about draining, suspected and unknown nodes must leave at most one
+// member per address, no usable member that drains, and messages of bounded size.
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		table, open := tableOf(now, 4)
+		table, open := newTestTable(now, 4)
 		draining := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2500).Draw(t, "ms")) * time.Millisecond)
@@ -106,65 +106,65 @@
 				table.Step(now, open)
 			case 1:
 				view.Draining = draining[node.GetIncarnation()] != 0
-				table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{view})
+				table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{view})
 			case 2:
-				table.Heard(now, "n9", []*fleetv1.PeerView{{Node: info("n9", "a9"), Beat: beat}, view})
+				table.ApplyViews(now, "n9", []*fleetv1.PeerView{{Node: nodeInfo("n9", "a9"), Beat: beat}, view})
 			case 3:
-				table.Failed(now, now.Add(-time.Second), node.GetIncarnation())
+				table.ProbeFailed(now, now.Add(-time.Second), node.GetIncarnation())
 			case 4:
 				draining[node.GetIncarnation()] = 9
-				table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 9, Draining: true}})
+				table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 9, Draining: true}})
 			}
-			checkTable(t, table, draining)
+			checkInvariants(t, table, draining)
 		}
 	})
 }
 
-func checkTable(t *rapid.T, table *Table, draining map[string]uint64) {
+func checkInvariants(t *rapid.T, table *Table, draining map[string]uint64) {
 	held := map[string]bool{}
 	for _, m := range table.All() {
 		if held[m.Node.GetPeerAddress()] {
-			t.Fatalf("two members at %s", m.Node.GetPeerAddress())
+			t.Fatalf("two members with address %s", m.Node.GetPeerAddress())
 		}
 		held[m.Node.GetPeerAddress()] = true
 		if draining[m.Node.GetIncarnation()] != 0 && m.Usable() {
-			t.Fatalf("%s drains and is handed out", m.Node.GetIncarnation())
+			t.Fatalf("draining member %s is usable", m.Node.GetIncarnation())
 		}
 	}
-	if len(table.Views()) > maxNews+maxFill {
-		t.Fatal("a message without bound")
+	if len(table.Views()) > maxUpdates+maxLoadViews {
+		t.Fatal("message exceeds maxUpdates+maxLoadViews views")
 	}
 }
 
-// The callers of one client account ask different nodes. They must be sent to the same
-// few, or its budget is split over all nodes; a node far above the others' load is
-// passed over, and nodes of the asked node's region come first.
-func TestAccountStaysOnFewNodes(t *testing.T) {
+// Callers of one client account ask different nodes. They must be routed to the same few, or
+// the account's budget is split over all nodes. Overloaded nodes rank last, and nodes of the
+// answering node's region first.
+func TestAccountIsRoutedToFewNodes(t *testing.T) {
 	is := is.New(t)
 	var members []Member
 	for i := range 6 {
-		node := info(fmt.Sprint("n", i), fmt.Sprint("a", i))
+		node := nodeInfo(fmt.Sprint("n", i), fmt.Sprint("a", i))
 		if i >= 4 {
 			node.Region = "there"
 		}
 		members = append(members, Member{Node: node})
 	}
-	first := map[string]bool{}
+	firstChoices := map[string]bool{}
 	for i, m := range members[:4] {
 		others := append(append([]Member(nil), members[:i]...), members[i+1:]...)
-		list := Rank(Asker{Account: "large", Self: m.Node, SelfServes: true}, others)
-		first[list[0].Address] = true
+		list := Rank(AddressQuery{Account: "large", Self: m.Node, SelfServing: true}, others)
+		firstChoices[list[0].Address] = true
 		is.Equal(list[4].Region, "there")
 		is.Equal(len(list), 6)
 	}
-	is.Equal(len(first), 1)
-	list := Rank(Asker{Account: "large", Self: members[5].Node}, members)
+	is.Equal(len(firstChoices), 1)
+	list := Rank(AddressQuery{Account: "large", Self: members[5].Node}, members)
 	is.Equal(list[0].Region, "there")
-	home := Rank(Asker{Account: "large", Self: members[0].Node}, members)[0].Address
+	preferred := Rank(AddressQuery{Account: "large", Self: members[0].Node}, members)[0].Address
 	for i := range members {
-		if members[i].Node.GetHttpAddress() == home {
+		if members[i].Node.GetHttpAddress() == preferred {
 			members[i].InFlight = 100
 		}
 	}
-	is.True(Rank(Asker{Account: "large", Self: members[0].Node}, members)[0].Address != home)
+	is.True(Rank(AddressQuery{Account: "large", Self: members[0].Node}, members)[0].Address != preferred)
 }
--- a/membership/views.go
+++ b/membership/views.go
@@ -7,62 +7,62 @@
 )
 
 const (
-	// newsSpread is how often news is passed on, times the logarithm of the fleet.
-	newsSpread = 2
-	// maxIntroduced is up to how many members a newcomer is told addresses of.
-	maxIntroduced = 32
-	// maxNews and maxFill bound the views in a message.
-	maxNews = 6
-	maxFill = 2
+	// retransmitFactor times the logarithm of the fleet size is how often an update is sent.
+	retransmitFactor = 2
+	// maxFullIntroduction is the largest number of members whose addresses a newcomer is sent.
+	maxFullIntroduction = 32
+	// maxUpdates and maxLoadViews bound the number of views in a message.
+	maxUpdates   = 6
+	maxLoadViews = 2
 )
 
-// spread is how many messages carry a piece of news.
-func (t *Table) spread() int { return newsSpread * (bits.Len(uint(len(t.members))) + 1) }
+// retransmitLimit returns how many messages carry an update.
+func (t *Table) retransmitLimit() int { return retransmitFactor * (bits.Len(uint(len(t.members))) + 1) }
 
-// Views returns what the next message carries beside the node's own view: the news,
-// and in turn a few members' load without how to reach them.
+// Views returns the views for the next message besides the node's own: pending updates
+// and, round-robin, the load of a few members by member ID only.
 func (t *Table) Views() []*fleetv1.PeerView {
 	ring := t.ring()
 	var views []*fleetv1.PeerView
 	for _, node := range ring {
 		m := t.members[node.GetIncarnation()]
-		if m.news > 0 && len(views) < maxNews {
-			m.news--
-			views = append(views, t.shorten(m.view()))
+		if m.retransmits > 0 && len(views) < maxUpdates {
+			m.retransmits--
+			views = append(views, t.compact(m.peerView()))
 		}
 	}
-	for range min(maxFill, len(ring)) {
-		t.fill++
-		m := t.members[ring[t.fill%len(ring)].GetIncarnation()]
-		if m.private || m.beat == 0 {
+	for range min(maxLoadViews, len(ring)) {
+		t.loadTurn++
+		m := t.members[ring[t.loadTurn%len(ring)].GetIncarnation()]
+		if m.localSuspicion || m.beat == 0 {
 			continue
 		}
-		view := m.view()
-		view.Node, view.Member = nil, numberOf(m.Node)
+		view := m.peerView()
+		view.Node, view.Member = nil, memberID(m.Node)
 		views = append(views, view)
 	}
 	return views
 }
 
-// Introduction returns what a newcomer is told: all members that answer, and how to
-// reach them unless the fleet is so large that the newcomer is left to the log.
+// Introduction returns the views of all members that answer, for a newcomer. It includes
+// their addresses unless the fleet is so large that the newcomer must get them from the log.
 func (t *Table) Introduction() []*fleetv1.PeerView {
 	var views []*fleetv1.PeerView
 	for _, m := range t.members {
 		if m.Suspect {
 			continue
 		}
-		view := m.view()
-		if len(t.members) > maxIntroduced {
-			view.Node, view.Member = nil, numberOf(m.Node)
+		view := m.peerView()
+		if len(t.members) > maxFullIntroduction {
+			view.Node, view.Member = nil, memberID(m.Node)
 		}
 		views = append(views, view)
 	}
 	return views
 }
 
-// Newcomer tells whether a sender isn't known as answering.
-func (t *Table) Newcomer(sender string) bool {
+// IsNewcomer reports whether a sender is unknown or suspected.
+func (t *Table) IsNewcomer(sender string) bool {
 	m := t.members[sender]
 	return m == nil || m.Suspect
 }
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -32,7 +32,7 @@
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Journal: n.writer,
 		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Memory: b.memory, Teller: b.teller,
 		Engines: n.engines(), Suspect: n.isSuspect, LostAfter: n.settings.Policy.LostAfter,
-		Listed: n.instances.Entries, PeerAddress: n.settings.PeerAddress,
+		Listed: n.instances.EntryAddresses, PeerAddress: n.settings.PeerAddress,
 	})
 }
 
