--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -41,8 +41,8 @@
 	Caller      peer.Caller
 	Events      *event.Recorder
 	Watcher     *Watcher
-	Memory      *witness.Memory
-	Teller      *witness.Teller
+	Memory      *witness.Store
+	Teller      *witness.Replicator
 	Engines     Engines
 	// Suspect tells whether a node doesn't answer.
 	Suspect func(incarnation string) bool
@@ -318,6 +318,6 @@
 	}
 	report, err := r.c.Engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
 	if err == nil && report.State == upstream.UsageFinished {
-		r.c.Memory.Counted(open.GetRequest(), report.Total())
+		r.c.Memory.SetEngineUsage(open.GetRequest(), report.Total())
 	}
 }
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -25,7 +25,7 @@
 	Clock   clockwork.Clock
 	Ledger  *budget.Ledger
 	Journal budget.Submitter
-	Memory  *witness.Memory
+	Memory  *witness.Store
 	Events  *event.Recorder
 	// Suspect tells whether a node doesn't answer.
 	Suspect func(incarnation string) bool
--- a/witness/copier.go
+++ b/witness/copier.go
@@ -10,47 +10,47 @@
 	"lavenderpin.dev/lavenderpin/internal/periodic"
 )
 
-// CopierConfig is what a Copier works with.
+// CopierConfig configures a Copier.
 type CopierConfig struct {
-	Clock  clockwork.Clock
-	Memory *Memory
-	// Candidates lists the nodes that answer, best first.
+	Clock clockwork.Clock
+	Store *Store
+	// Candidates returns the nodes that answer, best first.
 	Candidates func() []Candidate
-	// Suspect tells whether a node doesn't answer.
+	// Suspect reports whether a node doesn't answer.
 	Suspect func(incarnation string) bool
-	// Send brings remembered requests to another node.
-	Send func(ctx context.Context, to Candidate, remembered []*fleetv1.OpenRequest) error
+	// Send sends stored requests to another node.
+	Send func(ctx context.Context, to Candidate, requests []*fleetv1.OpenRequest) error
 }
 
-// Copier hands what is remembered of a silent node to one more node. A node that lives
-// replaces a witness that is gone by itself; once it has died, each death of a witness
-// would leave one fewer that knows its last requests, and after the last one they would
-// be billed to nobody.
+// Copier copies the stored requests of a silent node to one more node. A live node replaces
+// a failed witness itself; once the node has died, each failure of a witness would leave one
+// copy fewer of its last requests, and after the last one they would not be billed to
+// anybody.
 type Copier struct {
 	c      CopierConfig
-	copies map[string]copied
+	copies map[string]copyState
 }
 
-// copied is what was handed on of one incarnation's requests.
-type copied struct {
+// copyState describes the last copy made of an incarnation's requests.
+type copyState struct {
 	to Candidate
-	// requests counts them, finished those of them that were known to be finished.
-	requests, finished int
+	// total is the number of requests copied, finished that of the finished ones among them.
+	total, finished int
 }
 
-// NewCopier returns a copier; Run must run for it to work.
+// NewCopier returns a Copier; Run does the copying.
 func NewCopier(config CopierConfig) *Copier {
-	return &Copier{c: config, copies: map[string]copied{}}
+	return &Copier{c: config, copies: map[string]copyState{}}
 }
 
-// Run copies until ctx ends.
+// Run copies requests of silent nodes until ctx is done.
 func (c *Copier) Run(ctx context.Context) {
 	periodic.Run(ctx, c.c.Clock, retryInterval, c.step)
 }
 
 func (c *Copier) step(ctx context.Context) {
 	silent := map[string]bool{}
-	for _, incarnation := range c.c.Memory.Incarnations() {
+	for _, incarnation := range c.c.Store.Incarnations() {
 		if c.c.Suspect(incarnation) {
 			silent[incarnation] = true
 			c.copy(ctx, incarnation)
@@ -63,23 +63,23 @@
 	}
 }
 
-// copy hands the requests on unless the node that has them still answers and nothing is
-// new. A node that can't be reached is tried again at the next step.
+// copy sends an incarnation's requests to a candidate unless the node that has the last copy
+// still answers and nothing changed. A failed send is retried at the next step.
 func (c *Copier) copy(ctx context.Context, incarnation string) {
 	candidates := c.c.Candidates()
 	if len(candidates) == 0 {
 		return
 	}
 	last := c.copies[incarnation]
-	remembered := c.c.Memory.Report(incarnation)
-	now := copied{to: candidates[0], requests: len(remembered), finished: countFinished(remembered)}
+	requests := c.c.Store.Report(incarnation)
+	next := copyState{to: candidates[0], total: len(requests), finished: countFinished(requests)}
 	if slices.Contains(candidates, last.to) {
-		now.to = last.to
+		next.to = last.to
 	}
-	if now == last || c.c.Send(ctx, now.to, remembered) != nil {
+	if next == last || c.c.Send(ctx, next.to, requests) != nil {
 		return
 	}
-	c.copies[incarnation] = now
+	c.copies[incarnation] = next
 }
 
 func countFinished(requests []*fleetv1.OpenRequest) int {
--- a/witness/copier_test.go
+++ b/witness/copier_test.go
@@ -11,59 +11,59 @@
 	fleetv1 "lavenderpin.dev/lavenderpin/api/fleet/v1"
 )
 
-// copies is what a Copier sent where.
-type copies struct {
+// fakeReceiver records the nodes that a Copier sent to.
+type fakeReceiver struct {
 	candidates []Candidate
 	silent     map[string]bool
 	sent       []string
 	fails      bool
 }
 
-func (c *copies) send(_ context.Context, to Candidate, _ []*fleetv1.OpenRequest) error {
-	if c.fails {
+func (r *fakeReceiver) send(_ context.Context, to Candidate, _ []*fleetv1.OpenRequest) error {
+	if r.fails {
 		return errors.New("no answer")
 	}
-	c.sent = append(c.sent, to.Incarnation)
+	r.sent = append(r.sent, to.Incarnation)
 	return nil
 }
 
-func newCopies(candidates ...string) (*Copier, *Memory, *copies) {
-	c := &copies{silent: map[string]bool{}}
-	c.offer(candidates...)
-	memory := NewMemory()
-	return NewCopier(CopierConfig{Clock: clockwork.NewFakeClock(), Memory: memory, Send: c.send,
-		Candidates: func() []Candidate { return c.candidates },
-		Suspect:    func(incarnation string) bool { return c.silent[incarnation] }}), memory, c
+func newTestCopier(candidates ...string) (*Copier, *Store, *fakeReceiver) {
+	receiver := &fakeReceiver{silent: map[string]bool{}}
+	receiver.setCandidates(candidates...)
+	store := NewStore()
+	return NewCopier(CopierConfig{Clock: clockwork.NewFakeClock(), Store: store, Send: receiver.send,
+		Candidates: func() []Candidate { return receiver.candidates },
+		Suspect:    func(incarnation string) bool { return receiver.silent[incarnation] }}), store, receiver
 }
 
-func (c *copies) offer(names ...string) {
-	c.candidates = nil
+func (r *fakeReceiver) setCandidates(names ...string) {
+	r.candidates = nil
 	for _, name := range names {
-		c.candidates = append(c.candidates, Candidate{Incarnation: name})
+		r.candidates = append(r.candidates, Candidate{Incarnation: name})
 	}
 }
 
-// Guards against the last requests of a dead node being known to one node only.
-func TestCopiesWhatASilentNodeSaid(t *testing.T) {
+// Guards against the last requests of a dead node being stored on one node only.
+func TestCopiesRequestsOfSilentNode(t *testing.T) {
 	is := is.New(t)
-	copier, memory, c := newCopies("w1", "w2")
-	is.NoErr(memory.Remember("", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{openRequest("n.1")}}))
+	copier, store, receiver := newTestCopier("w1", "w2")
+	is.NoErr(store.Update("", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{openRequest("n.1")}}))
 	copier.step(t.Context())
-	is.Equal(len(c.sent), 0) // it answers and tells its witnesses itself
-	c.silent["n"] = true
-	c.fails = true
+	is.Equal(len(receiver.sent), 0) // the node answers and updates its witnesses itself
+	receiver.silent["n"] = true
+	receiver.fails = true
 	copier.step(t.Context())
-	c.fails = false
+	receiver.fails = false
 	copier.step(t.Context())
 	copier.step(t.Context())
-	is.Equal(c.sent, []string{"w1"}) // once, after the failure
-	memory.Counted("n.1", 5)
+	is.Equal(receiver.sent, []string{"w1"}) // once, after the failure
+	store.SetEngineUsage("n.1", 5)
 	copier.step(t.Context())
-	is.Equal(c.sent, []string{"w1", "w1"}) // an engine's count is news
-	c.offer("w2")
+	is.Equal(receiver.sent, []string{"w1", "w1"}) // an engine's usage is copied
+	receiver.setCandidates("w2")
 	copier.step(t.Context())
-	is.Equal(c.sent, []string{"w1", "w1", "w2"}) // the first copy is gone
-	c.offer("w1", "w2")
+	is.Equal(receiver.sent, []string{"w1", "w1", "w2"}) // the node with the first copy is gone
+	receiver.setCandidates("w1", "w2")
 	copier.step(t.Context())
-	is.Equal(len(c.sent), 3) // the copy stays where it is
+	is.Equal(len(receiver.sent), 3) // the copy stays where it is
 }
--- a/witness/doc.go
+++ b/witness/doc.go
@@ -1,7 +1,7 @@
-// Package witness keeps what a node was doing in the memory of another one.
+// Package witness replicates a node's open requests into the memory of other nodes.
 //
-// Teller tells one other node of each request before it is dispatched and of its
-// end afterwards; Memory is what a node was told by others. After a node died its
-// requests are settled from there. Neither grows without bound: an entry goes once
-// its settlement is in the log, which both sides fold.
+// Replicator reports each request to a witness before dispatch, and its end afterwards;
+// Store holds what other nodes reported. After a node has died its requests are settled
+// from there. Both are bounded: an entry is removed once its settlement is in the log,
+// which both sides fold.
 package witness
