--- a/recovery/engines.go
+++ b/recovery/engines.go
@@ -6,13 +6,14 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Engines asks upstreams by name about requests of a dead node.
+// Engines queries upstreams, by name, about requests of a dead node.
 type Engines interface {
-	// Counts tells whether the upstream counts requests; plain services don't.
-	Counts(upstream string) bool
-	// InReach is false while the upstream's region is cut off: the upstream then may be
-	// well and answer once the cut ends.
-	InReach(upstream string) bool
+	// ReportsUsage reports whether the upstream counts the usage of requests; plain services
+	// don't.
+	ReportsUsage(upstream string) bool
+	// Reachable is false while the upstream's region is cut off; the upstream may then be
+	// healthy and answer once the partition ends.
+	Reachable(upstream string) bool
 	Usage(ctx context.Context, upstream, request string) (upstream.UsageReport, error)
 	Cancel(ctx context.Context, upstream, request string) error
 }
--- a/recovery/outcome_test.go
+++ b/recovery/outcome_test.go
@@ -19,9 +19,9 @@
 	cancelled                bool
 }
 
-func (e *fakeEngine) Counts(string) bool { return !e.plain }
+func (e *fakeEngine) ReportsUsage(string) bool { return !e.plain }
 
-func (e *fakeEngine) InReach(string) bool { return true }
+func (e *fakeEngine) Reachable(string) bool { return true }
 
 func (e *fakeEngine) Usage(context.Context, string, string) (upstream.UsageReport, error) {
 	if e.down {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// A node died in the middle of a request. What the request is billed depends on who
-// still knows something of it; a wrong figure shows on the client account.
+// A node dies in the middle of a request. What the request is billed depends on what its node
+// and the engine reported; a wrong amount is charged to the client account.
 func TestOutcomeOfAnOpenRequest(t *testing.T) {
 	open := &fleetv1.OpenRequest{Request: "n.1", Reserved: 100, Before: 20, DispatchedAs: "m.7"}
 	finished := &fleetv1.OpenRequest{Request: "n.1", Reserved: 100, Before: 20, Finished: true, Used: 50}
@@ -65,7 +65,7 @@
 			is := is.New(t)
 			is.Equal(outcomeOf(context.Background(), &c.engine, c.open, c.waited), c.want)
 			if c.want.from == neverRan {
-				is.True(c.engine.cancelled) // or a paused node could still send it
+				is.True(c.engine.cancelled) // otherwise a paused node could still send it
 			}
 		})
 	}
--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// rankDelay is how much later each further node begins to recover an incarnation.
-	// Several may do it, as settlements are folded once; one is enough.
+	// rankDelay is how much later each further node starts to recover an incarnation. Several
+	// nodes may do so, as each settlement is folded once, but one is enough.
 	rankDelay = 20 * time.Second
-	// unloggedTolerance is how long an incarnation may have been silent in the log
-	// before its end for its unsettled spend to count as its last moments only.
-	unloggedTolerance = 2 * time.Minute
-	// maxPerEntry bounds the settlements of one log entry.
+	// maxSinceLastBatch is how long before its end an incarnation may have stopped writing to
+	// the log for its unsettled spend to count as its last moments only.
+	maxSinceLastBatch = 2 * time.Minute
+	// maxPerEntry bounds the settlements in one log entry.
 	maxPerEntry = 5000
 )
 
-// Config is what a Recoverer works with.
+// Config configures a Recoverer.
 type Config struct {
 	Incarnation string
 	Clock       clockwork.Clock
@@ -41,103 +41,103 @@
 	Caller      peer.Caller
 	Events      *event.Recorder
 	Watcher     *Watcher
-	Memory      *witness.Store
-	Teller      *witness.Replicator
+	Store       *witness.Store
+	Replicator  *witness.Replicator
 	Engines     Engines
-	// Suspect tells whether a node doesn't answer.
+	// Suspect reports whether a node doesn't answer.
 	Suspect func(incarnation string) bool
-	// Listed returns the peer addresses that the platform's list shows, and when it
-	// answered; PeerAddress is this node's own.
-	Listed      func() (addresses map[string]bool, at time.Time)
-	PeerAddress string
-	// LostAfter is how long recovery waits for nodes that may know more, the closed one
-	// among them, before it writes off what is left.
+	// PlatformAddresses returns the peer addresses in the platform's instance list and when
+	// it was received; PeerAddress is this node's own.
+	PlatformAddresses func() (addresses map[string]bool, at time.Time)
+	PeerAddress       string
+	// LostAfter is how long recovery waits for nodes that may know of more requests, including
+	// the closed one, before it writes off the rest of the shares.
 	LostAfter time.Duration
 }
 
-// Recoverer settles and releases what closed incarnations left. Its Step is called
-// by one goroutine.
+// Recoverer settles the requests and releases the shares of closed incarnations. Step must
+// be called by one goroutine.
 type Recoverer struct {
 	c     Config
 	cases map[string]*recoveryCase
-	// orphans holds an inquiry for each borrower that is gone.
-	orphans map[string]*inquiry
-	closes  []*recordlog.Ticket
-	absence *Absence
+	// orphans holds a collector for each borrower that is gone.
+	orphans       map[string]*collector
+	pendingCloses []*recordlog.Ticket
+	absence       *AbsenceTracker
 }
 
 // recoveryCase is the recovery of one closed incarnation by this node.
 type recoveryCase struct {
-	*inquiry
-	begun   bool
-	pending *recordlog.Ticket
-	queue   []*recordv1.Entry
-	queued  bool
-	// waits is what the time line was told last of why this waits.
-	waits waitReason
+	*collector
+	startRecorded bool
+	pending       *recordlog.Ticket
+	queue         []*recordv1.Entry
+	queued        bool
+	// lastWait is the reason for waiting that was last recorded as an event.
+	lastWait waitReason
 }
 
-// waitReason is why a recovery waits. Told at every step, it would push all else out of
-// the memory of events during a cut of hours.
+// waitReason is why a recovery waits. Only changes are recorded: one event per step would
+// evict all others from the event buffer during a partition of hours.
 type waitReason struct {
 	why               string
 	unanswered, found int
 }
 
-// New returns a recoverer.
+// New returns a Recoverer.
 func New(config Config) *Recoverer {
 	return &Recoverer{
-		c: config, cases: map[string]*recoveryCase{}, orphans: map[string]*inquiry{},
-		absence: NewAbsence(config.PeerAddress, config.Listed),
+		c: config, cases: map[string]*recoveryCase{}, orphans: map[string]*collector{},
+		absence: NewAbsenceTracker(config.PeerAddress, config.PlatformAddresses),
 	}
 }
 
-// Run works until ctx ends.
+// Run calls Step periodically until ctx is done.
 func (r *Recoverer) Run(ctx context.Context) {
-	periodic.Run(ctx, r.c.Clock, askInterval, r.Step)
+	periodic.Run(ctx, r.c.Clock, stepInterval, r.Step)
 }
 
-// Step does what is due now.
+// Step closes silent incarnations and advances all recoveries.
 func (r *Recoverer) Step(ctx context.Context) {
-	r.noteAbsent()
+	r.updateAbsence()
 	r.closeSilent()
 	r.recoverClosed(ctx)
 	r.resolveOrphans(ctx)
-	r.countSilent(ctx)
+	r.queryEngineUsage(ctx)
 }
 
-func (r *Recoverer) noteAbsent() {
+func (r *Recoverer) updateAbsence() {
 	var addresses []string
 	for _, i := range r.c.Ledger.Incarnations() {
 		addresses = append(addresses, i.Node.GetPeerAddress())
 	}
-	r.absence.Note(addresses)
+	r.absence.Update(addresses)
 }
 
-// hasEnded tells whether an incarnation's process has surely ended: another one has its
-// address, or the platform no longer has the instance.
+// hasEnded reports whether an incarnation's process has certainly ended: another one has
+// its address, or the platform no longer lists the instance.
 func (r *Recoverer) hasEnded(i budget.Incarnation) bool {
 	return i.Replaced || r.absence.Gone(i.Node.GetPeerAddress())
 }
 
-// closeSilent asks the log to close silent incarnations. A close that hasn't left
-// this node by the next step is withdrawn: it would come out of an outage ahead of
-// the heartbeat that it waited for.
+// closeSilent submits closes for silent incarnations. A close still queued on this node at
+// the next step is withdrawn: after an outage it would reach the log before the heartbeat
+// that was waited for.
 func (r *Recoverer) closeSilent() {
-	for _, ticket := range r.closes {
+	for _, ticket := range r.pendingCloses {
 		ticket.Withdraw()
 	}
-	r.closes = nil
+	r.pendingCloses = nil
 	for _, due := range r.c.Watcher.Due() {
 		r.c.Events.Record(event.ClosingSilent, "incarnation", due.GetIncarnation(), "heartbeat", due.GetLastHeartbeat())
-		r.closes = append(r.closes, r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
+		r.pendingCloses = append(r.pendingCloses, r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
 	}
 }
 
-// Report returns what this node knows of requests billed to an incarnation: what
-// others told it, and the parts that it borrowed there itself.
+// Report returns the requests billed to an incarnation that this node knows of: those that
+// others reported, and the parts that this node itself borrowed.
 func (r *Recoverer) Report(incarnation string) []*fleetv1.OpenRequest {
-	return append(r.c.Memory.Report(incarnation), r.c.Teller.Report(incarnation)...)
+	return append(r.c.Store.Report(incarnation), r.c.Replicator.Report(incarnation)...)
 }
 
 func (r *Recoverer) recoverClosed(ctx context.Context) {
@@ -152,18 +152,18 @@
 		if !i.Closed || id == r.c.Incarnation {
 			continue
 		}
-		held := r.cases[id]
-		if held == nil {
-			held = &recoveryCase{inquiry: r.newInquiry(id, i.ClosedAt)}
-			r.cases[id] = held
+		rc := r.cases[id]
+		if rc == nil {
+			rc = &recoveryCase{collector: r.newCollector(id, i.ClosedAt)}
+			r.cases[id] = rc
 		}
-		if held.age() >= delay {
-			r.advance(ctx, held)
+		if rc.age() >= delay {
+			r.advance(ctx, rc)
 		}
 	}
 }
 
-// rank is this node's place among the open ones.
+// rank returns this node's index among the open incarnations.
 func rank(self string, incarnations map[string]budget.Incarnation) int {
 	var open []string
 	for id, i := range incarnations {
@@ -175,89 +175,90 @@
 	return sort.SearchStrings(open, self)
 }
 
-// advance takes one recovery further: ask, resolve, settle, release.
-func (r *Recoverer) advance(ctx context.Context, c *recoveryCase) {
-	if !c.begun {
-		c.begun = true
-		r.c.Events.Record(event.RecoveryStarted, "incarnation", c.subject, "to_ask", len(c.unasked))
+// advance takes a recovery through its stages: query, resolve, settle, release.
+func (r *Recoverer) advance(ctx context.Context, rc *recoveryCase) {
+	if !rc.startRecorded {
+		rc.startRecorded = true
+		r.c.Events.Record(event.RecoveryStarted, "incarnation", rc.incarnation, "to_ask", len(rc.unanswered))
 	}
-	if !c.queued && !r.conclude(ctx, c) {
+	if !rc.queued && !r.collect(ctx, rc) {
 		return
 	}
-	r.submit(c)
+	r.submit(rc)
 }
 
-// conclude asks and resolves; true once all is known that anybody will ever tell.
-func (r *Recoverer) conclude(ctx context.Context, c *recoveryCase) bool {
-	c.ask(ctx)
-	c.noteEnd()
-	decided := c.resolve(ctx, func(string) bool { return true })
+// collect queries nodes and resolves outcomes. Once no more information can be expected, it
+// queues the entries to append and returns true.
+func (r *Recoverer) collect(ctx context.Context, rc *recoveryCase) bool {
+	rc.queryNodes(ctx)
+	rc.checkEnded()
+	decided := rc.resolve(ctx, func(string) bool { return true })
 	why := ""
 	switch {
-	case !decided || (!c.answered() && !c.overdue()):
-		why = "somebody may know more"
-	case c.mayLive():
-		why = "it may come back"
-	case c.subjectLives(ctx):
-		why = "it answers"
+	case !decided || (!rc.allAnswered() && !rc.overdue()):
+		why = "answers from nodes or engines are missing"
+	case rc.mayReturn():
+		why = "the incarnation may return"
+	case rc.stillAnswers(ctx):
+		why = "the incarnation still answers"
 	default:
-		c.queue, c.queued = c.entries(), true
+		rc.queue, rc.queued = rc.entries(), true
 		return true
 	}
-	if waits := (waitReason{why, len(c.unasked), len(c.found)}); waits != c.waits {
-		c.waits = waits
-		r.c.Events.Record(event.RecoveryWaiting, "incarnation", c.subject, "unanswered", waits.unanswered, "found", waits.found, "why", why)
+	if waits := (waitReason{why, len(rc.unanswered), len(rc.found)}); waits != rc.lastWait {
+		rc.lastWait = waits
+		r.c.Events.Record(event.RecoveryWaiting, "incarnation", rc.incarnation, "unanswered", waits.unanswered, "found", waits.found, "why", why)
 	}
 	return false
 }
 
-// entries lists what to append: settlements, and after them the release.
-func (c *recoveryCase) entries() []*recordv1.Entry {
+// entries returns the log entries to append: settlements, then the release.
+func (rc *recoveryCase) entries() []*recordv1.Entry {
 	var settlements []*recordv1.Settlement
-	for request, o := range c.outcomes {
+	for request, o := range rc.outcomes {
 		if o.tokens > 0 {
-			settlements = append(settlements, &recordv1.Settlement{Request: request, Budget: c.found[request].GetBudget(), Tokens: o.tokens})
+			settlements = append(settlements, &recordv1.Settlement{Request: request, Budget: rc.found[request].GetBudget(), Tokens: o.tokens})
 		}
 	}
-	entries := settlementEntries(c.subject, settlements)
+	entries := settlementEntries(rc.incarnation, settlements)
 	return append(entries, &recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{
-		Incarnation: c.subject, Lost: c.lost(),
+		Incarnation: rc.incarnation, Lost: rc.lost(),
 	}}})
 }
 
-// submit appends one entry after the other. The release must not come before the
-// settlements: it would put tokens into the pool that are spent.
-func (r *Recoverer) submit(c *recoveryCase) {
+// submit appends the entries one at a time. The release must not precede the settlements:
+// it would return spent tokens to the pool.
+func (r *Recoverer) submit(rc *recoveryCase) {
 	for {
-		if c.pending != nil {
+		if rc.pending != nil {
 			select {
-			case verdict := <-c.pending.Done():
-				r.settled(c, verdict)
+			case verdict := <-rc.pending.Done():
+				r.handleVerdict(rc, verdict)
 			default:
 				return
 			}
 		}
-		if len(c.queue) == 0 {
+		if len(rc.queue) == 0 {
 			return
 		}
-		c.pending = r.c.Journal.Submit(c.queue[0])
+		rc.pending = r.c.Journal.Submit(rc.queue[0])
 	}
 }
 
-func (r *Recoverer) settled(c *recoveryCase, verdict fold.Verdict) {
-	done := c.queue[0].GetRecoveryDone()
-	c.pending = nil
-	c.queue = c.queue[1:]
+func (r *Recoverer) handleVerdict(rc *recoveryCase, verdict fold.Verdict) {
+	done := rc.queue[0].GetRecoveryDone()
+	rc.pending = nil
+	rc.queue = rc.queue[1:]
 	switch {
 	case done == nil || !verdict.OK():
 	case done.GetLost():
-		r.c.Events.Record(event.ShareWrittenOff, "incarnation", c.subject, "tokens", verdict.Tokens)
+		r.c.Events.Record(event.ShareWrittenOff, "incarnation", rc.incarnation, "tokens", verdict.Tokens)
 	default:
-		r.c.Events.Record(event.RecoveryFinished, "incarnation", c.subject, "tokens", verdict.Tokens, "after", c.age())
+		r.c.Events.Record(event.RecoveryFinished, "incarnation", rc.incarnation, "tokens", verdict.Tokens, "after", rc.age())
 	}
 }
 
-// resolveOrphans ends the parts that this node lent to incarnations since gone.
+// resolveOrphans settles the parts that this node lent to incarnations that are gone.
 func (r *Recoverer) resolveOrphans(ctx context.Context) {
 	byBorrower := map[string][]budget.LentPart{}
 	for _, part := range r.c.Lender.Orphans() {
@@ -270,28 +271,29 @@
 	}
 	for borrower, parts := range byBorrower {
 		if r.orphans[borrower] == nil {
-			r.orphans[borrower] = r.newInquiry(r.c.Incarnation, math.MaxUint64)
-			r.orphans[borrower].ended = r.c.Clock.Now() // the borrower has
+			r.orphans[borrower] = r.newCollector(r.c.Incarnation, math.MaxUint64)
+			r.orphans[borrower].endedAt = r.c.Clock.Now() // the borrower has ended
 		}
 		r.resolveLent(ctx, r.orphans[borrower], parts)
 	}
 }
 
-// resolveLent bills parts by what is found of them. A part that nobody knows of was
-// never dispatched, unless somebody who may know is gone: then it pays all.
-func (r *Recoverer) resolveLent(ctx context.Context, q *inquiry, parts []budget.LentPart) {
-	q.ask(ctx)
+// resolveLent bills parts by their collected outcomes. A part that no node knows of was never
+// dispatched, unless a node that may have known is gone or didn't answer: it is then billed
+// in full.
+func (r *Recoverer) resolveLent(ctx context.Context, c *collector, parts []budget.LentPart) {
+	c.queryNodes(ctx)
 	wanted := map[string]bool{}
 	for _, part := range parts {
 		wanted[part.Request] = true
 	}
-	decided := q.resolve(ctx, func(request string) bool { return wanted[request] })
-	if !decided || (!q.answered() && !q.overdue()) {
+	decided := c.resolve(ctx, func(request string) bool { return wanted[request] })
+	if !decided || (!c.allAnswered() && !c.overdue()) {
 		return
 	}
 	for _, part := range parts {
-		tokens := q.outcomes[part.Request].tokens
-		if q.found[part.Request] == nil && (!q.answered() || q.gone) {
+		tokens := c.outcomes[part.Request].tokens
+		if c.found[part.Request] == nil && (!c.allAnswered() || c.evidenceLost) {
 			tokens = part.Tokens
 		}
 		r.c.Events.Record(event.PartResolved, "part", part.Request, "borrower", part.Borrower, "tokens", tokens)
@@ -299,25 +301,25 @@
 	}
 }
 
-// countSilent asks engines about requests of nodes that don't answer, long before
-// those are closed: an engine remembers a finished request only for a while.
-func (r *Recoverer) countSilent(ctx context.Context) {
-	for _, incarnation := range r.c.Memory.Incarnations() {
+// queryEngineUsage queries engines about the requests of suspected nodes, long before these
+// are closed: an engine remembers a finished request only for a while.
+func (r *Recoverer) queryEngineUsage(ctx context.Context) {
+	for _, incarnation := range r.c.Store.Incarnations() {
 		if !r.c.Suspect(incarnation) {
 			continue
 		}
-		for _, open := range r.c.Memory.Report(incarnation) {
-			r.count(ctx, open)
+		for _, open := range r.c.Store.Report(incarnation) {
+			r.storeEngineUsage(ctx, open)
 		}
 	}
 }
 
-func (r *Recoverer) count(ctx context.Context, open *fleetv1.OpenRequest) {
-	if open.GetFinished() || !r.c.Engines.Counts(open.GetUpstream()) {
+func (r *Recoverer) storeEngineUsage(ctx context.Context, open *fleetv1.OpenRequest) {
+	if open.GetFinished() || !r.c.Engines.ReportsUsage(open.GetUpstream()) {
 		return
 	}
 	report, err := r.c.Engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
 	if err == nil && report.State == upstream.UsageFinished {
-		r.c.Memory.SetEngineUsage(open.GetRequest(), report.Total())
+		r.c.Store.SetEngineUsage(open.GetRequest(), report.Total())
 	}
 }
--- a/recovery/settlements.go
+++ b/recovery/settlements.go
@@ -7,8 +7,8 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// settlementEntries returns the entries that settle requests of an incarnation, in the
-// order of their ids and with at most maxPerEntry requests each.
+// settlementEntries returns the entries that settle requests of an incarnation, sorted by
+// request ID and with at most maxPerEntry requests each.
 func settlementEntries(incarnation string, settlements []*recordv1.Settlement) []*recordv1.Entry {
 	slices.SortFunc(settlements, func(a, b *recordv1.Settlement) int { return cmp.Compare(a.GetRequest(), b.GetRequest()) })
 	var entries []*recordv1.Entry
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -16,61 +16,61 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-// silentInterval is how often a node looks for members that don't answer: as often as
-// nodes flush their own settlements.
-const silentInterval = 200 * time.Millisecond
+// settleInterval is the time between two checks for suspected nodes, the same as between two
+// flushes of a node's own settlements.
+const settleInterval = 200 * time.Millisecond
 
-// SilentSettlerConfig is what a SilentSettler works with.
+// SilentSettlerConfig configures a SilentSettler.
 type SilentSettlerConfig struct {
 	Clock   clockwork.Clock
 	Ledger  *budget.Ledger
 	Journal budget.Submitter
-	Memory  *witness.Store
+	Store   *witness.Store
 	Events  *event.Recorder
-	// Suspect tells whether a node doesn't answer.
+	// Suspect reports whether a node doesn't answer.
 	Suspect func(incarnation string) bool
-	// MayWrite tells whether the log is in reach and every node folds what a witness
-	// settles for an open incarnation.
+	// MayWrite reports whether the log is reachable and every node folds settlements that a
+	// witness writes for an open incarnation.
 	MayWrite func() bool
 }
 
-// SilentSettler puts into the log, without waiting for its close, what a silent node had
-// said that its finished requests used. Until then this knowledge is in the memory of the
-// node's witnesses alone, and lost if they die as well: answers would go unbilled.
+// SilentSettler settles in the log the finished requests that a silent node had reported to
+// its witnesses, without waiting for its close. Until then the reports are only in the
+// memory of the witnesses; if these died as well, answers would go unbilled.
 //
-// The node may live behind a cut and settle the same requests; the figures are its own,
-// and the ledger takes each request once.
+// The node may be alive behind a partition and settle the same requests; the amounts are its
+// own, and the ledger applies each request once.
 type SilentSettler struct {
 	c SilentSettlerConfig
-	// pending holds the last entry written for each incarnation, until its verdict is known.
+	// pending holds the last entry submitted for each incarnation, until its verdict is known.
 	pending map[string]*recordlog.Ticket
 }
 
-// NewSilentSettler returns a settler; Run must run for it to work.
+// NewSilentSettler returns a SilentSettler; Run does the settling.
 func NewSilentSettler(config SilentSettlerConfig) *SilentSettler {
 	return &SilentSettler{c: config, pending: map[string]*recordlog.Ticket{}}
 }
 
-// Run works until ctx ends.
+// Run settles for silent nodes until ctx is done.
 func (s *SilentSettler) Run(ctx context.Context) {
-	periodic.Run(ctx, s.c.Clock, silentInterval, func(context.Context) { s.step() })
+	periodic.Run(ctx, s.c.Clock, settleInterval, func(context.Context) { s.step() })
 }
 
 func (s *SilentSettler) step() {
-	remembered := s.c.Memory.Incarnations()
+	incarnations := s.c.Store.Incarnations()
 	maps.DeleteFunc(s.pending, func(incarnation string, _ *recordlog.Ticket) bool {
-		return !slices.Contains(remembered, incarnation)
+		return !slices.Contains(incarnations, incarnation)
 	})
-	for _, incarnation := range remembered {
-		if s.c.Suspect(incarnation) && s.c.Ledger.Known(incarnation) && !s.awaits(incarnation) && s.c.MayWrite() {
+	for _, incarnation := range incarnations {
+		if s.c.Suspect(incarnation) && s.c.Ledger.Known(incarnation) && !s.hasPending(incarnation) && s.c.MayWrite() {
 			s.settle(incarnation)
 		}
 	}
 }
 
-// awaits tells whether an entry for the incarnation has no verdict yet. What was taken has
-// left the memory by the time its verdict is known.
-func (s *SilentSettler) awaits(incarnation string) bool {
+// hasPending reports whether an entry for the incarnation has no verdict yet. By the time the
+// verdict is known, the settled requests have been removed from the store.
+func (s *SilentSettler) hasPending(incarnation string) bool {
 	ticket := s.pending[incarnation]
 	if ticket == nil {
 		return false
@@ -84,10 +84,10 @@
 	}
 }
 
-// settle writes one entry; what doesn't fit follows once its verdict is known.
+// settle submits one entry; settlements that don't fit follow once its verdict is known.
 func (s *SilentSettler) settle(incarnation string) {
 	var settlements []*recordv1.Settlement
-	for _, open := range s.c.Memory.Finished(incarnation) {
+	for _, open := range s.c.Store.Finished(incarnation) {
 		if billed := budget.BilledTo(open, open.GetUsed()); billed > 0 {
 			settlements = append(settlements, &recordv1.Settlement{Request: open.GetRequest(), Budget: open.GetBudget(), Tokens: billed})
 		}
--- a/recovery/silentsettler_test.go
+++ b/recovery/silentsettler_test.go
@@ -14,7 +14,7 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-// journal keeps what is submitted, without a verdict.
+// journal records submitted entries and never returns a verdict.
 type journal struct{ entries []*recordv1.Entry }
 
 func (j *journal) Submit(entry *recordv1.Entry) *recordlog.Ticket {
@@ -22,18 +22,18 @@
 	return &recordlog.Ticket{}
 }
 
-// Guards against settling for a node that answers, and in a fleet whose nodes don't all
-// fold such settlements alike.
+// Guards against settling for a node that answers, and in a fleet whose nodes don't all fold
+// such settlements the same way.
 func TestSettlesOnlyForSilentNodes(t *testing.T) {
 	is := is.New(t)
-	w := newWatcherTest()
-	w.beat(1)
-	memory, written := witness.NewStore(), &journal{}
+	w := newTestWatcher()
+	w.heartbeat(1)
+	store, written := witness.NewStore(), &journal{}
 	silent, mayWrite := false, false
-	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Memory: memory,
+	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Store: store,
 		Events:  event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "self", 10, log.NewNopLogger()),
 		Suspect: func(string) bool { return silent }, MayWrite: func() bool { return mayWrite }})
-	is.NoErr(memory.Update("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
+	is.NoErr(store.Update("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
 		{Request: "n.1", Budget: "b", Reserved: 10, Finished: true, Used: 7}, {Request: "n.2", Budget: "b", Reserved: 10},
 	}}))
 	s.step()
--- a/recovery/watcher_test.go
+++ b/recovery/watcher_test.go
@@ -14,7 +14,7 @@
 
 const testRight = 10 * time.Minute
 
-type watcherTest struct {
+type testWatcher struct {
 	*Watcher
 	clock     *clockwork.FakeClock
 	ledger    *budget.Ledger
@@ -22,13 +22,13 @@
 	offset    uint64
 }
 
-func newWatcherTest() *watcherTest {
-	w := &watcherTest{clock: clockwork.NewFakeClock(), ledger: budget.NewLedger(), reachable: true}
+func newTestWatcher() *testWatcher {
+	w := &testWatcher{clock: clockwork.NewFakeClock(), ledger: budget.NewLedger(), reachable: true}
 	w.Watcher = NewWatcher("self", w.clock, w.ledger, func() bool { return w.reachable })
 	return w
 }
 
-func (w *watcherTest) beat(number uint64) {
+func (w *testWatcher) heartbeat(number uint64) {
 	w.offset++
 	entry := &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{
 		Number: number, RightMs: uint64(testRight.Milliseconds()), Node: &recordv1.NodeInfo{PeerAddress: "n"},
@@ -37,52 +37,52 @@
 	w.Folded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{entry}}, []fold.Verdict{verdict})
 }
 
-// A node falls silent. Closing it before its right has run out, by its own clock
-// that may be a little slow, would let two nodes spend the same tokens.
-func TestClosesOnlyAfterTheRightAndTheMargin(t *testing.T) {
+// A node goes silent. Closing it before its right to spend has expired by its own clock,
+// which may be a little slow, would let two nodes spend the same tokens.
+func TestClosesOnlyAfterSpendRightAndMargin(t *testing.T) {
 	is := is.New(t)
-	w := newWatcherTest()
+	w := newTestWatcher()
 	is.Equal(len(w.Due()), 0)
-	w.beat(1)
-	w.clock.Advance(testRight + testRight*driftPercent/100)
+	w.heartbeat(1)
+	w.clock.Advance(testRight + testRight*clockMarginPercent/100)
 	is.Equal(len(w.Due()), 0)
 	w.clock.Advance(time.Second)
 	due := w.Due()
 	is.Equal(len(due), 1)
 	is.Equal(due[0].GetLastHeartbeat(), uint64(1))
-	is.Equal(len(w.Due()), 0) // asked already
+	is.Equal(len(w.Due()), 0) // already submitted
 }
 
-// The log comes back after an outage longer than the right. All nodes are alive and
-// their heartbeats are on the way; were they closed now, the whole fleet would stop.
-func TestWaitsForASteadyLog(t *testing.T) {
+// The log recovers from an outage longer than the right to spend. All nodes are alive and
+// their heartbeats are in flight; closing them now would stop the whole fleet.
+func TestWaitsForStableLog(t *testing.T) {
 	is := is.New(t)
-	w := newWatcherTest()
+	w := newTestWatcher()
 	w.Due()
-	w.beat(1)
+	w.heartbeat(1)
 	w.reachable = false
 	w.clock.Advance(3 * testRight)
 	is.Equal(len(w.Due()), 0)
 	w.reachable = true
 	is.Equal(len(w.Due()), 0)
-	w.clock.Advance(logGrace / 2)
-	w.beat(2)
-	w.clock.Advance(logGrace)
+	w.clock.Advance(logStabilityPeriod / 2)
+	w.heartbeat(2)
+	w.clock.Advance(logStabilityPeriod)
 	is.Equal(len(w.Due()), 0)
 }
 
-// A node joins with a snapshot and never folded the heartbeats itself. It must
-// count from then on, not from the beginning of time.
-func TestCountsFromASnapshot(t *testing.T) {
+// A node starts from a snapshot and never folded the heartbeats itself. It must measure the
+// silence from its start, not from the zero time.
+func TestCountsFromSnapshot(t *testing.T) {
 	is := is.New(t)
-	w := newWatcherTest()
+	w := newTestWatcher()
 	w.Due()
-	w.beat(1)
-	later := NewWatcher("self", w.clock, w.ledger, func() bool { return true })
-	w.clock.Advance(logGrace)
-	is.Equal(len(later.Due()), 0)
+	w.heartbeat(1)
+	restored := NewWatcher("self", w.clock, w.ledger, func() bool { return true })
+	w.clock.Advance(logStabilityPeriod)
+	is.Equal(len(restored.Due()), 0)
 	w.clock.Advance(testRight)
-	is.Equal(len(later.Due()), 0)
+	is.Equal(len(restored.Due()), 0)
 	w.clock.Advance(testRight)
-	is.Equal(len(later.Due()), 1)
+	is.Equal(len(restored.Due()), 1)
 }
