--- a/membership/members.go
+++ b/membership/members.go
@@ -223,8 +223,8 @@
 	return m.messageViews(compactFormat)
 }
 
-// HandlePingVia pings a member on behalf of another one. It sends this node's full
-// information, as the member may not know which node now has this address.
+// HandlePingVia pings a member on behalf of another one. It uses the full format so that the
+// answer does too: the requester may not know which node now has the address.
 func (m *Members) HandlePingVia(ctx context.Context, r *fleetv1.PingVia) ([]*fleetv1.PeerView, error) {
 	m.HandleViews(r.GetViews())
 	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, directPingTimeout)
