--- a/recovery/collector.go
+++ b/recovery/collector.go
@@ -51,7 +51,7 @@
 // that was closed at closeOffset.
 func (r *Recoverer) newCollector(incarnation string, closeOffset uint64) *collector {
 	c := &collector{
-		recoverer: r, incarnation: incarnation, closeOffset: closeOffset, started: r.c.Clock.Now(), sinceLastBatch: r.c.Watcher.SinceLastBatch(incarnation),
+		recoverer: r, incarnation: incarnation, closeOffset: closeOffset, started: r.config.Clock.Now(), sinceLastBatch: r.config.Watcher.SinceLastBatch(incarnation),
 		unanswered: map[string]string{}, openedLater: map[string]bool{},
 		found: map[string]*fleetv1.OpenRequest{}, outcomes: map[string]outcome{},
 	}
@@ -63,9 +63,9 @@
 // after the close can't have heard from the incarnation itself, but a witness may have
 // copied its store to it and died.
 func (c *collector) addNodes() {
-	for id, i := range c.recoverer.c.Ledger.Incarnations() {
+	for id, i := range c.recoverer.config.Ledger.Incarnations() {
 		// A lender queries itself too: it may be a witness of the borrower.
-		if _, known := c.openedLater[id]; known || id == c.incarnation && id != c.recoverer.c.Incarnation {
+		if _, known := c.openedLater[id]; known || id == c.incarnation && id != c.recoverer.config.Incarnation {
 			continue
 		}
 		c.openedLater[id] = i.Opened >= c.closeOffset
@@ -73,13 +73,13 @@
 	}
 }
 
-func (c *collector) age() time.Duration { return c.recoverer.c.Clock.Since(c.started) }
+func (c *collector) age() time.Duration { return c.recoverer.config.Clock.Since(c.started) }
 
 // allAnswered reports whether all nodes that can answer have done so.
 func (c *collector) allAnswered() bool { return len(c.unanswered) == 0 }
 
 // overdue reports whether the collector stops waiting for missing answers.
-func (c *collector) overdue() bool { return c.age() > c.recoverer.c.LostAfter }
+func (c *collector) overdue() bool { return c.age() > c.recoverer.config.LostAfter }
 
 // queryNodes queries the nodes that haven't answered yet. An answer is final: the
 // incarnation's right to spend has expired, so no request that it reports to a witness
@@ -135,10 +135,10 @@
 }
 
 func (c *collector) queryNode(ctx context.Context, id, address string) ([]*fleetv1.OpenRequest, answerState) {
-	if id == c.recoverer.c.Incarnation {
+	if id == c.recoverer.config.Incarnation {
 		return c.recoverer.Report(c.incarnation), answered
 	}
-	i, known := c.recoverer.c.Ledger.Incarnation(id)
+	i, known := c.recoverer.config.Ledger.Incarnation(id)
 	if !known {
 		// It stopped gracefully or settled its own close, after handing over its store, or
 		// was itself recovered, and was queried before that.
@@ -147,10 +147,10 @@
 	if c.recoverer.hasEnded(i) {
 		return nil, nodeGone
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, c.recoverer.c.Clock, queryTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, c.recoverer.config.Clock, queryTimeout)
 	defer cancel()
-	response, err := c.recoverer.c.Caller.Call(ctx, address, &fleetv1.Request{
-		From: c.recoverer.c.Incarnation, Hlc: uint64(c.recoverer.c.Events.Clock().Now()),
+	response, err := c.recoverer.config.Caller.Call(ctx, address, &fleetv1.Request{
+		From: c.recoverer.config.Incarnation, Hlc: uint64(c.recoverer.config.Events.Clock().Now()),
 		Body: &fleetv1.Request_WitnessQuery{WitnessQuery: &fleetv1.WitnessQuery{Incarnation: c.incarnation, Witness: id}},
 	})
 	switch {
@@ -169,9 +169,9 @@
 	if !c.endedAt.IsZero() {
 		return
 	}
-	i, known := c.recoverer.c.Ledger.Incarnation(c.incarnation)
+	i, known := c.recoverer.config.Ledger.Incarnation(c.incarnation)
 	if known && c.recoverer.hasEnded(i) {
-		c.endedAt = c.recoverer.c.Clock.Now()
+		c.endedAt = c.recoverer.config.Clock.Now()
 	}
 }
 
@@ -186,7 +186,7 @@
 // answered meanwhile, and writes it to the log as soon as it reads the close. If its shares
 // were released before that, its settlements would be void and its answers unbilled.
 func (c *collector) stillAnswers(ctx context.Context) bool {
-	i, known := c.recoverer.c.Ledger.Incarnation(c.incarnation)
+	i, known := c.recoverer.config.Ledger.Incarnation(c.incarnation)
 	if !known || i.Replaced {
 		return false
 	}
@@ -217,7 +217,7 @@
 // a plain service never reports, and while the engine is cut off: the engine will report
 // afterwards, and the worst case would bill more than it produced.
 func (c *collector) currentOutcome(ctx context.Context, open *fleetv1.OpenRequest) outcome {
-	engines := c.recoverer.c.Engines
+	engines := c.recoverer.config.Engines
 	unreachable := engines.ReportsUsage(open.GetUpstream()) && !engines.Reachable(open.GetUpstream())
 	switch {
 	case c.overdue():
@@ -225,7 +225,7 @@
 	case c.mayReturn() || unreachable:
 		return knownOutcome(ctx, engines, open)
 	default:
-		return outcomeOf(ctx, engines, open, c.recoverer.c.Clock.Since(c.endedAt))
+		return outcomeOf(ctx, engines, open, c.recoverer.config.Clock.Since(c.endedAt))
 	}
 }
 
@@ -244,7 +244,7 @@
 		return
 	}
 	c.outcomes[request] = decided
-	c.recoverer.c.Events.Record(event.RequestRecovered, "request", request, "budget", open.GetBudget(),
+	c.recoverer.config.Events.Record(event.RequestRecovered, "request", request, "budget", open.GetBudget(),
 		"tokens", decided.tokens, "reserved", open.GetReserved(), "from", string(decided.from))
 }
 
--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -58,8 +58,8 @@
 // Recoverer settles the requests and releases the shares of closed incarnations. Step must
 // be called by one goroutine.
 type Recoverer struct {
-	c     Config
-	cases map[string]*recoveryCase
+	config Config
+	cases  map[string]*recoveryCase
 	// orphans holds a collector for each borrower that is gone.
 	orphans       map[string]*collector
 	pendingCloses []*recordlog.Ticket
@@ -87,14 +87,14 @@
 // New returns a Recoverer.
 func New(config Config) *Recoverer {
 	return &Recoverer{
-		c: config, cases: map[string]*recoveryCase{}, orphans: map[string]*collector{},
+		config: config, cases: map[string]*recoveryCase{}, orphans: map[string]*collector{},
 		absence: NewAbsenceTracker(config.PeerAddress, config.PlatformAddresses),
 	}
 }
 
 // Run calls Step periodically until ctx is done.
 func (r *Recoverer) Run(ctx context.Context) {
-	periodic.Run(ctx, r.c.Clock, stepInterval, r.Step)
+	periodic.Run(ctx, r.config.Clock, stepInterval, r.Step)
 }
 
 // Step closes silent incarnations and advances all recoveries.
@@ -108,7 +108,7 @@
 
 func (r *Recoverer) updateAbsence() {
 	var addresses []string
-	for _, i := range r.c.Ledger.Incarnations() {
+	for _, i := range r.config.Ledger.Incarnations() {
 		addresses = append(addresses, i.Node.GetPeerAddress())
 	}
 	r.absence.Update(addresses)
@@ -128,28 +128,28 @@
 		ticket.Withdraw()
 	}
 	r.pendingCloses = nil
-	for _, due := range r.c.Watcher.Due() {
-		r.c.Events.Record(event.ClosingSilent, "incarnation", due.GetIncarnation(), "heartbeat", due.GetLastHeartbeat())
-		r.pendingCloses = append(r.pendingCloses, r.c.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
+	for _, due := range r.config.Watcher.Due() {
+		r.config.Events.Record(event.ClosingSilent, "incarnation", due.GetIncarnation(), "heartbeat", due.GetLastHeartbeat())
+		r.pendingCloses = append(r.pendingCloses, r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
 	}
 }
 
 // Report returns the requests billed to an incarnation that this node knows of: those that
 // others reported, and the parts that this node itself borrowed.
 func (r *Recoverer) Report(incarnation string) []*fleetv1.OpenRequest {
-	return append(r.c.Store.Report(incarnation), r.c.Replicator.Report(incarnation)...)
+	return append(r.config.Store.Report(incarnation), r.config.Replicator.Report(incarnation)...)
 }
 
 func (r *Recoverer) recoverClosed(ctx context.Context) {
-	incarnations := r.c.Ledger.Incarnations()
+	incarnations := r.config.Ledger.Incarnations()
 	for id := range r.cases {
 		if _, known := incarnations[id]; !known {
 			delete(r.cases, id)
 		}
 	}
-	delay := rankDelay * time.Duration(rank(r.c.Incarnation, incarnations))
+	delay := rankDelay * time.Duration(rank(r.config.Incarnation, incarnations))
 	for id, i := range incarnations {
-		if !i.Closed || id == r.c.Incarnation {
+		if !i.Closed || id == r.config.Incarnation {
 			continue
 		}
 		rc := r.cases[id]
@@ -179,7 +179,7 @@
 func (r *Recoverer) advance(ctx context.Context, rc *recoveryCase) {
 	if !rc.startRecorded {
 		rc.startRecorded = true
-		r.c.Events.Record(event.RecoveryStarted, "incarnation", rc.incarnation, "to_ask", len(rc.unanswered))
+		r.config.Events.Record(event.RecoveryStarted, "incarnation", rc.incarnation, "to_ask", len(rc.unanswered))
 	}
 	if !rc.queued && !r.collect(ctx, rc) {
 		return
@@ -207,7 +207,7 @@
 	}
 	if waits := (waitReason{why, len(rc.unanswered), len(rc.found)}); waits != rc.lastWait {
 		rc.lastWait = waits
-		r.c.Events.Record(event.RecoveryWaiting, "incarnation", rc.incarnation, "unanswered", waits.unanswered, "found", waits.found, "why", why)
+		r.config.Events.Record(event.RecoveryWaiting, "incarnation", rc.incarnation, "unanswered", waits.unanswered, "found", waits.found, "why", why)
 	}
 	return false
 }
@@ -241,7 +241,7 @@
 		if len(rc.queue) == 0 {
 			return
 		}
-		rc.pending = r.c.Journal.Submit(rc.queue[0])
+		rc.pending = r.config.Journal.Submit(rc.queue[0])
 	}
 }
 
@@ -252,16 +252,16 @@
 	switch {
 	case done == nil || !verdict.OK():
 	case done.GetLost():
-		r.c.Events.Record(event.ShareWrittenOff, "incarnation", rc.incarnation, "tokens", verdict.Tokens)
+		r.config.Events.Record(event.ShareWrittenOff, "incarnation", rc.incarnation, "tokens", verdict.Tokens)
 	default:
-		r.c.Events.Record(event.RecoveryFinished, "incarnation", rc.incarnation, "tokens", verdict.Tokens, "after", rc.age())
+		r.config.Events.Record(event.RecoveryFinished, "incarnation", rc.incarnation, "tokens", verdict.Tokens, "after", rc.age())
 	}
 }
 
 // resolveOrphans settles the parts that this node lent to incarnations that are gone.
 func (r *Recoverer) resolveOrphans(ctx context.Context) {
 	byBorrower := map[string][]budget.LentPart{}
-	for _, part := range r.c.Lender.Orphans() {
+	for _, part := range r.config.Lender.Orphans() {
 		byBorrower[part.Borrower] = append(byBorrower[part.Borrower], part)
 	}
 	for borrower := range r.orphans {
@@ -271,8 +271,8 @@
 	}
 	for borrower, parts := range byBorrower {
 		if r.orphans[borrower] == nil {
-			r.orphans[borrower] = r.newCollector(r.c.Incarnation, math.MaxUint64)
-			r.orphans[borrower].endedAt = r.c.Clock.Now() // the borrower has ended
+			r.orphans[borrower] = r.newCollector(r.config.Incarnation, math.MaxUint64)
+			r.orphans[borrower].endedAt = r.config.Clock.Now() // the borrower has ended
 		}
 		r.resolveLent(ctx, r.orphans[borrower], parts)
 	}
@@ -296,30 +296,30 @@
 		if c.found[part.Request] == nil && (!c.allAnswered() || c.evidenceLost) {
 			tokens = part.Tokens
 		}
-		r.c.Events.Record(event.PartResolved, "part", part.Request, "borrower", part.Borrower, "tokens", tokens)
-		r.c.Lender.Settle(part.ID, tokens)
+		r.config.Events.Record(event.PartResolved, "part", part.Request, "borrower", part.Borrower, "tokens", tokens)
+		r.config.Lender.Settle(part.ID, tokens)
 	}
 }
 
 // queryEngineUsage queries engines about the requests of suspected nodes, long before these
 // are closed: an engine remembers a finished request only for a while.
 func (r *Recoverer) queryEngineUsage(ctx context.Context) {
-	for _, incarnation := range r.c.Store.Incarnations() {
-		if !r.c.Suspect(incarnation) {
+	for _, incarnation := range r.config.Store.Incarnations() {
+		if !r.config.Suspect(incarnation) {
 			continue
 		}
-		for _, open := range r.c.Store.Report(incarnation) {
+		for _, open := range r.config.Store.Report(incarnation) {
 			r.storeEngineUsage(ctx, open)
 		}
 	}
 }
 
 func (r *Recoverer) storeEngineUsage(ctx context.Context, open *fleetv1.OpenRequest) {
-	if open.GetFinished() || !r.c.Engines.ReportsUsage(open.GetUpstream()) {
+	if open.GetFinished() || !r.config.Engines.ReportsUsage(open.GetUpstream()) {
 		return
 	}
-	report, err := r.c.Engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
+	report, err := r.config.Engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
 	if err == nil && report.State == upstream.UsageFinished {
-		r.c.Store.SetEngineUsage(open.GetRequest(), report.Total())
+		r.config.Store.SetEngineUsage(open.GetRequest(), report.Total())
 	}
 }
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -41,28 +41,28 @@
 // The node may be alive behind a partition and settle the same requests; the amounts are its
 // own, and the ledger applies each request once.
 type SilentSettler struct {
-	c SilentSettlerConfig
+	config SilentSettlerConfig
 	// pending holds the last entry submitted for each incarnation, until its verdict is known.
 	pending map[string]*recordlog.Ticket
 }
 
 // NewSilentSettler returns a SilentSettler; Run does the settling.
 func NewSilentSettler(config SilentSettlerConfig) *SilentSettler {
-	return &SilentSettler{c: config, pending: map[string]*recordlog.Ticket{}}
+	return &SilentSettler{config: config, pending: map[string]*recordlog.Ticket{}}
 }
 
 // Run settles for silent nodes until ctx is done.
 func (s *SilentSettler) Run(ctx context.Context) {
-	periodic.Run(ctx, s.c.Clock, settleInterval, func(context.Context) { s.step() })
+	periodic.Run(ctx, s.config.Clock, settleInterval, func(context.Context) { s.step() })
 }
 
 func (s *SilentSettler) step() {
-	incarnations := s.c.Store.Incarnations()
+	incarnations := s.config.Store.Incarnations()
 	maps.DeleteFunc(s.pending, func(incarnation string, _ *recordlog.Ticket) bool {
 		return !slices.Contains(incarnations, incarnation)
 	})
 	for _, incarnation := range incarnations {
-		if s.c.Suspect(incarnation) && s.c.Ledger.Known(incarnation) && !s.hasPending(incarnation) && s.c.MayWrite() {
+		if s.config.Suspect(incarnation) && s.config.Ledger.Known(incarnation) && !s.hasPending(incarnation) && s.config.MayWrite() {
 			s.settle(incarnation)
 		}
 	}
@@ -87,7 +87,7 @@
 // settle submits one entry; settlements that don't fit follow once its verdict is known.
 func (s *SilentSettler) settle(incarnation string) {
 	var settlements []*recordv1.Settlement
-	for _, open := range s.c.Store.Finished(incarnation) {
+	for _, open := range s.config.Store.Finished(incarnation) {
 		if billed := budget.BilledTo(open, open.GetUsed()); billed > 0 {
 			settlements = append(settlements, &recordv1.Settlement{Request: open.GetRequest(), Budget: open.GetBudget(), Tokens: billed})
 		}
@@ -96,10 +96,10 @@
 		return
 	}
 	first := settlementEntries(incarnation, settlements)[0]
-	s.pending[incarnation] = s.c.Journal.Submit(first)
+	s.pending[incarnation] = s.config.Journal.Submit(first)
 	tokens := uint64(0)
 	for _, settled := range first.GetSettlements().GetSettlements() {
 		tokens += settled.GetTokens()
 	}
-	s.c.Events.Record(event.SettledForSilent, "incarnation", incarnation, "requests", len(first.GetSettlements().GetSettlements()), "tokens", tokens)
+	s.config.Events.Record(event.SettledForSilent, "incarnation", incarnation, "requests", len(first.GetSettlements().GetSettlements()), "tokens", tokens)
 }
--- a/witness/copier.go
+++ b/witness/copier.go
@@ -27,7 +27,7 @@
 // copy fewer of its last requests, and after the last one they would not be billed to
 // anybody.
 type Copier struct {
-	c      CopierConfig
+	config CopierConfig
 	copies map[string]copyState
 }
 
@@ -40,18 +40,18 @@
 
 // NewCopier returns a Copier; Run does the copying.
 func NewCopier(config CopierConfig) *Copier {
-	return &Copier{c: config, copies: map[string]copyState{}}
+	return &Copier{config: config, copies: map[string]copyState{}}
 }
 
 // Run copies requests of silent nodes until ctx is done.
 func (c *Copier) Run(ctx context.Context) {
-	periodic.Run(ctx, c.c.Clock, retryInterval, c.step)
+	periodic.Run(ctx, c.config.Clock, retryInterval, c.step)
 }
 
 func (c *Copier) step(ctx context.Context) {
 	silent := map[string]bool{}
-	for _, incarnation := range c.c.Store.Incarnations() {
-		if c.c.Suspect(incarnation) {
+	for _, incarnation := range c.config.Store.Incarnations() {
+		if c.config.Suspect(incarnation) {
 			silent[incarnation] = true
 			c.copy(ctx, incarnation)
 		}
@@ -66,17 +66,17 @@
 // copy sends an incarnation's requests to a candidate unless the node that has the last copy
 // still answers and nothing changed. A failed send is retried at the next step.
 func (c *Copier) copy(ctx context.Context, incarnation string) {
-	candidates := c.c.Candidates()
+	candidates := c.config.Candidates()
 	if len(candidates) == 0 {
 		return
 	}
 	last := c.copies[incarnation]
-	requests := c.c.Store.Report(incarnation)
+	requests := c.config.Store.Report(incarnation)
 	next := copyState{to: candidates[0], total: len(requests), finished: countFinished(requests)}
 	if slices.Contains(candidates, last.to) {
 		next.to = last.to
 	}
-	if next == last || c.c.Send(ctx, next.to, requests) != nil {
+	if next == last || c.config.Send(ctx, next.to, requests) != nil {
 		return
 	}
 	c.copies[incarnation] = next
--- a/witness/queue.go
+++ b/witness/queue.go
@@ -84,7 +84,7 @@
 
 // run flushes pending updates until ctx is done.
 func (q *witnessQueue) run(ctx context.Context) {
-	clock := q.replicator.c.Clock
+	clock := q.replicator.config.Clock
 	ticker := clock.NewTicker(retryInterval)
 	defer ticker.Stop()
 	for {
@@ -119,7 +119,7 @@
 			break
 		}
 	}
-	q.setFailing(err != nil && !q.replicator.c.OnlyNode())
+	q.setFailing(err != nil && !q.replicator.config.OnlyNode())
 	for _, done := range waiters {
 		done <- err
 	}
@@ -196,16 +196,16 @@
 		q.replicator.mu.Lock()
 		q.witness = to
 		q.replicator.mu.Unlock()
-		q.replicator.c.Events.Record(event.WitnessChanged, "witness", to.Incarnation)
+		q.replicator.config.Events.Record(event.WitnessChanged, "witness", to.Incarnation)
 	}
 	return nil
 }
 
 func (r *Replicator) exchange(ctx context.Context, to Candidate, message *fleetv1.Witness) error {
-	ctx, cancel := clockwork.WithTimeout(ctx, r.c.Clock, exchangeTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, r.config.Clock, exchangeTimeout)
 	defer cancel()
-	response, err := r.c.Caller.Call(ctx, to.Address, &fleetv1.Request{
-		From: r.c.Incarnation, Hlc: uint64(r.c.Events.Clock().Now()), Body: &fleetv1.Request_Witness{Witness: message},
+	response, err := r.config.Caller.Call(ctx, to.Address, &fleetv1.Request{
+		From: r.config.Incarnation, Hlc: uint64(r.config.Events.Clock().Now()), Body: &fleetv1.Request_Witness{Witness: message},
 	})
 	if err != nil {
 		return err
--- a/witness/replicator.go
+++ b/witness/replicator.go
@@ -50,7 +50,7 @@
 // died together with its only witness, requests that neither had settled in the log would
 // not be billed to anybody. It implements budget.Witness and is safe for concurrent use.
 type Replicator struct {
-	c Config
+	config Config
 
 	mu sync.Mutex
 	// entries holds the requests not known to be settled in the log, by request ID.
@@ -62,7 +62,7 @@
 
 // NewReplicator returns a Replicator; Run must be running for Tell to succeed.
 func NewReplicator(config Config) *Replicator {
-	r := &Replicator{c: config, entries: map[string]*fleetv1.OpenRequest{}}
+	r := &Replicator{config: config, entries: map[string]*fleetv1.OpenRequest{}}
 	r.first = newWitnessQueue(r, config.Candidates, 0)
 	r.second = newWitnessQueue(r, r.secondCandidates, secondBatchDelay)
 	return r
@@ -73,7 +73,7 @@
 func (r *Replicator) secondCandidates() []Candidate {
 	first := r.first.current()
 	var otherDataCentres, sameDataCentre []Candidate
-	for _, candidate := range r.c.Candidates() {
+	for _, candidate := range r.config.Candidates() {
 		switch {
 		case candidate == first:
 		case candidate.DataCentre == first.DataCentre:
@@ -90,16 +90,16 @@
 // tokens for hours, and the fleet would never learn of it if the node died.
 func (r *Replicator) Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error {
 	done := r.enqueue(open)
-	if r.c.OnlyNode() {
+	if r.config.OnlyNode() {
 		return nil
 	}
 	if err := r.awaitFirst(ctx, done); err == nil {
 		return nil
 	}
-	if r.c.Required || !r.c.LogReachable() {
+	if r.config.Required || !r.config.LogReachable() {
 		return result.New(result.NoWitness, "no other node could be told of the request").After(retryInterval)
 	}
-	r.c.Events.Record(event.Unwitnessed, "request", open[0].GetRequest())
+	r.config.Events.Record(event.Unwitnessed, "request", open[0].GetRequest())
 	return nil
 }
 
@@ -122,7 +122,7 @@
 }
 
 func (r *Replicator) awaitFirst(ctx context.Context, done <-chan error) error {
-	ctx, cancel := clockwork.WithTimeout(ctx, r.c.Clock, waitTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, r.config.Clock, waitTimeout)
 	defer cancel()
 	select {
 	case err := <-done:
@@ -221,7 +221,7 @@
 		return nil
 	}
 	err := error(result.New(result.NoWitness, "no other node answers"))
-	for _, candidate := range r.c.Candidates() {
+	for _, candidate := range r.config.Candidates() {
 		if err = r.SendRequests(ctx, candidate, requests); err == nil {
 			return nil
 		}
