--- a/allotment/duty.go
+++ b/allotment/duty.go
@@ -39,16 +39,16 @@
 
 // Fleet is what the duty asks about the nodes and the configuration.
 type Fleet interface {
-	// Mine tells whether this node is the one to plan now.
-	Mine() bool
+	// IsPlanner tells whether this node is the one to plan now.
+	IsPlanner() bool
 	// IsLive tells whether an incarnation was heard of within the last seconds.
 	IsLive(node, incarnation string) bool
 	// Prepaid returns every limited account's total, or false before any is known.
 	Prepaid() (map[string]int64, bool)
 }
 
-// Duty plans shares while it falls to this node.
-type Duty struct {
+// Planner plans shares while it falls to this node.
+type Planner struct {
 	topics   Topics
 	fleet    Fleet
 	settings prepaid.Settings
@@ -57,15 +57,15 @@
 	tried uint64
 }
 
-// NewDuty returns a duty that hasn't begun.
-func NewDuty(topics Topics, fleet Fleet, settings prepaid.Settings, events *event.Recorder) *Duty {
-	return &Duty{topics: topics, fleet: fleet, settings: settings, events: events}
+// NewPlanner returns a duty that hasn't begun.
+func NewPlanner(topics Topics, fleet Fleet, settings prepaid.Settings, events *event.Recorder) *Planner {
+	return &Planner{topics: topics, fleet: fleet, settings: settings, events: events}
 }
 
 // Run takes the duty up whenever it falls to this node, until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (d *Planner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if d.fleet.Mine() {
+		if d.fleet.IsPlanner() {
 			if err := d.serve(ctx); err != nil && ctx.Err() == nil {
 				d.events.Record(event.LeaseLost, "lease", producer, "reason", err)
 				periodic.Pause(ctx, roundEvery)
@@ -76,13 +76,13 @@
 }
 
 // serve plans rounds until the duty falls to another node or the store fails.
-func (d *Duty) serve(ctx context.Context) error {
+func (d *Planner) serve(ctx context.Context) error {
 	t, err := d.begin(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	d.events.Record(event.LeaseTaken, "lease", producer, "epoch", t.epoch)
-	for rounds := 0; ctx.Err() == nil && d.fleet.Mine(); rounds++ {
+	for rounds := 0; ctx.Err() == nil && d.fleet.IsPlanner(); rounds++ {
 		if err := t.round(ctx); err != nil {
 			return errors.Trace(err)
 		}
@@ -97,7 +97,7 @@
 
 // begin fences off the planner before and reads what it left. Read in the other order,
 // a write between the reading and the fence would be lost, and its grants forgotten.
-func (d *Duty) begin(ctx context.Context) (*term, error) {
+func (d *Planner) begin(ctx context.Context) (*term, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*callTimeout)
 	defer cancel()
 	before, err := d.readLedger(ctx)
@@ -117,7 +117,7 @@
 	return t, nil
 }
 
-func (d *Duty) readLedger(ctx context.Context) (*prepaid.Ledger, error) {
+func (d *Planner) readLedger(ctx context.Context) (*prepaid.Ledger, error) {
 	records, _, err := keyedlog.ReadNewest(ctx, d.topics.Ledger)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -146,7 +146,7 @@
 // planner may have fenced and died before it wrote a ledger: the store then holds a higher
 // epoch than the ledger tells. Counting on from the ledger alone, every later planner was
 // refused for the rest of the day, and nobody was granted anything.
-func (d *Duty) firstEpoch(before *prepaid.Ledger) uint64 {
+func (d *Planner) firstEpoch(before *prepaid.Ledger) uint64 {
 	if before != nil {
 		d.tried = max(d.tried, before.Epoch>>(roundBits+randomBits))
 	}
--- a/allotment/duty_test.go
+++ b/allotment/duty_test.go
@@ -24,7 +24,7 @@
 	totals map[string]int64
 }
 
-func (f *oneFleet) Mine() bool                        { return f.mine }
+func (f *oneFleet) IsPlanner() bool                   { return f.mine }
 func (f *oneFleet) IsLive(string, string) bool        { return true }
 func (f *oneFleet) Prepaid() (map[string]int64, bool) { return f.totals, f.totals != nil }
 
@@ -36,8 +36,8 @@
 	return Topics{Spend: memtopic.New(), Ledger: memtopic.New(), Grants: memtopic.New()}
 }
 
-func newDutyOver(topics Topics) *Duty {
-	return NewDuty(topics, &oneFleet{mine: true, totals: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
+func newDutyOver(topics Topics) *Planner {
+	return NewPlanner(topics, &oneFleet{mine: true, totals: map[string]int64{"a": 1_000_000}}, prepaid.DefaultSettings(), recorder())
 }
 
 // node is a share with its reporter and grants.
@@ -48,11 +48,11 @@
 }
 
 func newNode(topics Topics, clock *bootclock.Fake, name, incarnation string) *node {
-	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, TimeOfDay: clock.TimeOfDay()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
+	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
 	events := recorder()
 	return &node{share: share,
 		reporter: NewReporter(share, topics.Spend, name, incarnation, nil, events),
-		grants:   keyedlog.NewFollower(topics.Grants, NewGrants(share, name, events), keyedlog.Options{Slack: time.Second})}
+		grants:   keyedlog.NewFollower(topics.Grants, NewGrantHandler(share, name, events), keyedlog.Options{Slack: time.Second})}
 }
 
 // Reports go up, a round is planned, grants come down.
@@ -66,14 +66,14 @@
 	is.NoErr(term.round(ctx))
 	is.NoErr(n.grants.Step(ctx))
 	is.NoErr(n.reporter.Report(ctx))
-	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.ReportFirst)
+	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.ReportRequired)
 	is.NoErr(n.reporter.Report(ctx))
 	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.Reserved)
 }
 
 // A planner is paused, another takes over and moves shares, then the first one wakes. Its
 // next write must fail, or two nodes would be granted the same tokens.
-func TestOvertakenPlannerCantWrite(t *testing.T) {
+func TestSupersededPlannerCannotWrite(t *testing.T) {
 	is := is.New(t)
 	ctx, topics, clock := context.Background(), newTopics(), &bootclock.Fake{}
 	n := newNode(topics, clock, "n1", "i1")
@@ -91,7 +91,7 @@
 
 // A planner's ledger is written and the answer lost, so it gives up. The next planner must
 // count what the lost write granted, though no grant of it may have been seen.
-func TestLostLedgerAnswerIsCounted(t *testing.T) {
+func TestLedgerWithLostAcknowledgementIsCounted(t *testing.T) {
 	is := is.New(t)
 	ctx, topics, clock := context.Background(), newTopics(), &bootclock.Fake{}
 	for _, name := range []string{"n1", "n2", "n3"} {
@@ -116,7 +116,7 @@
 // Several nodes fence in turn and die before any of them writes a ledger, as when a whole
 // fleet is killed twice. The next planner must get through after a few tries, or nobody is
 // granted anything for the rest of the day and callers are refused though tokens are left.
-func TestPlannersThatDiedEarlyDontLockTheLedger(t *testing.T) {
+func TestCrashedPlannersDontBlockTheLedger(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	const deaths = 6
@@ -140,7 +140,7 @@
 
 // The ledger in the store is torn. Granting from nothing could grant the same tokens
 // twice, so nothing is granted and the log says why.
-func TestTornLedgerGrantsNothing(t *testing.T) {
+func TestCorruptLedgerGrantsNothing(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	is.NoErr(topics.Ledger.Append(ctx, keyedlog.Fence{}, keyedlog.Record{Key: ledgerKey, Value: []byte("torn")}))
@@ -150,15 +150,15 @@
 
 // A report of the node's earlier incarnation is torn. The node must start all the same,
 // and what that incarnation held counts as used.
-func TestTornReportOfAnEarlierIncarnation(t *testing.T) {
+func TestCorruptReportOfPredecessor(t *testing.T) {
 	is := is.New(t)
 	ctx, topics := context.Background(), newTopics()
 	is.NoErr(topics.Spend.Append(ctx, keyedlog.Fence{}, keyedlog.Record{Key: reportKey("n1", "old"), Value: []byte("torn")}))
-	earlier, err := ReadEarlier(ctx, topics.Spend, "n1", prepaid.Start{BootID: "boot"}, clockwork.NewFakeClock())
+	earlier, err := ReadPredecessors(ctx, topics.Spend, "n1", prepaid.ProcessStart{BootID: "boot"}, clockwork.NewFakeClock())
 	is.NoErr(err)
-	is.Equal(len(earlier.Closings), 1)
-	is.Equal(earlier.Closings[0].Incarnation, "old")
-	is.True(!earlier.Closings[0].Known)
+	is.Equal(len(earlier.FinalUsages), 1)
+	is.Equal(earlier.FinalUsages[0].Incarnation, "old")
+	is.True(!earlier.FinalUsages[0].Bounded)
 }
 
 // FuzzDecode checks that no bytes in the store's topics end a node.
@@ -179,7 +179,7 @@
 
 // The store is far, and many callers wait for limits that cover their prompts. Each report
 // after the other would make the last of them late; those that wait together share one.
-func TestCallersThatWaitTogetherShareAReport(t *testing.T) {
+func TestConcurrentCallersShareReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topics := newTopics()
--- a/allotment/grants.go
+++ b/allotment/grants.go
@@ -9,52 +9,52 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// Grants applies a node's grants to its share.
-type Grants struct {
+// GrantHandler applies a node's grants to its share.
+type GrantHandler struct {
 	share  *prepaid.Share
 	node   string
 	events *event.Recorder
 
 	mu sync.Mutex
 	// holdings holds what every node was last granted, by account and node.
-	holdings map[string]map[string]Holding
+	holdings map[string]map[string]Allocation
 }
 
-// NewGrants returns the handler of a node's grants.
-func NewGrants(share *prepaid.Share, node string, events *event.Recorder) *Grants {
-	return &Grants{share: share, node: node, events: events, holdings: make(map[string]map[string]Holding)}
+// NewGrantHandler returns the handler of a node's grants.
+func NewGrantHandler(share *prepaid.Share, node string, events *event.Recorder) *GrantHandler {
+	return &GrantHandler{share: share, node: node, events: events, holdings: make(map[string]map[string]Allocation)}
 }
 
-// Holding is what a node was last granted of an account, in tokens.
-type Holding struct {
+// Allocation is what a node was last granted of an account, in tokens.
+type Allocation struct {
 	Ceiling int64
-	// Room is what the node hadn't used of it then.
-	Room int64
+	// Unused is what the node hadn't used of it then.
+	Unused int64
 }
 
-// Holdings returns what each node was last granted of an account.
-func (g *Grants) Holdings(account string) map[string]Holding {
+// Allocations returns what each node was last granted of an account.
+func (g *GrantHandler) Allocations(account string) map[string]Allocation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return maps.Clone(g.holdings[account])
 }
 
-func (g *Grants) remember(grant prepaid.Grant) {
+func (g *GrantHandler) remember(grant prepaid.Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range grant.Lines {
 		if g.holdings[l.Account] == nil {
-			g.holdings[l.Account] = make(map[string]Holding)
+			g.holdings[l.Account] = make(map[string]Allocation)
 		}
-		g.holdings[l.Account][grant.Node] = Holding{Ceiling: l.Ceiling, Room: l.Room}
+		g.holdings[l.Account][grant.Node] = Allocation{Ceiling: l.Ceiling, Unused: l.Unused}
 	}
 }
 
 // Reset takes the newest grants.
-func (g *Grants) Reset(records []keyedlog.Record) { g.Apply(records) }
+func (g *GrantHandler) Reset(records []keyedlog.Record) { g.Apply(records) }
 
 // Apply takes grants in order.
-func (g *Grants) Apply(records []keyedlog.Record) {
+func (g *GrantHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
 			continue
@@ -66,7 +66,7 @@
 		}
 		g.remember(grant)
 		for _, l := range grant.Lines {
-			g.share.NoteLeft(l.Account, l.Left, l.Prepaid)
+			g.share.SetRemaining(l.Account, l.Remaining, l.Prepaid)
 		}
 		if r.Key == g.node && g.share.Apply(grant) {
 			g.events.Record(event.ShareGranted, "epoch", grant.Epoch, "accounts", len(grant.Lines))
@@ -75,7 +75,7 @@
 }
 
 // Lost does nothing: reports over the same store log its loss.
-func (g *Grants) Lost(error) {}
+func (g *GrantHandler) Lost(error) {}
 
 // Caught does nothing.
-func (g *Grants) Caught(keyedlog.Reading) {}
+func (g *GrantHandler) Caught(keyedlog.Reading) {}
--- a/allotment/predecessors.go
+++ b/allotment/predecessors.go
@@ -11,20 +11,20 @@
 	"lavenderpin.dev/lavenderpin/prepaid"
 )
 
-// Earlier is what a node's earlier incarnations left in the store.
-type Earlier struct {
-	Closings []prepaid.Closing
-	Keys     []string
+// PredecessorRecords is what a node's earlier incarnations left in the store.
+type PredecessorRecords struct {
+	FinalUsages []prepaid.FinalUsage
+	ReportKeys  []string
 }
 
-// ReadEarlier reads what earlier incarnations of a node reported last. start is read when
+// ReadPredecessors reads what earlier incarnations of a node reported last. start is read when
 // the process begins, now tells the time of day once the reports are read.
-func ReadEarlier(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.Start, now prepaid.TimeOfDay) (Earlier, error) {
+func ReadPredecessors(ctx context.Context, spend keyedlog.Topic, node string, start prepaid.ProcessStart, now prepaid.WallClock) (PredecessorRecords, error) {
 	records, _, err := keyedlog.ReadNewest(ctx, spend)
 	if err != nil {
-		return Earlier{}, errors.Trace(err)
+		return PredecessorRecords{}, errors.Trace(err)
 	}
-	var earlier Earlier
+	var earlier PredecessorRecords
 	var last []prepaid.Report
 	timeOfDay := time.Duration(now.Now().UnixNano())
 	for _, r := range records {
@@ -32,18 +32,18 @@
 			continue
 		}
 		report, err := DecodeReport(r.Value)
-		start.Behind = start.Behind || err == nil && prepaid.IsBehind(timeOfDay, &report)
+		start.ClockBehind = start.ClockBehind || err == nil && prepaid.ClockIsBehind(timeOfDay, &report)
 		if !strings.HasPrefix(r.Key, node+"/") {
 			continue
 		}
-		earlier.Keys = append(earlier.Keys, r.Key)
+		earlier.ReportKeys = append(earlier.ReportKeys, r.Key)
 		if err != nil {
 			// Nothing bounds its use but its ceilings.
-			earlier.Closings = append(earlier.Closings, prepaid.Closing{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
+			earlier.FinalUsages = append(earlier.FinalUsages, prepaid.FinalUsage{Incarnation: strings.TrimPrefix(r.Key, node+"/")})
 			continue
 		}
 		last = append(last, report)
 	}
-	earlier.Closings = append(earlier.Closings, prepaid.Predecessors(last, start)...)
+	earlier.FinalUsages = append(earlier.FinalUsages, prepaid.FinalUsages(last, start)...)
 	return earlier, nil
 }
--- a/allotment/reporter.go
+++ b/allotment/reporter.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// ReportEvery is the interval of reports. Drawn limits run ahead by several of it.
-	ReportEvery = 500 * time.Millisecond
+	// ReportInterval is the interval of reports. Drawn limits run ahead by several of it.
+	ReportInterval = 500 * time.Millisecond
 	// idleReports is how many intervals a node that holds nothing lets pass for a report,
 	// calmReports one that holds tokens which nobody uses now: a report would only repeat
 	// the last one, and at a hundred nodes most are so.
@@ -55,7 +55,7 @@
 
 // Run reports at intervals until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(ReportEvery)
+	ticker := time.NewTicker(ReportInterval)
 	defer ticker.Stop()
 	idle := 0
 	for {
@@ -74,9 +74,9 @@
 // interval is how many ticks may pass between two reports now.
 func (r *Reporter) interval() int {
 	switch {
-	case !r.share.Holding():
+	case !r.share.Reportable():
 		return idleReports
-	case r.share.Calm():
+	case r.share.Unchanged():
 		return calmReports
 	default:
 		return 1
--- a/allotment/term.go
+++ b/allotment/term.go
@@ -15,7 +15,7 @@
 
 // term is one node's time as the planner.
 type term struct {
-	duty      *Duty
+	duty      *Planner
 	epoch     uint64
 	allocator *prepaid.Allocator
 	follower  *keyedlog.Follower
@@ -45,8 +45,8 @@
 	if err := t.writeLedger(ctx, plan.Ledger); err != nil {
 		return errors.Trace(err)
 	}
-	for _, e := range plan.Ended {
-		t.duty.events.Record(event.IncarnationClosed, "member", e.Node, "incarnation", e.Incarnation, "known", e.Known, "reported", e.Reported, "counted", e.Counted, "returned", e.Returned)
+	for _, e := range plan.Closed {
+		t.duty.events.Record(event.IncarnationClosed, "member", e.Node, "incarnation", e.Incarnation, "known", e.Bounded, "reported", e.Reported, "counted", e.Counted, "returned", e.Returned)
 	}
 	return t.writeGrants(ctx, plan.Grants)
 }
@@ -64,7 +64,7 @@
 // Nodes' records are read more rarely than reports: after a power loss the roster holds the
 // earlier incarnations for some tenths of a second more, in which nothing would be granted.
 func (t *term) isLive(r *prepaid.Report) bool {
-	return t.duty.fleet.IsLive(r.Node, r.Incarnation) || slices.ContainsFunc(r.Predecessors, func(c prepaid.Closing) bool {
+	return t.duty.fleet.IsLive(r.Node, r.Incarnation) || slices.ContainsFunc(r.Predecessors, func(c prepaid.FinalUsage) bool {
 		return t.duty.fleet.IsLive(r.Node, c.Incarnation)
 	})
 }
--- a/cmd/lavenderedge/run.go
+++ b/cmd/lavenderedge/run.go
@@ -94,7 +94,7 @@
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	incarnation := newIncarnation()
-	start := prepaid.Start{Reading: p.clocks().Read(), BootID: bootID()}
+	start := prepaid.ProcessStart{ClockReading: p.clocks().Read(), BootID: bootID()}
 	p.events.Record(event.NodeStarting, "incarnation", incarnation, "data_centre", p.settings.DataCentre, "memory_mb", p.settings.Limits.MemoryMB, "cores", p.settings.Limits.Cores, "link_mbps", p.settings.Limits.LinkMbps, "boot_clock", start.Boot, "boot", start.BootID)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -123,7 +123,7 @@
 }
 
 func (p *process) clocks() prepaid.Clocks {
-	return prepaid.Clocks{Boot: p.clock, TimeOfDay: clockwork.NewRealClock()}
+	return prepaid.Clocks{Boot: p.clock, Wall: clockwork.NewRealClock()}
 }
 
 func newIncarnation() string {
@@ -142,7 +142,7 @@
 }
 
 // begin starts the node and its listeners.
-func (p *process) begin(ctx context.Context, incarnation string, start prepaid.Start) error {
+func (p *process) begin(ctx context.Context, incarnation string, start prepaid.ProcessStart) error {
 	store := platform.NewStore(p.settings.Store.Address, p.clock)
 	calls := expvar.NewMap("store_calls")
 	store.OnCall = func(call string, status int) { calls.Add(fmt.Sprintf("%s_%d", call, status), 1) }
@@ -154,7 +154,7 @@
 		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacity(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
 		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RepeatRatio, Extra: p.settings.Bounds.RepeatExtra, Window: p.settings.Bounds.RepeatWindow},
 	}, edgenode.Deps{
-		Clock: p.clock, TimeOfDay: p.clocks().TimeOfDay, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{Wire: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
+		Clock: p.clock, TimeOfDay: p.clocks().Wall, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{Wire: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
 		Topics: edgenode.Topics{Operators: store.Operators(), Upstreams: store.Upstreams(), Presence: store.Topic("presence"),
 			Spend: store.Topic("spend"), Ledger: store.Topic("ledger"), Grants: store.Topic("grants")},
 		DecodeConfig: platform.DecodeConfig, DecodeUpstream: platform.DecodeUpstream,
--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -137,7 +137,7 @@
 	}
 	b.put(b.topics.Presence, node, string(record))
 	now := time.Now().UnixMilli()
-	report, err := json.Marshal(prepaid.Report{Node: node, Incarnation: "lost", Region: s.region, Capacity: s.capacity, SentTimeMs: now, FromMs: now, FromTimeMs: now, OpensAfterMs: 10_000, BootID: "earlier"})
+	report, err := json.Marshal(prepaid.Report{Node: node, Incarnation: "lost", Region: s.region, Capacity: s.capacity, SentTimeMs: now, StartBootMs: now, StartTimeMs: now, LimitTTLMs: 10_000, BootID: "earlier"})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 // noLender reaches no other node.
 type noLender struct{}
 
-func (noLender) Call(context.Context, string, lending.Ask) (lending.Reply, error) {
+func (noLender) Call(context.Context, string, lending.Request) (lending.Reply, error) {
 	return lending.Reply{}, context.DeadlineExceeded
 }
 
@@ -198,11 +198,11 @@
 type configDecoder func(key string, raw []byte) (*catalog.View, bool, error)
 
 func (b *bubble) startAt(s site, name string, decode configDecoder) *Node {
-	clocks := prepaid.Clocks{Boot: bubbleClock{}, TimeOfDay: clockwork.NewRealClock()}
-	n, err := Start(context.Background(), Settings{Node: name, Incarnation: "new-" + name, Start: prepaid.Start{Reading: clocks.Read(), BootID: "boot-" + name},
+	clocks := prepaid.Clocks{Boot: bubbleClock{}, Wall: clockwork.NewRealClock()}
+	n, err := Start(context.Background(), Settings{Node: name, Incarnation: "new-" + name, Start: prepaid.ProcessStart{ClockReading: clocks.Read(), BootID: "boot-" + name},
 		Address: name, Peer: name, Capacity: s.capacity, DataCentre: s.dataCentre, Region: s.region, Regions: map[string]string{s.dataCentre: s.region},
 		Repeats: repeats.Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}},
-		Deps{Clock: bubbleClock{}, TimeOfDay: clocks.TimeOfDay, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
+		Deps{Clock: bubbleClock{}, TimeOfDay: clocks.Wall, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
 			Events:  event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), name, 64, log.NewNopLogger()),
 			Metrics: gateway.NewMetrics(false), DecodeConfig: decode, DecodeUpstream: decodeEntry})
 	if err != nil {
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -18,7 +18,7 @@
 	Node        string
 	Incarnation string
 	// Start is what the process read of the clocks when it began.
-	Start   prepaid.Start
+	Start   prepaid.ProcessStart
 	Address string
 	// Peer is where other nodes connect.
 	Peer string
@@ -43,11 +43,11 @@
 type Deps struct {
 	Clock bootclock.Clock
 	// TimeOfDay is the instance's time of day.
-	TimeOfDay prepaid.TimeOfDay
+	TimeOfDay prepaid.WallClock
 	Topics    Topics
 	Upstreams gateway.Upstreams
 	// Lending carries asks to other nodes.
-	Lending lending.Caller
+	Lending lending.Transport
 	// Peers carries asks for records to nodes of the data centre; nil lets the node read
 	// everything from the store.
 	Peers   peerfetch.Caller
--- a/edgenode/fleet.go
+++ b/edgenode/fleet.go
@@ -8,13 +8,13 @@
 // fleet is what planning shares asks of the node.
 type fleet Node
 
-// Mine tells whether this node is the senior one of those that are active.
+// IsPlanner tells whether this node is the senior one of those that are active.
 //
 // What the node is counts by its own word, not by its record in the store. After a fault
 // that all nodes come back from at once the roster holds their earlier incarnations; a node
 // that waited to read its own record back planned nothing for a second, and all prompts were
 // refused meanwhile.
-func (f *fleet) Mine() bool {
+func (f *fleet) IsPlanner() bool {
 	if f.leaving.Load() || !f.roster.Read() {
 		return false
 	}
--- a/edgenode/loans.go
+++ b/edgenode/loans.go
@@ -13,14 +13,14 @@
 // lenders returns the nodes that hold some of an account. While the store is out of
 // reach these are the ones known before.
 func (n *Node) lenders(account string) []lending.Peer {
-	holdings := n.grants.Holdings(account)
+	holdings := n.grants.Allocations(account)
 	var peers []lending.Peer
 	for _, r := range n.roster.Live() {
 		holding := holdings[r.Node]
 		if r.Node == n.settings.Node || r.Peer == "" || holding.Ceiling == 0 {
 			continue
 		}
-		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, Near: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Room: holding.Room})
+		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Unused: holding.Unused})
 	}
 	return peers
 }
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -34,7 +34,7 @@
 	// reporter is nil until it is known what earlier incarnations left.
 	reporter  atomic.Pointer[allotment.Reporter]
 	gateway   *gateway.Gateway
-	grants    *allotment.Grants
+	grants    *allotment.GrantHandler
 	lender    *lending.Lender
 	announcer *announcer
 
@@ -75,11 +75,11 @@
 	nodes := presencePace
 	nodes.Extra = n.presenceExtra
 	n.follow(loops, deps.Topics.Presence, &presenceHandler{node: n, readings: n.logReadings("presence")}, nodes)
-	clocks := prepaid.Clocks{Boot: deps.Clock, TimeOfDay: deps.TimeOfDay}
+	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.TimeOfDay}
 	holder := prepaid.Holder{Node: settings.Node, Region: settings.Region, Capacity: settings.Capacity, Incarnation: settings.Incarnation, BootID: settings.Start.BootID}
 	n.share = prepaid.NewShare(prepaid.DefaultSettings(), clocks, holder)
 	n.announcer = &announcer{node: n}
-	n.grants = allotment.NewGrants(n.share, settings.Node, deps.Events)
+	n.grants = allotment.NewGrantHandler(n.share, settings.Node, deps.Events)
 	n.lender = lending.NewLender(n.share, deps.Clock, n.report)
 	n.gateway = gateway.New(gateway.DefaultSettings(), gateway.Deps{
 		Clock: deps.Clock, Catalog: n.catalog, Directory: n.directory,
@@ -96,7 +96,7 @@
 	n.run(loops, n.reportOn)
 	n.run(loops, n.announcer.run)
 	topics := allotment.Topics{Spend: deps.Topics.Spend, Ledger: deps.Topics.Ledger, Grants: deps.Topics.Grants}
-	n.run(loops, allotment.NewDuty(topics, (*fleet)(n), prepaid.DefaultSettings(), deps.Events).Run)
+	n.run(loops, allotment.NewPlanner(topics, (*fleet)(n), prepaid.DefaultSettings(), deps.Events).Run)
 	return n, nil
 }
 
--- a/edgenode/pace.go
+++ b/edgenode/pace.go
@@ -60,7 +60,7 @@
 // grantExtra is what lengthens the pause between readings of the grants.
 func (n *Node) grantExtra() time.Duration {
 	starting := !n.share.Granted() && n.deps.Clock.Now()-n.begun < grantPatience
-	if starting || n.share.ShortWithin(shortFor) {
+	if starting || n.share.ShortfallWithin(shortFor) {
 		return 0
 	}
 	return max(n.quietExtra(), min(mostGrants, time.Duration(len(n.roster.Live()))*grantPerNode))
--- a/edgenode/reports.go
+++ b/edgenode/reports.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		return // the node has ended
 	}
-	n.share.Succeed(earlier.Closings)
-	reporter := allotment.NewReporter(n.share, n.deps.Topics.Spend, n.settings.Node, n.settings.Incarnation, earlier.Keys, n.deps.Events)
+	n.share.SetPredecessors(earlier.FinalUsages)
+	reporter := allotment.NewReporter(n.share, n.deps.Topics.Spend, n.settings.Node, n.settings.Incarnation, earlier.ReportKeys, n.deps.Events)
 	n.reporter.Store(reporter)
 	reporter.Run(ctx)
 }
@@ -45,10 +45,10 @@
 	earlierRetry = 200 * time.Millisecond
 )
 
-func (n *Node) readEarlier(ctx context.Context) (allotment.Earlier, error) {
+func (n *Node) readEarlier(ctx context.Context) (allotment.PredecessorRecords, error) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, earlierTimeout)
-		earlier, err := allotment.ReadEarlier(call, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.TimeOfDay)
+		earlier, err := allotment.ReadPredecessors(call, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.TimeOfDay)
 		cancel()
 		if err == nil {
 			return earlier, nil
@@ -56,5 +56,5 @@
 		n.deps.Events.Record(event.LogUnreachable, "topic", "spend", "error", err)
 		periodic.Pause(ctx, earlierRetry)
 	}
-	return allotment.Earlier{}, errors.Trace(ctx.Err())
+	return allotment.PredecessorRecords{}, errors.Trace(ctx.Err())
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,7 +29,7 @@
 	// loan is set where another node reserved the tokens.
 	loan *lending.Loan
 	// tally is how asking other nodes went.
-	tally lending.Tally
+	tally lending.BorrowStats
 	// sends counts sends, ran those after which the request may have run.
 	sends, ran int
 	tried      []*directory.Upstream
@@ -85,10 +85,10 @@
 	}
 	c.awaitFirstGrant(ctx)
 	verdict := c.g.Share.Reserve(c.account.Name, c.r.most(), c.account.Prepaid)
-	if verdict == prepaid.ReportFirst {
+	if verdict == prepaid.ReportRequired {
 		verdict = c.reserveAfterReport(ctx)
 	}
-	if verdict == prepaid.ShortHere && c.borrow(ctx) {
+	if verdict == prepaid.Insufficient && c.borrow(ctx) {
 		return nil
 	}
 	switch verdict {
@@ -103,7 +103,7 @@
 }
 
 func (c *call) shortRetry() time.Duration {
-	if c.tally.Known || c.tally.Asked > c.tally.Lost {
+	if c.tally.KnownShortage || c.tally.Asked > c.tally.Unanswered {
 		return c.g.settings.ScarceRetry
 	}
 	return c.g.settings.ShortRetry
@@ -113,7 +113,7 @@
 // is used up refuses while others hold plenty, most of all while the store is out of
 // reach and no part can be moved.
 func (c *call) borrow(ctx context.Context) bool {
-	loan, tally, ok := c.g.Borrower.Borrow(ctx, c.account.Name, c.r.most(), c.g.Share.Holds(c.account.Name))
+	loan, tally, ok := c.g.Borrower.Borrow(ctx, c.account.Name, c.r.most(), c.g.Share.HasAllocation(c.account.Name))
 	c.tally = tally
 	if !ok {
 		return false
@@ -123,11 +123,11 @@
 	return true
 }
 
-func (c *call) reserveAfterReport(ctx context.Context) prepaid.Verdict {
+func (c *call) reserveAfterReport(ctx context.Context) prepaid.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.g.settings.ReportWait)
 	defer cancel()
 	if err := c.g.Report(ctx); err != nil {
-		return prepaid.ShortHere // the reporter logs why
+		return prepaid.Insufficient // the reporter logs why
 	}
 	return c.g.Share.Reserve(c.account.Name, c.r.most(), c.account.Prepaid)
 }
@@ -185,8 +185,8 @@
 	return c.account.Name
 }
 
-func (c *call) query() *placement.Query {
-	return &placement.Query{Now: c.g.Clock.Now(), DataCentre: c.g.DataCentre, Region: c.g.Region,
+func (c *call) query() *placement.Request {
+	return &placement.Request{Now: c.g.Clock.Now(), DataCentre: c.g.DataCentre, Region: c.g.Region,
 		PromptTokens: int(c.r.PromptTokens), Prefix: c.r.Prefix, Tried: c.tried}
 }
 
@@ -197,10 +197,10 @@
 		pairs = append(pairs, "config", c.view.Version)
 	}
 	if c.account != nil && c.account.HasPrepaid {
-		s := c.g.Share.Standing(c.account.Name)
-		pairs = append(pairs, "account", c.account.Name, "tokens", c.r.most(), "spent", s.Spent, "held", s.Held,
-			"limit", s.Limit, "ceiling", s.Ceiling, "left", s.Left, "prepaid", c.account.Prepaid, "promise_age", s.PromiseAge,
-			"lenders", c.tally.Lenders, "asked", c.tally.Asked, "asks_lost", c.tally.Lost, "known_short", c.tally.Known)
+		s := c.g.Share.Status(c.account.Name)
+		pairs = append(pairs, "account", c.account.Name, "tokens", c.r.most(), "spent", s.Spent, "held", s.Reserved,
+			"limit", s.Limit, "ceiling", s.Ceiling, "left", s.Remaining, "prepaid", c.account.Prepaid, "promise_age", s.LimitAge,
+			"lenders", c.tally.Lenders, "asked", c.tally.Asked, "asks_lost", c.tally.Unanswered, "known_short", c.tally.KnownShortage)
 	}
 	c.g.Events.Record(event.RequestRefused, pairs...)
 	c.g.Metrics.refuse(e.Code)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,7 +60,7 @@
 		return
 	}
 	defer c.settle()
-	g.repeats(c.service.Name).Request()
+	g.repeats(c.service.Name).RecordRequest()
 	ctx, cancel := context.WithTimeout(ctx, c.left())
 	defer cancel()
 	c.run(ctx)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -91,8 +91,8 @@
 	for i := range 4 {
 		table.Put(directory.Entry{ID: fmt.Sprintf("u%d", i), Service: "s", DataCentre: "dc", Slots: 4, State: directory.Ready})
 	}
-	b.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, TimeOfDay: clock.TimeOfDay()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
-	b.share.Apply(prepaid.Grant{Node: "n", Incarnation: "i", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "one", Ceiling: 500_000, Left: 1_000_000, Prepaid: 1_000_000}}})
+	b.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
+	b.share.Apply(prepaid.Grant{Node: "n", Incarnation: "i", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "one", Ceiling: 500_000, Remaining: 1_000_000, Prepaid: 1_000_000}}})
 	report := func(context.Context) error { b.share.Compose(); b.share.Acknowledge(); return nil }
 	b.Gateway = New(DefaultSettings(), Deps{Clock: clock, Catalog: holder, Directory: table, Picker: placement.NewPicker(placement.DefaultSettings(), nil),
 		Share: b.share, Upstreams: b.up, Events: event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 64, log.NewNopLogger()), Metrics: NewMetrics(false),
@@ -225,8 +225,8 @@
 	c := b.serve(context.Background(), "stream")
 	is.Equal(c.body.String(), numbered(1, 6))
 	is.True(!c.aborted)
-	is.Equal(b.share.Standing("one").Spent, int64(100+6*6))
-	is.Equal(b.share.Standing("one").Held, int64(0))
+	is.Equal(b.share.Status("one").Spent, int64(100+6*6))
+	is.Equal(b.share.Status("one").Reserved, int64(0))
 }
 
 // A stream that can't resume is cut. The answer must not end as if it were whole, and the
@@ -239,7 +239,7 @@
 	c := b.serve(context.Background(), "once")
 	is.True(c.aborted)
 	is.Equal(len(b.up.sent), 1)
-	is.Equal(b.share.Standing("one").Spent, int64(100+3*6))
+	is.Equal(b.share.Status("one").Spent, int64(100+3*6))
 }
 
 // The caller has gone when the second event is written. Nothing is sent elsewhere for it.
@@ -259,8 +259,8 @@
 	is := is.New(t)
 	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) { return nil, ErrNotSent })
 	b.serve(context.Background(), "once")
-	is.Equal(b.share.Standing("one").Spent, int64(0))
-	is.Equal(b.share.Standing("one").Held, int64(0))
+	is.Equal(b.share.Status("one").Spent, int64(0))
+	is.Equal(b.share.Status("one").Reserved, int64(0))
 }
 
 // The time that a caller waits counts from when its request was read, also while the
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,7 +25,7 @@
 }
 
 // send sends the request to one upstream and passes its answer on.
-func (c *call) send(ctx context.Context, choice placement.Choice) verdict {
+func (c *call) send(ctx context.Context, choice placement.PickResult) verdict {
 	u := choice.Upstream
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -34,15 +34,15 @@
 	u.InFlight.Add(1)
 	defer u.InFlight.Add(-1)
 	sent := c.g.Clock.Now()
-	u.Sent(sent)
+	u.RecordSent(sent)
 	c.sentAt = sent
-	prompt := int64(choice.Unread)
+	prompt := int64(choice.Uncached)
 	u.PromptInFlight.Add(prompt)
 	reading := true
 	answered := func() {
 		if reading {
 			u.PromptInFlight.Add(-prompt)
-			u.Settled(sent)
+			u.RecordSettled(sent)
 			reading = false
 		}
 	}
@@ -53,7 +53,7 @@
 		return c.noAnswer(ctx, u, err)
 	}
 	defer answer.Close()
-	u.Heard(c.g.Clock.Now())
+	u.RecordReceived(c.g.Clock.Now())
 	if v, final := c.refusedBy(u, answer); final {
 		return v
 	}
@@ -139,7 +139,7 @@
 		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "signed", answer.Signed)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.ran++
 	c.outcome = "served"
 	held.deliver(c.sink)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -88,7 +88,7 @@
 	if w.stopped || w.timer == nil {
 		return
 	}
-	if w.u.HeardWithin(w.wait/silentPart, w.c.g.Clock.Now()) || !w.c.takeRepeat() {
+	if w.u.ReceivedWithin(w.wait/silentPart, w.c.g.Clock.Now()) || !w.c.takeRepeat() {
 		w.timer.Reset(recheck)
 		return
 	}
@@ -105,5 +105,5 @@
 	if c.repeatTaken.Swap(false) {
 		return true
 	}
-	return c.g.repeats(c.service.Name).TryRepeat(c.g.Nodes())
+	return c.g.repeats(c.service.Name).TryRetry(c.g.Nodes())
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -56,7 +56,7 @@
 			}
 			return after(ctx, time.Second)
 		})
-		b.Gateway.settings.Shedding.Part = 100 // only the watch is looked at
+		b.Gateway.settings.Shedding.Threshold = 100 // only the watch is looked at
 		for _, u := range b.Directory.Current().Upstreams("s")[1:] {
 			b.Directory.Remove(u.ID)
 		}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -27,11 +27,11 @@
 		}
 		if first {
 			now := c.g.Clock.Now()
-			u.Began(now-c.sentAt, now)
+			u.RecordResponseStart(now-c.sentAt, now)
 		}
 		answered()
 		c.clock()
-		u.Heard(c.lastAt)
+		u.RecordReceived(c.lastAt)
 		silence.rearm()
 		c.begin(answer)
 		if !c.pass(e, !events.Buffered()) {
@@ -86,7 +86,7 @@
 		c.observe(u, false)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.ran++
 	c.outcome = "served"
 	return delivered
--- a/lending/borrower.go
+++ b/lending/borrower.go
@@ -37,21 +37,21 @@
 type Peer struct {
 	Node    string
 	Address string
-	// Near tells that it stands in this node's region.
-	Near bool
-	// Ceiling is what it was last granted of the account, in tokens, Room what of it was
+	// SameRegion tells that it stands in this node's region.
+	SameRegion bool
+	// Ceiling is what it was last granted of the account, in tokens, Unused what of it was
 	// not used then.
-	Ceiling, Room int64
+	Ceiling, Unused int64
 }
 
-// Caller carries an ask to a peer.
-type Caller interface {
-	Call(ctx context.Context, address string, ask Ask) (Reply, error)
+// Transport carries an ask to a peer.
+type Transport interface {
+	Call(ctx context.Context, address string, ask Request) (Reply, error)
 }
 
 // Borrower borrows from peers. It is safe for concurrent use.
 type Borrower struct {
-	caller Caller
+	caller Transport
 	clock  bootclock.Clock
 	// peers returns the peers that hold some of an account.
 	peers func(account string) []Peer
@@ -75,7 +75,7 @@
 }
 
 // NewBorrower returns a borrower; name tells its loans from other nodes'.
-func NewBorrower(caller Caller, clock bootclock.Clock, name string, peers func(account string) []Peer) *Borrower {
+func NewBorrower(caller Transport, clock bootclock.Clock, name string, peers func(account string) []Peer) *Borrower {
 	return &Borrower{caller: caller, clock: clock, name: name, peers: peers, nothing: make(map[string]shortage), spare: make(map[lenderOf]shortage)}
 }
 
@@ -86,22 +86,22 @@
 	Peer    Peer
 }
 
-// Tally is how the asks for one request went, for logs.
-type Tally struct {
+// BorrowStats is how the asks for one request went, for logs.
+type BorrowStats struct {
 	// Lenders is how many nodes could have covered the request by their ceilings, Asked
-	// how many were asked, Lost how many of these didn't answer in time.
-	Lenders, Asked, Lost int
-	// Known tells that nobody was asked, since so many tokens weren't to be had just now.
-	Known bool
+	// how many were asked, Unanswered how many of these didn't answer in time.
+	Lenders, Asked, Unanswered int
+	// KnownShortage tells that nobody was asked, since so many tokens weren't to be had just now.
+	KnownShortage bool
 }
 
 // Borrow asks peers for a request's tokens, nearby ones first. holds tells whether this node has a part of the account itself.
-func (b *Borrower) Borrow(ctx context.Context, account string, tokens int64, holds bool) (Loan, Tally, bool) {
+func (b *Borrower) Borrow(ctx context.Context, account string, tokens int64, holds bool) (Loan, BorrowStats, bool) {
 	if b.foundNothing(account, tokens) {
-		return Loan{}, Tally{Known: true}, false
+		return Loan{}, BorrowStats{KnownShortage: true}, false
 	}
 	peers := b.order(account, tokens)
-	tally := Tally{Lenders: len(peers)}
+	tally := BorrowStats{Lenders: len(peers)}
 	for _, peer := range peers[:min(len(peers), mostAsked)] {
 		loan := Loan{ID: b.nextID(), Account: account, Peer: peer}
 		tally.Asked++
@@ -110,7 +110,7 @@
 			return loan, tally, true
 		}
 		if err != nil {
-			tally.Lost++
+			tally.Unanswered++
 		}
 	}
 	b.noteShortage(account, tokens)
@@ -151,11 +151,11 @@
 	})
 	keys := make(map[string]float64, len(peers))
 	for _, p := range peers {
-		keys[p.Node] = -math.Log(1-rand.Float64()) / float64(max(p.Room, p.Ceiling/leastRoom))
+		keys[p.Node] = -math.Log(1-rand.Float64()) / float64(max(p.Unused, p.Ceiling/leastRoom))
 	}
 	slices.SortFunc(peers, func(x, y Peer) int {
-		if x.Near != y.Near {
-			if x.Near {
+		if x.SameRegion != y.SameRegion {
+			if x.SameRegion {
 				return -1
 			}
 			return 1
@@ -182,13 +182,13 @@
 func (b *Borrower) ask(ctx context.Context, loan Loan, tokens int64, holds bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	reply, err := b.caller.Call(ctx, loan.Peer.Address, Ask{Loan: loan.ID, Account: loan.Account, Tokens: tokens, Holds: holds})
+	reply, err := b.caller.Call(ctx, loan.Peer.Address, Request{LoanID: loan.ID, Account: loan.Account, Tokens: tokens, HasAllocation: holds})
 	if err != nil {
 		// The peer may have reserved all the same.
 		go b.Settle(loan, 0)
 		return false, err
 	}
-	b.noteSpare(lenderOf{loan.Account, loan.Peer.Node}, reply.Spare)
+	b.noteSpare(lenderOf{loan.Account, loan.Peer.Node}, reply.Lendable)
 	return reply.Granted, nil
 }
 
@@ -197,7 +197,7 @@
 func (b *Borrower) Settle(loan Loan, used int64) {
 	for range settleTries {
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
-		_, err := b.caller.Call(ctx, loan.Peer.Address, Ask{Loan: loan.ID, Account: loan.Account, Tokens: used, Settle: true})
+		_, err := b.caller.Call(ctx, loan.Peer.Address, Request{LoanID: loan.ID, Account: loan.Account, Tokens: used, Settle: true})
 		cancel()
 		if err == nil {
 			return
--- a/lending/http.go
+++ b/lending/http.go
@@ -19,7 +19,7 @@
 type Client struct{ Wire *httpwire.Client }
 
 // Call sends an ask and reads its reply.
-func (c *Client) Call(ctx context.Context, address string, ask Ask) (Reply, error) {
+func (c *Client) Call(ctx context.Context, address string, ask Request) (Reply, error) {
 	var reply Reply
 	err := c.Wire.PostJSON(ctx, address, path, &ask, &reply, maxMessage, func() {})
 	return reply, err
@@ -34,12 +34,12 @@
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		var ask Ask
+		var ask Request
 		if err := json.Unmarshal(raw, &ask); err != nil || ask.Tokens < 0 {
 			http.Error(w, "not an ask", http.StatusBadRequest)
 			return
 		}
-		reply := lender.Answer(req.Context(), ask)
+		reply := lender.Handle(req.Context(), ask)
 		out, err := json.Marshal(&reply)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/lending/lender.go
+++ b/lending/lender.go
@@ -38,19 +38,19 @@
 	return &Lender{share: share, clock: clock, report: report, loans: make(map[string]*loan)}
 }
 
-// Answer decides an ask.
-func (l *Lender) Answer(ctx context.Context, ask Ask) Reply {
+// Handle decides an ask.
+func (l *Lender) Handle(ctx context.Context, ask Request) Reply {
 	if ask.Settle {
-		l.settle(ask.Loan, ask.Tokens)
+		l.settle(ask.LoanID, ask.Tokens)
 		return Reply{Granted: true}
 	}
 	granted := l.lend(ctx, ask)
-	return Reply{Granted: granted, Spare: l.share.Spare(ask.Account)}
+	return Reply{Granted: granted, Lendable: l.share.Lendable(ask.Account)}
 }
 
-func (l *Lender) lend(ctx context.Context, ask Ask) bool {
-	verdict := l.share.Lend(ask.Account, ask.Tokens, ask.Holds)
-	if verdict == prepaid.ReportFirst && l.report(ctx) == nil {
+func (l *Lender) lend(ctx context.Context, ask Request) bool {
+	verdict := l.share.Lend(ask.Account, ask.Tokens, ask.HasAllocation)
+	if verdict == prepaid.ReportRequired && l.report(ctx) == nil {
 		verdict = l.share.Lend(ask.Account, ask.Tokens, true)
 	}
 	if verdict != prepaid.Reserved {
@@ -58,12 +58,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, known := l.loans[ask.Loan]; known {
+	if _, known := l.loans[ask.LoanID]; known {
 		// The borrower gave up and settled before its ask arrived, or asks twice.
 		l.share.Settle(ask.Account, ask.Tokens, 0)
 		return false
 	}
-	l.loans[ask.Loan] = &loan{account: ask.Account, tokens: ask.Tokens, until: l.clock.Now() + loanFor}
+	l.loans[ask.LoanID] = &loan{account: ask.Account, tokens: ask.Tokens, until: l.clock.Now() + loanFor}
 	return true
 }
 
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -43,7 +43,7 @@
 		watcher:  recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
 	}
 	b.reserver = budget.NewReserver(budget.ReserverConfig{
-		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, Chunk: n.settings.ClaimChunk,
+		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, ClaimChunk: n.settings.ClaimChunk,
 		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.teller,
 		Stopped: b.stopped,
 	})
@@ -81,7 +81,7 @@
 	var peers []budget.Peer
 	for _, member := range n.members.All() {
 		peers = append(peers, budget.Peer{
-			Node: member.Node, Near: member.Node.GetRegion() == n.settings.Region, Suspect: member.Suspect,
+			Node: member.Node, SameRegion: member.Node.GetRegion() == n.settings.Region, Suspect: member.Suspect,
 		})
 	}
 	return peers
@@ -99,7 +99,7 @@
 		n.budgets.lender.Settle(body.Settle.GetId(), body.Settle.GetTokens())
 		response.Body = &fleetv1.Response_Settled{Settled: &fleetv1.Settled{}}
 	case *fleetv1.Request_ShareAsk:
-		response.Body = &fleetv1.Response_ShareAnswer{ShareAnswer: n.budgets.reserver.Move(r.GetFrom(), body.ShareAsk)}
+		response.Body = &fleetv1.Response_ShareAnswer{ShareAnswer: n.budgets.reserver.MoveShare(r.GetFrom(), body.ShareAsk)}
 	case *fleetv1.Request_Witness:
 		err = n.remember(r.GetFrom(), body.Witness)
 		response.Body = &fleetv1.Response_Witnessed{Witnessed: &fleetv1.Witnessed{}}
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -58,7 +58,7 @@
 
 // settlements contributes what was settled since the last batch.
 func (n *Node) settlements() []*recordv1.Entry {
-	batch := n.holder.Settlements()
+	batch := n.holder.TakeSettlements()
 	if batch == nil {
 		return nil
 	}
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -49,14 +49,14 @@
 // what its requests used. It then releases its own shares, which ends the recovery
 // by others. Did it stop at once, others would settle from what they were told.
 func (n *Node) settleClosed(ctx context.Context) {
-	n.wait(ctx, func() bool { return n.holder.Open() == 0 && n.budgets.borrower.Parts() == 0 }, closedFinish)
+	n.wait(ctx, func() bool { return n.holder.OpenReservations() == 0 && n.budgets.borrower.UnsettledParts() == 0 }, closedFinish)
 	finish, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		n.wait(finish, func() bool { return false }, closedFinish)
 		cancel()
 	}()
-	if n.holder.Open() == 0 && n.flushAll(finish) && n.passOnAll(finish) {
+	if n.holder.OpenReservations() == 0 && n.flushAll(finish) && n.passOnAll(finish) {
 		_, _ = n.writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{
 			Incarnation: n.Incarnation(),
 		}}}).Wait(finish)
@@ -82,7 +82,7 @@
 // settled: the account would be billed too little.
 func (n *Node) flushAll(ctx context.Context) bool {
 	for {
-		left := n.holder.Unsettled()
+		left := n.holder.PendingSettlements()
 		// The batch that carries this entry carries what the source has taken by then.
 		ticket := n.writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_Settlements{
 			Settlements: &recordv1.SettlementBatch{Incarnation: n.Incarnation()},
--- a/prepaid/admission.go
+++ b/prepaid/admission.go
@@ -33,26 +33,26 @@
 // Incarnations of one node follow each other, and each names those before it until a
 // grant has reached it, so a report that doesn't name the holder is older than it.
 func (a *Allocator) succeeds(r Report, holder string) bool {
-	return slices.ContainsFunc(r.Predecessors, func(c Closing) bool { return c.Incarnation == holder })
+	return slices.ContainsFunc(r.Predecessors, func(c FinalUsage) bool { return c.Incarnation == holder })
 }
 
 // close moves what an ended incarnation may have used from its entries to the closed
 // totals.
 func (a *Allocator) close(successor Report, incarnation string) {
-	at := slices.IndexFunc(successor.Predecessors, func(c Closing) bool { return c.Incarnation == incarnation })
+	at := slices.IndexFunc(successor.Predecessors, func(c FinalUsage) bool { return c.Incarnation == incarnation })
 	evidence := successor.Predecessors[at]
-	lines := make(map[string]ClosingLine, len(evidence.Lines))
+	lines := make(map[string]FinalUsageLine, len(evidence.Lines))
 	for _, l := range evidence.Lines {
 		lines[l.Account] = l
 	}
-	ended := Ended{Node: successor.Node, Incarnation: incarnation, Known: evidence.Known}
+	ended := ClosedIncarnation{Node: successor.Node, Incarnation: incarnation, Bounded: evidence.Bounded}
 	for name, acc := range a.accounts {
 		e, ok := acc.entries[successor.Node]
 		if !ok {
 			continue
 		}
 		counted := e.committed
-		if evidence.Known {
+		if evidence.Bounded {
 			counted = min(lines[name].Used, e.committed)
 		}
 		acc.closed += counted
@@ -67,7 +67,7 @@
 
 // closeEnded closes an incarnation by its own last report.
 func (a *Allocator) closeEnded(r Report) {
-	own := closing(&r, Start{})
-	r.Predecessors = []Closing{own}
+	own := closing(&r, ProcessStart{})
+	r.Predecessors = []FinalUsage{own}
 	a.close(r, r.Incarnation)
 }
--- a/prepaid/allocator.go
+++ b/prepaid/allocator.go
@@ -14,7 +14,7 @@
 	// byAccount is the order in which accounts are planned, so that plans repeat.
 	byAccount []string
 	// ended collects what a round closed.
-	ended []Ended
+	ended []ClosedIncarnation
 }
 
 // grantee is the incarnation of a node that holds ceilings.
@@ -124,7 +124,7 @@
 func (a *Allocator) confirm(acc *account, name string, members []Member) {
 	for _, m := range members {
 		e, ok := acc.entries[m.Report.Node]
-		if !ok || m.Report.SeenEpoch < a.nodes[m.Report.Node].grantEpoch {
+		if !ok || m.Report.AppliedEpoch < a.nodes[m.Report.Node].grantEpoch {
 			continue
 		}
 		ceiling := int64(0)
--- a/prepaid/allocator_test.go
+++ b/prepaid/allocator_test.go
@@ -32,7 +32,7 @@
 
 // A whole fleet loses power with its ceilings unaccounted for. The callers that come
 // after it must still find tokens, or a fault of seconds costs them the rest of the day.
-func TestPowerLossOfAllLeavesSomeToServe(t *testing.T) {
+func TestFleetPowerLossLeavesTokensToServe(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 1_000_000})
 	w.startAll(6, "boot")
@@ -47,14 +47,14 @@
 	settleDown(w)
 	holds := int64(0)
 	for _, n := range w.nodes {
-		holds += n.share.Standing("a").Ceiling
+		holds += n.share.Status("a").Ceiling
 	}
 	is.True(holds >= left/10)
 }
 
 // Callers press on one node only. Its part must grow, and what the others don't need
 // must come to it, or it refuses while the account has plenty.
-func TestPartsFollowDemand(t *testing.T) {
+func TestAllocationsFollowDemand(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 600_000})
 	hot := w.start("n1", "boot")
@@ -65,7 +65,7 @@
 		w.clock.Advance(100 * time.Millisecond)
 		settleDown(w)
 	}
-	is.True(hot.share.Standing("a").Ceiling > w.nodes["n2"].share.Standing("a").Ceiling)
+	is.True(hot.share.Status("a").Ceiling > w.nodes["n2"].share.Status("a").Ceiling)
 	is.Equal(w.used["a"], int64(100_000))
 }
 
@@ -78,7 +78,7 @@
 	settleDown(w)
 	holders, largest := 0, int64(0)
 	for _, n := range w.nodes {
-		if c := n.share.Standing("a").Ceiling; c > 0 {
+		if c := n.share.Status("a").Ceiling; c > 0 {
 			holders++
 			largest = max(largest, c)
 		}
@@ -103,51 +103,51 @@
 
 // Most instances of a fleet are small and get hardly any callers. Held by them, each
 // request of the large ones would wait for a loan over a slow link.
-func TestLargeNodesHoldTheParts(t *testing.T) {
+func TestLargeNodesHoldAllocations(t *testing.T) {
 	is := is.New(t)
 	w := fewLargeNodes()
 	for name, n := range w.nodes {
-		is.Equal(n.share.Standing("a").Ceiling > 0, name < "n06")
+		is.Equal(n.share.Status("a").Ceiling > 0, name < "n06")
 	}
 }
 
 // A caller sticks to a small node whatever it is told. Its requests are many, so that node
 // must get a part too.
-func TestBusySmallNodeGetsAPart(t *testing.T) {
+func TestBusySmallNodeGetsAllocation(t *testing.T) {
 	is := is.New(t)
 	w := fewLargeNodes()
 	for _, name := range []string{"n10", "n20", "n30", "n39"} {
 		small := w.nodes[name]
-		is.Equal(small.share.Standing("a").Ceiling, int64(0))
+		is.Equal(small.share.Status("a").Ceiling, int64(0))
 		for range 20 {
 			small.share.Reserve("a", 2_000, 4_000_000)
 			w.clock.Advance(100 * time.Millisecond)
 		}
 		settleDown(w)
-		is.True(small.share.Standing("a").Ceiling > 0)
+		is.True(small.share.Status("a").Ceiling > 0)
 	}
 }
 
 // A node is cut off and keeps serving. The planner can't know how much it uses, so
 // nothing of its ceiling may go to others until it is back.
-func TestCutNodeKeepsItsCeiling(t *testing.T) {
+func TestPartitionedNodeKeepsCeiling(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 300_000})
 	cut := w.start("n1", "boot")
 	w.start("n2", "boot")
 	settleDown(w)
-	before := cut.share.Standing("a").Ceiling
+	before := cut.share.Status("a").Ceiling
 	for range 20 {
 		w.report(w.nodes["n2"], false)
 		w.round(map[string]bool{"n2": true})
 		w.apply(w.nodes["n2"])
 	}
-	is.True(before+w.nodes["n2"].share.Standing("a").Ceiling <= 300_000)
+	is.True(before+w.nodes["n2"].share.Status("a").Ceiling <= 300_000)
 }
 
 // Guards against tokens of a request that a stopped node sends an hour later having been
 // granted to others meanwhile.
-func TestStoppedNodesLateSendIsCovered(t *testing.T) {
+func TestLateSendOfSuspendedNodeIsCovered(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 300_000})
 	stopped, other := w.start("n1", "boot"), w.start("n2", "boot")
@@ -168,7 +168,7 @@
 }
 
 // A process stops in an orderly way. All that it didn't use goes back at once.
-func TestStoppedNodeGivesItsPartBack(t *testing.T) {
+func TestStoppedNodeReturnsUnusedTokens(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 300_000})
 	n := w.start("n1", "boot")
@@ -178,14 +178,14 @@
 	n.share.End()
 	w.report(n, false)
 	plan := w.round(map[string]bool{})
-	is.Equal(len(plan.Ended), 1)
-	is.Equal(plan.Ended[0].Counted, int64(1_000))
+	is.Equal(len(plan.Closed), 1)
+	is.Equal(plan.Closed[0].Counted, int64(1_000))
 }
 
 // An account is nearly used up. What is left covers a few more requests, and they must be
 // served: if a part of it were kept back as usual, the last requests would find parts that
 // are too small and be told to come back for ever.
-func TestTheLastTokensAreServed(t *testing.T) {
+func TestLastTokensAreServed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 40_000})
 	w.startAll(6, "boot")
@@ -204,7 +204,7 @@
 // nodes hadn't opened their reserves, so all that they held counts as used, and twelve
 // seconds later callers are refused though most of the account is left. What was not used
 // should be served again.
-func TestPowerLossOfAllStrandsNothing(t *testing.T) {
+func TestFleetPowerLossStrandsLittle(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(map[string]int64{"a": 1_000_000})
 	w.startAll(6, "boot")
--- a/prepaid/line.go
+++ b/prepaid/line.go
@@ -63,7 +63,7 @@
 
 // pledge is the line's part in a new promise.
 func (l *line) pledge(s Settings) pledge {
-	ahead := max(s.MinDrawn, l.wish, int64(l.rate*s.DrawnAhead.Seconds()))
-	pace := max(l.rate*s.PaceOver, float64(l.ceiling-l.used())/s.IdleOver.Seconds())
+	ahead := max(s.MinHeadroom, l.wish, int64(l.rate*s.LimitHeadroom.Seconds()))
+	pace := max(l.rate*s.GrowthFactor, float64(l.ceiling-l.used())/s.IdleGrowthTime.Seconds())
 	return pledge{drawn: min(l.ceiling, l.used()+ahead), pace: int64(pace)}
 }
--- a/prepaid/main_test.go
+++ b/prepaid/main_test.go
@@ -66,14 +66,14 @@
 			earlier = append(earlier, r)
 		}
 	}
-	clocks := Clocks{Boot: w.clock, TimeOfDay: nodeTime{w, name}}
+	clocks := Clocks{Boot: w.clock, Wall: nodeTime{w, name}}
 	holder := Holder{Node: name, Region: "region", Incarnation: n.incarnation, BootID: bootID}
 	if w.capacity != nil {
 		holder.Capacity = w.capacity(name)
 	}
-	start := Start{Reading: clocks.Read(), BootID: bootID}
+	start := ProcessStart{ClockReading: clocks.Read(), BootID: bootID}
 	n.share = NewShare(DefaultSettings(), clocks, holder)
-	n.share.Succeed(Predecessors(earlier, start))
+	n.share.SetPredecessors(FinalUsages(earlier, start))
 	w.nodes[name] = n
 	return n
 }
@@ -125,7 +125,7 @@
 }
 
 // serve reserves tokens and counts them as used at once: a caller may get them all.
-func (w *world) serve(n *simNode, account string, tokens int64) Verdict {
+func (w *world) serve(n *simNode, account string, tokens int64) Outcome {
 	v := n.share.Reserve(account, tokens, w.prepaid[account])
 	if v == Reserved {
 		w.used[account] += tokens
@@ -136,7 +136,7 @@
 
 // serveReporting is serve after a report where the node's limits are too low for now.
 func (w *world) serveReporting(n *simNode, account string, tokens int64) {
-	if w.serve(n, account, tokens) == ReportFirst {
+	if w.serve(n, account, tokens) == ReportRequired {
 		w.report(n, false)
 		w.serve(n, account, tokens)
 	}
--- a/prepaid/plan.go
+++ b/prepaid/plan.go
@@ -9,16 +9,16 @@
 type Plan struct {
 	Ledger Ledger
 	Grants []Grant
-	// Ended are the incarnations that this round closed.
-	Ended []Ended
+	// Closed are the incarnations that this round closed.
+	Closed []ClosedIncarnation
 }
 
-// Ended is an incarnation that was closed.
-type Ended struct {
+// ClosedIncarnation is an incarnation that was closed.
+type ClosedIncarnation struct {
 	Node, Incarnation string
-	// Known tells that its last report bounds its use; otherwise its whole ceilings
+	// Bounded tells that its last report bounds its use; otherwise its whole ceilings
 	// count as used.
-	Known bool
+	Bounded bool
 	// Reported is what it told last to have used and held, if known; Counted is what counts
 	// as used, Returned what went back to the accounts: tokens over all accounts.
 	Reported, Counted, Returned int64
@@ -35,12 +35,12 @@
 		if changed[m.Report.Node] {
 			g.grantEpoch = epoch
 		}
-		if changed[m.Report.Node] || m.Live && m.Report.SeenEpoch < g.grantEpoch {
+		if changed[m.Report.Node] || m.Live && m.Report.AppliedEpoch < g.grantEpoch {
 			p.Grants = append(p.Grants, a.grant(&m.Report, g, prepaid, left))
 		}
 	}
 	p.Ledger = a.ledger(epoch)
-	p.Ended = a.ended
+	p.Closed = a.ended
 	return p
 }
 
@@ -69,9 +69,9 @@
 		if !ok {
 			continue
 		}
-		line := GrantLine{Account: name, Ceiling: e.target, Room: e.target, Left: left[name], Prepaid: prepaid[name]}
+		line := GrantLine{Account: name, Ceiling: e.target, Unused: e.target, Remaining: left[name], Prepaid: prepaid[name]}
 		if l := findLine(report, name); l != nil {
-			line.Room = max(0, e.target-l.Spent-l.Held)
+			line.Unused = max(0, e.target-l.Spent-l.Reserved)
 		}
 		grant.Lines = append(grant.Lines, line)
 	}
--- a/prepaid/predecessors.go
+++ b/prepaid/predecessors.go
@@ -16,46 +16,46 @@
 	mostApart = 500 * time.Millisecond
 )
 
-// Start is what a process knows of its own start. Earlier incarnations of its node had
+// ProcessStart is what a process knows of its own start. Earlier incarnations of its node had
 // ended by then.
-type Start struct {
-	Reading
+type ProcessStart struct {
+	ClockReading
 	// BootID names the instance's boot.
 	BootID string
-	// Behind tells that another node's report bears a time that this instance's time of
+	// ClockBehind tells that another node's report bears a time that this instance's time of
 	// day hasn't reached, so that it can't be trusted.
-	Behind bool
+	ClockBehind bool
 }
 
-// IsBehind tells whether a report bears a time of day that a sound clock which shows
+// ClockIsBehind tells whether a report bears a time of day that a sound clock which shows
 // timeOfDay would have reached.
-func IsBehind(timeOfDay time.Duration, report *Report) bool {
+func ClockIsBehind(timeOfDay time.Duration, report *Report) bool {
 	return time.Duration(report.SentTimeMs)*time.Millisecond > timeOfDay+mostApart
 }
 
-// Predecessors turns the last reports that a node's earlier incarnations left in the
+// FinalUsages turns the last reports that a node's earlier incarnations left in the
 // store into what each may have used at most.
-func Predecessors(last []Report, start Start) []Closing {
-	var closings []Closing
+func FinalUsages(last []Report, start ProcessStart) []FinalUsage {
+	var closings []FinalUsage
 	for i := range last {
 		closings = append(closings, closing(&last[i], start))
 	}
 	return closings
 }
 
-func closing(last *Report, start Start) Closing {
-	c := Closing{Incarnation: last.Incarnation}
+func closing(last *Report, start ProcessStart) FinalUsage {
+	c := FinalUsage{Incarnation: last.Incarnation}
 	lived, proved := last.lived(start)
 	switch {
 	case last.Ended:
-		c.Known = true
+		c.Bounded = true
 		for _, l := range last.Lines {
-			c.Lines = append(c.Lines, ClosingLine{Account: l.Account, Used: l.Spent + l.Held, Reported: l.Spent + l.Held})
+			c.Lines = append(c.Lines, FinalUsageLine{Account: l.Account, Used: l.Spent + l.Reserved, Reported: l.Spent + l.Reserved})
 		}
 	case proved:
-		c.Known = true
+		c.Bounded = true
 		for _, l := range last.Lines {
-			c.Lines = append(c.Lines, ClosingLine{Account: l.Account, Used: pledge{l.Drawn, l.Pace}.bound(lived), Reported: l.Spent + l.Held})
+			c.Lines = append(c.Lines, FinalUsageLine{Account: l.Account, Used: pledge{l.InitialLimit, l.Growth}.bound(lived), Reported: l.Spent + l.Reserved})
 		}
 	}
 	return c
@@ -67,27 +67,27 @@
 // On the same boot the boot clock tells. After a power loss only the time of day is left,
 // which may have been set back meanwhile; what it shows is trusted but for mostSetBack,
 // and not at all where other nodes' reports contradict it.
-func (r *Report) lived(start Start) (time.Duration, bool) {
+func (r *Report) lived(start ProcessStart) (time.Duration, bool) {
 	p := r.promise()
 	if r.sameBoot(start) {
 		lived := start.Boot - p.from.Boot
 		return lived, lived >= 0 && lived < p.opensAfter
 	}
-	shown := start.TimeOfDay - p.from.TimeOfDay
+	shown := start.Wall - p.from.Wall
 	lived := shown + mostSetBack
-	return lived, !start.Behind && shown >= 0 && lived < p.opensAfter
+	return lived, !start.ClockBehind && shown >= 0 && lived < p.opensAfter
 }
 
 // sameBoot tells whether the instance stayed up between the report and a start. Where
 // several instances share a kernel they share its boot ID and not the boot clock.
-func (r *Report) sameBoot(start Start) bool {
+func (r *Report) sameBoot(start ProcessStart) bool {
 	from := r.promise().from
-	step := (start.Boot - from.Boot) - (start.TimeOfDay - from.TimeOfDay)
+	step := (start.Boot - from.Boot) - (start.Wall - from.Wall)
 	return r.BootID == start.BootID && step.Abs() <= mostStep
 }
 
 func (r *Report) promise() promise {
-	return promise{from: Reading{Boot: millis(r.FromMs), TimeOfDay: millis(r.FromTimeMs)}, opensAfter: millis(r.OpensAfterMs)}
+	return promise{from: ClockReading{Boot: millis(r.StartBootMs), Wall: millis(r.StartTimeMs)}, opensAfter: millis(r.LimitTTLMs)}
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/prepaid/promise.go
+++ b/prepaid/promise.go
@@ -8,7 +8,7 @@
 // A node that loses the store goes on serving along the growing limits. Whoever later
 // knows how long the incarnation can have lived at most, knows what it can have used.
 type promise struct {
-	from       Reading
+	from       ClockReading
 	opensAfter time.Duration
 }
 
@@ -28,7 +28,7 @@
 }
 
 // limit returns what a line may use at a reading of the clocks.
-func (p promise) limit(of pledge, ceiling int64, now Reading) int64 {
+func (p promise) limit(of pledge, ceiling int64, now ClockReading) int64 {
 	after := now.since(p.from)
 	if after >= p.opensAfter {
 		return ceiling
--- a/prepaid/records.go
+++ b/prepaid/records.go
@@ -12,51 +12,51 @@
 	// SentTimeMs is the instance's time of day when the report was made, in Unix
 	// milliseconds.
 	SentTimeMs int64 `json:"stm,omitempty"`
-	// FromMs and FromTimeMs are the instance's boot clock and time of day, in
+	// StartBootMs and FromTimeMs are the instance's boot clock and time of day, in
 	// milliseconds, from which the limits of Lines grow. OpensAfterMs later the
 	// incarnation is bound by its ceilings alone.
-	FromMs       int64 `json:"fm,omitempty"`
-	FromTimeMs   int64 `json:"ftm,omitempty"`
-	OpensAfterMs int64 `json:"oam,omitempty"`
+	StartBootMs int64 `json:"fm,omitempty"`
+	StartTimeMs int64 `json:"ftm,omitempty"`
+	LimitTTLMs  int64 `json:"oam,omitempty"`
 	// BootID names the instance's boot; a boot clock is comparable within one boot only.
 	BootID string `json:"bid,omitempty"`
-	// SeenEpoch is the epoch of the newest grant that the incarnation applied.
-	SeenEpoch uint64 `json:"se,omitempty"`
+	// AppliedEpoch is the epoch of the newest grant that the incarnation applied.
+	AppliedEpoch uint64 `json:"se,omitempty"`
 	// Ended tells that the incarnation uses nothing any more.
 	Ended bool         `json:"e,omitempty"`
 	Lines []ReportLine `json:"l,omitempty"`
 	// Predecessors are the earlier incarnations of the node, until a grant shows that
 	// they are closed.
-	Predecessors []Closing `json:"p,omitempty"`
+	Predecessors []FinalUsage `json:"p,omitempty"`
 }
 
 // ReportLine is one account's part of a report, in tokens.
 type ReportLine struct {
 	Account string `json:"a,omitempty"`
 	// Spent is settled use, Held the most that open requests may still add.
-	Spent int64 `json:"s,omitempty"`
-	Held  int64 `json:"h,omitempty"`
-	// Drawn is the limit on Spent plus Held when the limits begin to grow, Pace what it
+	Spent    int64 `json:"s,omitempty"`
+	Reserved int64 `json:"h,omitempty"`
+	// InitialLimit is the limit on Spent plus Held when the limits begin to grow, Pace what it
 	// grows by each second.
-	Drawn int64 `json:"d,omitempty"`
-	Pace  int64 `json:"p,omitempty"`
+	InitialLimit int64 `json:"d,omitempty"`
+	Growth       int64 `json:"p,omitempty"`
 	// Ceiling is the limit that the incarnation holds itself to for good.
 	Ceiling int64 `json:"c,omitempty"`
-	// Rate is the recent demand in tokens a second, refused requests included.
-	Rate int64 `json:"r,omitempty"`
+	// DemandRate is the recent demand in tokens a second, refused requests included.
+	DemandRate int64 `json:"r,omitempty"`
 }
 
-// Closing tells what an ended incarnation may have used at most.
-type Closing struct {
+// FinalUsage tells what an ended incarnation may have used at most.
+type FinalUsage struct {
 	Incarnation string `json:"i,omitempty"`
-	// Known tells that Lines bound its use; otherwise its whole ceilings count as used.
-	Known bool          `json:"k,omitempty"`
-	Lines []ClosingLine `json:"l,omitempty"`
+	// Bounded tells that Lines bound its use; otherwise its whole ceilings count as used.
+	Bounded bool             `json:"k,omitempty"`
+	Lines   []FinalUsageLine `json:"l,omitempty"`
 }
 
-// ClosingLine bounds one account's use by an ended incarnation, in tokens. An account
+// FinalUsageLine bounds one account's use by an ended incarnation, in tokens. An account
 // without a line wasn't used.
-type ClosingLine struct {
+type FinalUsageLine struct {
 	Account string `json:"a,omitempty"`
 	Used    int64  `json:"u,omitempty"`
 	// Reported is what it reported last as used and held, for logs.
@@ -76,13 +76,13 @@
 type GrantLine struct {
 	Account string `json:"a,omitempty"`
 	Ceiling int64  `json:"c,omitempty"`
-	// Room is what the node hadn't used of its ceiling by its last report: whoever looks
+	// Unused is what the node hadn't used of its ceiling by its last report: whoever looks
 	// for a lender asks where there is most.
-	Room int64 `json:"r,omitempty"`
-	// Left bounds from above what all nodes together could still use when the account
+	Unused int64 `json:"r,omitempty"`
+	// Remaining bounds from above what all nodes together could still use when the account
 	// had prepaid Prepaid: settled use is subtracted, open requests aren't.
-	Left    int64 `json:"l,omitempty"`
-	Prepaid int64 `json:"p,omitempty"`
+	Remaining int64 `json:"l,omitempty"`
+	Prepaid   int64 `json:"p,omitempty"`
 }
 
 // Ledger is the allocator's state. It is written before the grants that follow from it,
--- a/prepaid/share.go
+++ b/prepaid/share.go
@@ -14,7 +14,7 @@
 
 	mu           sync.Mutex
 	lines        map[string]*line
-	predecessors []Closing
+	predecessors []FinalUsage
 	seenEpoch    uint64
 	// granted is closed with the first grant.
 	granted chan struct{}
@@ -40,14 +40,14 @@
 // NewShare returns a share that holds nothing.
 func NewShare(settings Settings, clocks Clocks, holder Holder) *Share {
 	s := &Share{settings: settings, clocks: clocks, holder: holder, lines: make(map[string]*line), granted: make(chan struct{})}
-	s.acked = promise{from: clocks.Read(), opensAfter: settings.OpensAfter}
+	s.acked = promise{from: clocks.Read(), opensAfter: settings.LimitTTL}
 	s.composed = s.acked
 	return s
 }
 
-// Succeed tells the share what the node's earlier incarnations used, as Predecessors read
+// SetPredecessors tells the share what the node's earlier incarnations used, as Predecessors read
 // it from the store. It comes before the first report.
-func (s *Share) Succeed(predecessors []Closing) {
+func (s *Share) SetPredecessors(predecessors []FinalUsage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.predecessors = predecessors
@@ -55,7 +55,7 @@
 
 // Reserve sets aside the most tokens that a request can use. prepaid is what the
 // account has prepaid by the configuration in force.
-func (s *Share) Reserve(account string, tokens, prepaid int64) Verdict {
+func (s *Share) Reserve(account string, tokens, prepaid int64) Outcome {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,23 +70,23 @@
 	}
 	if l.used()+tokens <= l.ceiling && !s.ended && s.inTouch(now) {
 		l.wish = max(l.wish, tokens)
-		return ReportFirst
+		return ReportRequired
 	}
 	s.shortAt = now.Boot
-	return ShortHere
+	return Insufficient
 }
 
-// ShortWithin tells whether the node couldn't cover a request of its own within a time.
-func (s *Share) ShortWithin(d time.Duration) bool {
+// ShortfallWithin tells whether the node couldn't cover a request of its own within a time.
+func (s *Share) ShortfallWithin(d time.Duration) bool {
 	now := s.clocks.Boot.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shortAt != 0 && now-s.shortAt < d
 }
 
-// Calm tells that a report would say what the last acknowledged one did: nothing was used
+// Unchanged tells that a report would say what the last acknowledged one did: nothing was used
 // since, nothing is open, no ceiling was raised, and there are no callers to speak of.
-func (s *Share) Calm() bool {
+func (s *Share) Unchanged() bool {
 	now := s.clocks.Boot.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 // Lend is Reserve for another node's request. It leaves what this node's own callers
 // need within lendSpare. Where the borrower holds nothing of the account it counts as this
 // node's demand, so that the nodes which others always borrow from are granted more.
-func (s *Share) Lend(account string, tokens int64, borrowerHolds bool) Verdict {
+func (s *Share) Lend(account string, tokens int64, borrowerHolds bool) Outcome {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,21 +116,21 @@
 		l.demand(tokens, now.Boot, s.settings.RateWindow)
 	}
 	if s.ended || l.used()+tokens+spare > l.ceiling {
-		return ShortHere
+		return Insufficient
 	}
 	if l.used()+tokens > s.limit(l, now) {
 		if !s.inTouch(now) {
-			return ShortHere
+			return Insufficient
 		}
 		l.wish = max(l.wish, tokens)
-		return ReportFirst
+		return ReportRequired
 	}
 	l.held += tokens
 	return Reserved
 }
 
-// Spare returns how many tokens the node could still lend.
-func (s *Share) Spare(account string) int64 {
+// Lendable returns how many tokens the node could still lend.
+func (s *Share) Lendable(account string) int64 {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,12 +146,12 @@
 // inTouch tells whether a report would soon be acknowledged, for all that is known: the
 // last one was, or is under way. Without the store, waiting for one costs a caller or a
 // borrower the time in which another node would serve it. Caller holds mu.
-func (s *Share) inTouch(now Reading) bool {
+func (s *Share) inTouch(now ClockReading) bool {
 	return !s.open || now.Boot-s.acked.from.Boot <= growsAfter
 }
 
 // limit is what the incarnation may use of a line now. Caller holds mu.
-func (s *Share) limit(l *line, now Reading) int64 {
+func (s *Share) limit(l *line, now ClockReading) int64 {
 	return min(s.acked.limit(l.acked, l.ceiling, now), s.composed.limit(l.composed, l.ceiling, now))
 }
 
@@ -178,27 +178,27 @@
 	}
 	r = Report{
 		Node: s.holder.Node, Region: s.holder.Region, Capacity: s.holder.Capacity, Incarnation: s.holder.Incarnation, BootID: s.holder.BootID,
-		SentTimeMs: now.TimeOfDay.Milliseconds(), FromMs: s.composed.from.Boot.Milliseconds(),
-		FromTimeMs: s.composed.from.TimeOfDay.Milliseconds(), OpensAfterMs: s.composed.opensAfter.Milliseconds(),
-		SeenEpoch: s.seenEpoch, Ended: s.ended, Predecessors: s.predecessors,
+		SentTimeMs: now.Wall.Milliseconds(), StartBootMs: s.composed.from.Boot.Milliseconds(),
+		StartTimeMs: s.composed.from.Wall.Milliseconds(), LimitTTLMs: s.composed.opensAfter.Milliseconds(),
+		AppliedEpoch: s.seenEpoch, Ended: s.ended, Predecessors: s.predecessors,
 	}
 	for name, l := range s.lines {
 		if l.idle() {
 			continue
 		}
 		l.decay(now.Boot, s.settings.RateWindow)
-		r.Lines = append(r.Lines, ReportLine{Account: name, Spent: l.spent, Held: l.held,
-			Drawn: l.composed.drawn, Pace: l.composed.pace, Ceiling: l.ceiling, Rate: int64(l.rate)})
+		r.Lines = append(r.Lines, ReportLine{Account: name, Spent: l.spent, Reserved: l.held,
+			InitialLimit: l.composed.drawn, Growth: l.composed.pace, Ceiling: l.ceiling, DemandRate: int64(l.rate)})
 	}
 	return r, fresh
 }
 
 // promise makes a new promise. Caller holds mu.
-func (s *Share) promise(now Reading) {
+func (s *Share) promise(now ClockReading) {
 	s.open = true
 	// Reports hold milliseconds; the share keeps to the same figures.
-	from := Reading{Boot: now.Boot.Truncate(time.Millisecond), TimeOfDay: now.TimeOfDay.Truncate(time.Millisecond)}
-	s.composed = promise{from: from, opensAfter: s.settings.OpensAfter}
+	from := ClockReading{Boot: now.Boot.Truncate(time.Millisecond), Wall: now.Wall.Truncate(time.Millisecond)}
+	s.composed = promise{from: from, opensAfter: s.settings.LimitTTL}
 	for _, l := range s.lines {
 		l.decay(now.Boot, s.settings.RateWindow)
 		l.composed = pledge{}
@@ -239,22 +239,22 @@
 	for _, gl := range g.Lines {
 		l := s.line(gl.Account)
 		l.ceiling = max(gl.Ceiling, l.used())
-		l.left, l.prepaid, l.hasLeft = gl.Left, gl.Prepaid, true
+		l.left, l.prepaid, l.hasLeft = gl.Remaining, gl.Prepaid, true
 	}
 	return true
 }
 
-// NoteLeft takes over what the fleet could still use of an account, as a grant to any
+// SetRemaining takes over what the fleet could still use of an account, as a grant to any
 // node tells it.
-func (s *Share) NoteLeft(account string, left, prepaid int64) {
+func (s *Share) SetRemaining(account string, left, prepaid int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.line(account)
 	l.left, l.prepaid, l.hasLeft = left, prepaid, true
 }
 
-// Holds tells whether the node has a part of an account.
-func (s *Share) Holds(account string) bool {
+// HasAllocation tells whether the node has a part of an account.
+func (s *Share) HasAllocation(account string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.line(account).ceiling > 0
@@ -275,8 +275,8 @@
 	return false
 }
 
-// Holding tells whether the share has anything to report.
-func (s *Share) Holding() bool {
+// Reportable tells whether the share has anything to report.
+func (s *Share) Reportable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.lines {
@@ -305,21 +305,21 @@
 // FirstGrant returns a channel that is closed once any grant has arrived.
 func (s *Share) FirstGrant() <-chan struct{} { return s.granted }
 
-// Standing is an account's figures on this node, for logs.
-type Standing struct {
-	Spent, Held, Limit, Ceiling, Left int64
-	// PromiseAge is how long ago the limits began to grow.
-	PromiseAge time.Duration
+// AccountStatus is an account's figures on this node, for logs.
+type AccountStatus struct {
+	Spent, Reserved, Limit, Ceiling, Remaining int64
+	// LimitAge is how long ago the limits began to grow.
+	LimitAge time.Duration
 }
 
-// Standing returns an account's figures.
-func (s *Share) Standing(account string) Standing {
+// Status returns an account's figures.
+func (s *Share) Status(account string) AccountStatus {
 	now := s.clocks.Read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.line(account)
-	return Standing{Spent: l.spent, Held: l.held, Limit: s.limit(l, now), Ceiling: l.ceiling,
-		Left: l.left, PromiseAge: now.Boot - s.composed.from.Boot}
+	return AccountStatus{Spent: l.spent, Reserved: l.held, Limit: s.limit(l, now), Ceiling: l.ceiling,
+		Remaining: l.left, LimitAge: now.Boot - s.composed.from.Boot}
 }
 
 func (s *Share) line(account string) *line {
--- a/prepaid/want.go
+++ b/prepaid/want.go
@@ -37,8 +37,8 @@
 		}
 		w := want{node: m.Report.Node, region: m.Report.Region, need: a.settings.MinCeiling, large: 2*m.Report.Capacity >= most}
 		if l := findLine(&m.Report, name); l != nil {
-			w.used = l.Spent + l.Held
-			w.rate = float64(l.Rate)
+			w.used = l.Spent + l.Reserved
+			w.rate = float64(l.DemandRate)
 		}
 		if e, ok := acc.entries[w.node]; ok {
 			w.used = min(w.used, e.committed)
@@ -135,7 +135,7 @@
 func (a *Allocator) needs(holders []*want, region []*want) {
 	even := demand(region) / float64(len(holders))
 	for _, w := range holders {
-		w.need = max(w.need, int64(max(w.rate, even)*a.settings.Horizon.Seconds()))
+		w.need = max(w.need, int64(max(w.rate, even)*a.settings.DemandHorizon.Seconds()))
 	}
 }
 
@@ -145,7 +145,7 @@
 		return 0
 	}
 	left := float64(available) / float64(prepaid)
-	held := int64((a.settings.SpreadLeast + a.settings.SpreadSlope*left) * float64(available))
+	held := int64((a.settings.MinDistributedFraction + a.settings.DistributedSlope*left) * float64(available))
 	// What is kept back of an account that is nearly used up would never serve anybody:
 	// each part would stay below one prompt.
 	return max(held, min(available, a.settings.MinCeiling))
@@ -161,7 +161,7 @@
 	}
 	for i := range wants {
 		if w := &wants[i]; w.need > 0 {
-			w.need = max(w.need, int64(a.settings.PlentyShare*float64(held))/holders)
+			w.need = max(w.need, int64(a.settings.MinNeededFraction*float64(held))/holders)
 		}
 	}
 }
--- a/recovery/outcome.go
+++ b/recovery/outcome.go
@@ -57,7 +57,7 @@
 		return worstCaseAfterWait(open, waited)
 	}
 	if report, err = engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs()); err == nil && report.State == upstream.UsageFinished {
-		return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+		return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 	}
 	return worstCaseAfterWait(open, waited)
 }
@@ -66,7 +66,7 @@
 // an undecided outcome if neither has finished it.
 func knownOutcome(ctx context.Context, engines Engines, open *fleetv1.OpenRequest) outcome {
 	if open.GetFinished() {
-		return outcome{budget.BilledTo(open, open.GetUsed()), fromNode}
+		return outcome{budget.BilledTokens(open, open.GetUsed()), fromNode}
 	}
 	if !engines.ReportsUsage(open.GetUpstream()) {
 		return outcome{}
@@ -75,7 +75,7 @@
 	if err != nil || report.State != upstream.UsageFinished {
 		return outcome{}
 	}
-	return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+	return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 }
 
 func worstCaseAfterWait(open *fleetv1.OpenRequest, waited time.Duration) outcome {
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -88,7 +88,7 @@
 func (s *SilentSettler) settle(incarnation string) {
 	var settlements []*recordv1.Settlement
 	for _, open := range s.config.Store.Finished(incarnation) {
-		if billed := budget.BilledTo(open, open.GetUsed()); billed > 0 {
+		if billed := budget.BilledTokens(open, open.GetUsed()); billed > 0 {
 			settlements = append(settlements, &recordv1.Settlement{Request: open.GetRequest(), Budget: open.GetBudget(), Tokens: billed})
 		}
 	}
--- a/witness/replicator.go
+++ b/witness/replicator.go
@@ -141,7 +141,7 @@
 	if entry == nil {
 		return
 	}
-	if budget.BilledTo(entry, used) == 0 {
+	if budget.BilledTokens(entry, used) == 0 {
 		r.remove(request)
 		r.first.queueForget(request)
 		r.second.queueForget(request)
