--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -17,8 +17,7 @@
 
 const leavingAddress = "127.0.0.1:1"
 
-// slowList answers each question with what it holds at that moment, after a delay that
-// the test sets.
+// slowList answers each request after a delay with the state at the time of the request.
 type slowList struct {
 	mu    sync.Mutex
 	state platformv1.InstanceState
@@ -51,8 +50,8 @@
 	return i
 }
 
-// The platform answers slowly for hours. An upstream that leaves must be seen as soon as
-// an answer can tell, or it is sent work until it is gone.
+// Guards against polling that waits for slow responses: a leaving upstream must be detected
+// within one interval and one response time, or it is sent work until it is gone.
 func TestSlowListStillReportsLeavingUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -65,8 +64,8 @@
 	})
 }
 
-// An answer from before an upstream began to leave comes after one that shows it. It must
-// not bring the upstream back for the time until the next answer.
+// Guards against out-of-order responses: one from before an upstream began to leave arrives
+// after one that shows it leaving, and must not make the upstream available again.
 func TestOutdatedListReplyIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/membership/hear.go
+++ b/membership/receive.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// trustDirect is how long an own answer outweighs what others suspect.
-	trustDirect = 3 * time.Second
+	// directAnswerPriority is how long a member's own answer outweighs suspicions by others.
+	directAnswerPriority = 3 * time.Second
 )
 
-// ApplyViews takes in the views of a message that sender itself sent, its own view first.
-// It returns whether any of it is news to pass on at once. A view of a member that
-// isn't known here, and is only named by its number, says nothing.
+// ApplyViews applies the views of a message from sender, the sender's own view first.
+// It reports whether any of them is an update to push at once. Views whose member ID is
+// unknown here are ignored.
 func (t *Table) ApplyViews(now time.Time, sender string, views []*fleetv1.PeerView) bool {
 	urgent := false
 	for _, view := range views {
-		node := t.nodeOf(view)
+		node := t.resolveNode(view)
 		if node == nil {
 			continue
 		}
@@ -26,15 +26,15 @@
 		case t.self.GetIncarnation():
 			urgent = t.refute(view) || urgent
 		case sender:
-			urgent = t.direct(now, node, view) || urgent
+			urgent = t.applyDirect(now, node, view) || urgent
 		default:
-			urgent = t.told(now, node, view) || urgent
+			urgent = t.applyIndirect(now, node, view) || urgent
 		}
 	}
 	return urgent
 }
 
-// refute answers a suspicion against this node by a higher beat.
+// refute answers a suspicion of this node by raising its beat.
 func (t *Table) refute(view *fleetv1.PeerView) bool {
 	if !view.GetSuspect() || view.GetBeat() < t.beat {
 		return false
@@ -43,8 +43,8 @@
 	return true
 }
 
-// direct takes in what a member said of itself.
-func (t *Table) direct(now time.Time, node *recordv1.NodeInfo, view *fleetv1.PeerView) bool {
+// applyDirect applies a member's view of itself.
+func (t *Table) applyDirect(now time.Time, node *recordv1.NodeInfo, view *fleetv1.PeerView) bool {
 	m := t.members[node.GetIncarnation()]
 	if m == nil {
 		if !t.admits(node) {
@@ -52,54 +52,53 @@
 		}
 		m = t.add(now, node)
 	}
-	t.answered = now
-	m.heard = now
+	t.lastAnswer = now
+	m.lastHeard = now
 	m.InFlight = view.GetInFlight()
 	m.ConfigOffset = max(m.ConfigOffset, view.GetConfigOffset())
-	urgent := t.announced(m, view)
+	urgent := t.applyDraining(m, view)
 	m.beat = max(m.beat, view.GetBeat())
 	if m.Suspect {
-		t.returned(now, m)
+		t.clearSuspicion(now, m)
 		urgent = true
 	}
 	if urgent {
-		m.news = t.spread()
+		m.retransmits = t.retransmitLimit()
 	}
 	return urgent
 }
 
-// told takes in what one member said of another one.
-func (t *Table) told(now time.Time, node *recordv1.NodeInfo, view *fleetv1.PeerView) bool {
+// applyIndirect applies one member's view of another.
+func (t *Table) applyIndirect(now time.Time, node *recordv1.NodeInfo, view *fleetv1.PeerView) bool {
 	m := t.members[node.GetIncarnation()]
-	if m == nil && !view.GetSuspect() && t.unheardOf(node) {
+	if m == nil && !view.GetSuspect() && t.admitsIndirect(node) {
 		m = t.add(now, node)
 	}
 	if m == nil || view.GetBeat() < m.beat {
 		return false
 	}
 	m.ConfigOffset = max(m.ConfigOffset, view.GetConfigOffset())
-	if now.Sub(m.heard) > trustDirect {
+	if now.Sub(m.lastHeard) > directAnswerPriority {
 		m.InFlight = view.GetInFlight()
 	}
-	urgent := t.announced(m, view)
+	urgent := t.applyDraining(m, view)
 	switch {
-	case view.GetSuspect() && !m.Suspect && now.Sub(m.heard) > trustDirect:
+	case view.GetSuspect() && !m.Suspect && now.Sub(m.lastHeard) > directAnswerPriority:
 		t.suspect(m)
 		urgent = true
-	case !view.GetSuspect() && m.Suspect && (view.GetBeat() > m.beat || m.private):
-		t.returned(now, m)
+	case !view.GetSuspect() && m.Suspect && (view.GetBeat() > m.beat || m.localSuspicion):
+		t.clearSuspicion(now, m)
 		urgent = true
 	}
 	m.beat = view.GetBeat()
 	if urgent {
-		m.news = t.spread()
+		m.retransmits = t.retransmitLimit()
 	}
 	return urgent
 }
 
-// announced takes over what a member announced under a higher beat: that it serves,
-// or that it leaves.
-func (t *Table) announced(m *Member, view *fleetv1.PeerView) bool {
+// applyDraining applies a change of a member's draining state that has a higher beat.
+func (t *Table) applyDraining(m *Member, view *fleetv1.PeerView) bool {
 	if view.GetBeat() <= m.beat || view.GetDraining() == m.Draining {
 		return false
 	}
@@ -107,13 +106,13 @@
 	return true
 }
 
-// unheardOf tells whether a node that only others know of may be entered: its
-// address must be free, since hearsay doesn't tell which of two came later.
-func (t *Table) unheardOf(node *recordv1.NodeInfo) bool {
+// admitsIndirect reports whether a node known only through others may be added: its
+// address must be free, since an indirect view doesn't show which of two nodes is newer.
+func (t *Table) admitsIndirect(node *recordv1.NodeInfo) bool {
 	return t.admits(node) && !t.HasAddress(node.GetPeerAddress())
 }
 
-// admits tells whether a node can be another one than this, and hasn't ended.
+// admits reports whether a node isn't this one and hasn't ended.
 func (t *Table) admits(node *recordv1.NodeInfo) bool {
 	address := node.GetPeerAddress()
 	return address != "" && address != t.self.GetPeerAddress() && !t.ended[node.GetIncarnation()]
