--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -50,7 +50,7 @@
 	// rosterTried is closed once the first reading of the nodes' records has ended.
 	rosterTried chan struct{}
 	// copies holds the newest records of topics, by name, for nodes of the data centre.
-	copies map[string]*peerfetch.Copy
+	copies map[string]*peerfetch.Replica
 	loops  sync.WaitGroup
 	// stop ends the loops.
 	stop context.CancelFunc
@@ -62,7 +62,7 @@
 func Start(ctx context.Context, settings Settings, deps Deps) (*Node, error) {
 	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, rosterTried: make(chan struct{}),
 		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), begun: deps.Clock.Now()}
-	n.copies = map[string]*peerfetch.Copy{configTopic: peerfetch.NewCopy(deps.Clock), upstreamTopic: peerfetch.NewCopy(deps.Clock)}
+	n.copies = map[string]*peerfetch.Replica{configTopic: peerfetch.NewReplica(deps.Clock), upstreamTopic: peerfetch.NewReplica(deps.Clock)}
 	if settings.Capacity < smallCapacity {
 		periodic.Pause(ctx, rand.N(smallStartDelay))
 	}
@@ -85,8 +85,8 @@
 		Clock: deps.Clock, Catalog: n.catalog, Directory: n.directory,
 		Picker: placement.NewPicker(placement.DefaultSettings(), settings.Regions),
 		Share:  n.share, Upstreams: deps.Upstreams, Events: deps.Events, Metrics: deps.Metrics,
-		Borrower: lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
-		Report:   n.report, Nodes: n.nodes, Repeats: settings.Repeats,
+		Borrower:    lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
+		ReportUsage: n.report, LiveNodes: n.nodes, RetryLimits: settings.Repeats,
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
 	grants := grantPace
@@ -171,7 +171,7 @@
 
 // record is what the node writes about itself.
 func (n *Node) record() presence.Record {
-	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, Peer: n.settings.Peer,
-		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeMs(),
+	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, PeerAddress: n.settings.Peer,
+		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreWriteMs: n.storeMs(),
 		Ready: n.Ready(), Leaving: n.leaving.Load()}
 }
