--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -167,8 +167,8 @@
 // answering answers each request at once.
 type answering struct{}
 
-func (answering) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Answer, error) {
-	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
+func (answering) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Response, error) {
+	return &gateway.Response{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
 }
 
 // noLender reaches no other node.
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -85,8 +85,8 @@
 		Clock: deps.Clock, Catalog: n.catalog, Directory: n.directory,
 		Picker: placement.NewPicker(placement.DefaultSettings(), settings.Regions),
 		Share:  n.share, Upstreams: deps.Upstreams, Events: deps.Events, Metrics: deps.Metrics,
-		Borrower: lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
-		Report:   n.report, Nodes: n.nodes, Repeats: settings.Repeats,
+		Borrower:    lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
+		ReportUsage: n.report, LiveNodes: n.nodes, RetryLimits: settings.Repeats,
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
 	grants := grantPace
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -14,7 +14,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// call is one request under way.
+// call is the state of one request in progress.
 type call struct {
 	g       *Gateway
 	r       *Request
@@ -24,41 +24,40 @@
 	service *catalog.Service
 	account *catalog.Account
 
-	// reserved is the tokens set aside; zero if the account isn't limited.
+	// reserved is the number of tokens reserved; zero if the account is not limited.
 	reserved int64
-	// loan is set where another node reserved the tokens.
+	// loan is set if another node reserved the tokens.
 	loan *lending.Loan
-	// tally is how asking other nodes went.
-	tally lending.BorrowStats
-	// sends counts sends, ran those after which the request may have run.
-	sends, ran int
-	tried      []*directory.Upstream
-	// upstream is the one that the request was last sent to, sentAt when.
-	upstream *directory.Upstream
-	sentAt   time.Duration
-	// repeatTaken tells that the budget for repeats has granted the next send already.
-	repeatTaken atomic.Bool
-	// started tells that the answer's head is on its way to the caller.
-	started bool
-	// gone tells that writing to the caller failed.
-	gone bool
-	// events counts delivered events, lastEvent is the last one's number.
+	// borrowStats describes the requests for tokens made to other nodes.
+	borrowStats lending.BorrowStats
+	// sends counts sends; possibleRuns counts those after which the request may have run.
+	sends, possibleRuns int
+	tried               []*directory.Upstream
+	// upstream is the one the request was last sent to, at lastSentAt.
+	upstream   *directory.Upstream
+	lastSentAt time.Duration
+	// retryTaken reports that the retry budget has already granted the next send.
+	retryTaken atomic.Bool
+	// responseStarted reports that the status and headers have been passed to the caller.
+	responseStarted bool
+	// callerGone reports that writing to the caller failed.
+	callerGone bool
+	// events counts delivered events; lastEvent is the ID of the last one.
 	events int64
-	// firstEvent is the time from arrival to the first event, longestGap the longest
-	// pause between two events since, lastAt the arrival of the last one.
-	firstEvent, longestGap, lastAt time.Duration
-	lastEvent                      int64
-	hasEvent                       bool
-	// fallback is an upstream's failure that is passed on if no other upstream does
-	// better.
-	fallback *heldAnswer
+	// firstEvent is the time from arrival to the first event, longestGap the longest pause
+	// between two later events, lastEventAt the arrival of the last one.
+	firstEvent, longestGap, lastEventAt time.Duration
+	lastEvent                           int64
+	hasEvent                            bool
+	// fallback is an upstream's error response, forwarded if no other upstream does better.
+	fallback *bufferedResponse
 	outcome  string
 }
 
 // admit decides whether the request may be sent at all.
 func (c *call) admit(ctx context.Context) *result.Error {
 	if c.view = c.g.awaitConfig(ctx, c.r.TimeLeft); c.view == nil {
-		return result.New(result.NotServing, "no configuration is known yet").After(c.g.settings.StartRetry)
+		return result.New(result.NotServing, "no configuration is known yet").After(c.g.settings.StartupRetryAfter)
 	}
 	c.route = c.view.Match(c.r.Host, c.r.Path)
 	if c.route == nil {
@@ -69,71 +68,72 @@
 			return result.New(result.UnknownKey, "the key belongs to no client account")
 		}
 	}
-	if c.service = c.view.Service(c.route.Choose(draw())); c.service == nil {
-		return result.New(result.NoUpstream, "the route has no service").After(c.g.settings.BusyRetry)
+	if c.service = c.view.Service(c.route.Choose(random())); c.service == nil {
+		return result.New(result.NoUpstream, "the route has no service").After(c.g.settings.BusyRetryAfter)
 	}
-	if c.left() < c.g.settings.MinSend {
-		return result.New(result.Overloaded, "too little time is left").After(c.g.settings.BusyRetry)
+	if c.timeLeft() < c.g.settings.MinTimeLeft {
+		return result.New(result.Overloaded, "too little time is left").After(c.g.settings.BusyRetryAfter)
 	}
 	return c.reserve(ctx)
 }
 
-// reserve sets the request's largest use aside.
+// reserve reserves the most tokens that the request can use.
 func (c *call) reserve(ctx context.Context) *result.Error {
-	if c.account == nil || !c.account.HasPrepaid || c.service.Engine == nil || c.r.most() == 0 {
+	if c.account == nil || !c.account.HasPrepaid || c.service.Engine == nil || c.r.maxTokens() == 0 {
 		return nil
 	}
 	c.awaitFirstGrant(ctx)
-	verdict := c.g.Share.Reserve(c.account.Name, c.r.most(), c.account.Prepaid)
-	if verdict == prepaid.ReportRequired {
-		verdict = c.reserveAfterReport(ctx)
+	outcome := c.g.Share.Reserve(c.account.Name, c.r.maxTokens(), c.account.Prepaid)
+	if outcome == prepaid.ReportRequired {
+		outcome = c.reserveAfterReport(ctx)
 	}
-	if verdict == prepaid.Insufficient && c.borrow(ctx) {
+	if outcome == prepaid.Insufficient && c.borrow(ctx) {
 		return nil
 	}
-	switch verdict {
+	switch outcome {
 	case prepaid.Reserved:
-		c.reserved = c.r.most()
+		c.reserved = c.r.maxTokens()
 		return nil
 	case prepaid.Exhausted:
 		return result.New(result.BudgetSpent, "the account's remaining tokens don't cover the request")
 	default:
-		return result.New(result.BudgetReserved, "this node's part of the account's tokens doesn't cover the request now").After(c.shortRetry())
+		return result.New(result.BudgetReserved, "this node's part of the account's tokens doesn't cover the request now").After(c.shortageRetryAfter())
 	}
 }
 
-func (c *call) shortRetry() time.Duration {
-	if c.tally.KnownShortage || c.tally.Asked > c.tally.Unanswered {
-		return c.g.settings.ScarceRetry
+func (c *call) shortageRetryAfter() time.Duration {
+	if c.borrowStats.KnownShortage || c.borrowStats.Asked > c.borrowStats.Unanswered {
+		return c.g.settings.FleetShortageRetryAfter
 	}
-	return c.g.settings.ShortRetry
+	return c.g.settings.LocalShortageRetryAfter
 }
 
-// borrow has another node reserve the tokens. Without it a node whose part of an account
-// is used up refuses while others hold plenty, most of all while the store is out of
-// reach and no part can be moved.
+// borrow has another node reserve the tokens. Otherwise a node that has used up its share of an
+// account would refuse requests while other nodes hold plenty, above all while the store is
+// unreachable and shares cannot be moved.
 func (c *call) borrow(ctx context.Context) bool {
-	loan, tally, ok := c.g.Borrower.Borrow(ctx, c.account.Name, c.r.most(), c.g.Share.HasAllocation(c.account.Name))
-	c.tally = tally
+	loan, stats, ok := c.g.Borrower.Borrow(ctx, c.account.Name, c.r.maxTokens(), c.g.Share.HasAllocation(c.account.Name))
+	c.borrowStats = stats
 	if !ok {
 		return false
 	}
 	c.loan = &loan
-	c.g.Events.Record(event.PartBorrowed, "request", c.r.ID, "account", c.account.Name, "lender", loan.Peer.Node, "tokens", c.r.most())
+	c.g.Events.Record(event.PartBorrowed, "request", c.r.ID, "account", c.account.Name, "lender", loan.Peer.Node, "tokens", c.r.maxTokens())
 	return true
 }
 
 func (c *call) reserveAfterReport(ctx context.Context) prepaid.Outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.g.settings.ReportWait)
+	ctx, cancel := context.WithTimeout(ctx, c.g.settings.ReportTimeout)
 	defer cancel()
-	if err := c.g.Report(ctx); err != nil {
-		return prepaid.Insufficient // the reporter logs why
+	if err := c.g.ReportUsage(ctx); err != nil {
+		return prepaid.Insufficient // the reporter logs the error
 	}
-	return c.g.Share.Reserve(c.account.Name, c.r.most(), c.account.Prepaid)
+	return c.g.Share.Reserve(c.account.Name, c.r.maxTokens(), c.account.Prepaid)
 }
 
-// left is the time until the caller or the operator wants an answer at the latest.
-func (c *call) left() time.Duration {
+// timeLeft returns the time until the deadline of the caller or of the route, whichever is
+// earlier.
+func (c *call) timeLeft() time.Duration {
 	limit := c.route.Timeout
 	if c.r.TimeLeft > 0 && (limit <= 0 || c.r.TimeLeft < limit) {
 		limit = c.r.TimeLeft
@@ -144,10 +144,10 @@
 	return limit - c.g.since(c.r.Arrived)
 }
 
-// defaultTimeout bounds requests whose route and caller name none.
+// defaultTimeout applies if neither the route nor the caller sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// settle books what the request used and writes its closing line.
+// settle settles the tokens that the request used and records its final event.
 func (c *call) settle() {
 	used := c.used()
 	if c.reserved > 0 {
@@ -156,16 +156,16 @@
 	if c.loan != nil {
 		go c.g.Borrower.Settle(*c.loan, used)
 	}
-	c.g.Metrics.finish(c.route.Name, c.outcome, c.g.since(c.r.Arrived))
+	c.g.Metrics.recordFinished(c.route.Name, c.outcome, c.g.since(c.r.Arrived))
 	c.g.Events.Record(event.RequestEnded, "request", c.r.ID, "route", c.route.Name, "account", c.accountName(),
 		"config", c.view.Version, "outcome", c.outcome, "sends", c.sends, "events", c.events, "first_ms", c.firstEvent.Milliseconds(), "gap_ms", c.longestGap.Milliseconds(), "upstream", c.lastUpstream(),
 		"reserved", c.reserved, "used", used, "ms", c.g.since(c.r.Arrived).Milliseconds())
 }
 
-// used is the tokens that count against the account: nothing if the request surely
-// didn't run, otherwise its prompt and what was delivered.
+// used returns the tokens charged to the account: none if the request certainly did not run,
+// otherwise its prompt and the delivered output.
 func (c *call) used() int64 {
-	if c.ran == 0 || c.service.Engine == nil {
+	if c.possibleRuns == 0 || c.service.Engine == nil {
 		return 0
 	}
 	return c.r.PromptTokens + min(c.r.MaxOutput, c.events*int64(c.service.Engine.TokensPerEvent))
@@ -190,7 +190,7 @@
 		PromptTokens: int(c.r.PromptTokens), Prefix: c.r.Prefix, Tried: c.tried}
 }
 
-// refuse answers for the fleet and logs why.
+// refuse responds with an error and records the reason.
 func (c *call) refuse(e *result.Error) {
 	pairs := []any{"request", c.r.ID, "code", uint32(e.Code), "reason", e.Message, event.RetryAfterField, e.RetryAfter, "sends", c.sends}
 	if c.view != nil {
@@ -198,11 +198,11 @@
 	}
 	if c.account != nil && c.account.HasPrepaid {
 		s := c.g.Share.Status(c.account.Name)
-		pairs = append(pairs, "account", c.account.Name, "tokens", c.r.most(), "spent", s.Spent, "held", s.Reserved,
+		pairs = append(pairs, "account", c.account.Name, "tokens", c.r.maxTokens(), "spent", s.Spent, "held", s.Reserved,
 			"limit", s.Limit, "ceiling", s.Ceiling, "left", s.Remaining, "prepaid", c.account.Prepaid, "promise_age", s.LimitAge,
-			"lenders", c.tally.Lenders, "asked", c.tally.Asked, "asks_lost", c.tally.Unanswered, "known_short", c.tally.KnownShortage)
+			"lenders", c.borrowStats.Lenders, "asked", c.borrowStats.Asked, "asks_lost", c.borrowStats.Unanswered, "known_short", c.borrowStats.KnownShortage)
 	}
 	c.g.Events.Record(event.RequestRefused, pairs...)
-	c.g.Metrics.refuse(e.Code)
+	c.g.Metrics.recordRefused(e.Code)
 	c.sink.Refuse(e)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,7 +16,7 @@
 	"lavenderpin.dev/lavenderpin/repeats"
 )
 
-// Deps are what a gateway works with.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	Clock     bootclock.Clock
 	Catalog   *catalog.Holder
@@ -26,15 +26,15 @@
 	Upstreams Upstreams
 	Events    *event.Recorder
 	Metrics   *Metrics
-	// Borrower borrows from other nodes' shares.
+	// Borrower borrows tokens from other nodes' shares.
 	Borrower *lending.Borrower
-	// Report reports the share's use at once and returns when that is acknowledged.
-	Report func(context.Context) error
-	// Nodes is how many nodes serve now.
-	Nodes      func() int
-	Repeats    repeats.Limits
-	DataCentre string
-	Region     string
+	// ReportUsage reports the share's usage immediately and returns once it is acknowledged.
+	ReportUsage func(context.Context) error
+	// LiveNodes returns the number of nodes that currently serve.
+	LiveNodes   func() int
+	RetryLimits repeats.Limits
+	DataCentre  string
+	Region      string
 }
 
 // Gateway serves requests. It is safe for concurrent use.
@@ -42,17 +42,17 @@
 	Deps
 	settings Settings
 
-	mu      sync.Mutex
-	budgets map[string]*repeats.Budget
+	mu           sync.Mutex
+	retryBudgets map[string]*repeats.Budget
 }
 
 // New returns a gateway.
 func New(settings Settings, deps Deps) *Gateway {
-	return &Gateway{Deps: deps, settings: settings, budgets: make(map[string]*repeats.Budget)}
+	return &Gateway{Deps: deps, settings: settings, retryBudgets: make(map[string]*repeats.Budget)}
 }
 
-// Serve answers one request. It returns when the answer has ended, or when ctx has,
-// which the caller's leaving ends.
+// Serve handles one request. It returns when the response has ended or ctx is done; ctx is
+// canceled when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, r *Request, sink Sink) {
 	c := &call{g: g, r: r, sink: sink}
 	if refusal := c.admit(ctx); refusal != nil {
@@ -60,24 +60,24 @@
 		return
 	}
 	defer c.settle()
-	g.repeats(c.service.Name).Request()
-	ctx, cancel := context.WithTimeout(ctx, c.left())
+	g.retryBudget(c.service.Name).Request()
+	ctx, cancel := context.WithTimeout(ctx, c.timeLeft())
 	defer cancel()
 	c.run(ctx)
 }
 
-func (g *Gateway) repeats(service string) *repeats.Budget {
+func (g *Gateway) retryBudget(service string) *repeats.Budget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b, ok := g.budgets[service]
+	b, ok := g.retryBudgets[service]
 	if !ok {
-		b = repeats.NewBudget(g.Deps.Repeats, g.Clock)
-		g.budgets[service] = b
+		b = repeats.NewBudget(g.Deps.RetryLimits, g.Clock)
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-func draw() float64 { return rand.Float64() }
+func random() float64 { return rand.Float64() }
 
-// since returns the time since a reading of the boot clock.
+// since returns the time elapsed since a boot clock reading.
 func (g *Gateway) since(at time.Duration) time.Duration { return g.Clock.Now() - at }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,59 +26,59 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// script decides how an upstream answers.
-type script func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error)
+// responder determines how an upstream responds.
+type responder func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error)
 
-// upstreams is a fake that records what was sent.
-type upstreams struct {
+// fakeUpstreams records what was sent.
+type fakeUpstreams struct {
 	mu     sync.Mutex
 	sent   []*Dispatch
-	script script
+	script responder
 }
 
-func (f *upstreams) Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
+func (f *fakeUpstreams) Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, d)
 	f.mu.Unlock()
 	return f.script(ctx, u, d)
 }
 
-// caller is a sink that records what the caller got.
-type caller struct {
+// recordingSink records what the caller received.
+type recordingSink struct {
 	refusal *result.Error
 	status  int
 	body    strings.Builder
 	aborted bool
-	// gone makes writes fail.
-	gone bool
+	// failWrites makes writes fail.
+	failWrites bool
 }
 
-func (c *caller) Refuse(e *result.Error)                   { c.refusal = e }
-func (c *caller) Start(status int, _ http.Header, _ int64) { c.status = status }
-func (c *caller) Flush() error                             { return nil }
-func (c *caller) Abort()                                   { c.aborted = true }
-func (c *caller) Write(p []byte) error {
-	if c.gone {
+func (c *recordingSink) Refuse(e *result.Error)                   { c.refusal = e }
+func (c *recordingSink) Start(status int, _ http.Header, _ int64) { c.status = status }
+func (c *recordingSink) Flush() error                             { return nil }
+func (c *recordingSink) Abort()                                   { c.aborted = true }
+func (c *recordingSink) Write(p []byte) error {
+	if c.failWrites {
 		return errors.New("gone")
 	}
 	c.body.Write(p)
 	return nil
 }
 
-// bed is a gateway between fakes.
-type bed struct {
+// testGateway is a gateway with fake dependencies.
+type testGateway struct {
 	*Gateway
-	up    *upstreams
-	clock *bootclock.Fake
-	share *prepaid.Share
+	upstreams *fakeUpstreams
+	clock     *bootclock.Fake
+	share     *prepaid.Share
 }
 
 const window = 10 * time.Second
 
-func newBed(extra float64, s script) *bed {
+func newTestGateway(extra float64, respond responder) *testGateway {
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
-	b := &bed{up: &upstreams{script: s}, clock: clock}
+	tg := &testGateway{upstreams: &fakeUpstreams{script: respond}, clock: clock}
 	holder := &catalog.Holder{}
 	route := func(name string, kind catalog.Kind, attempts int, resumable bool) *catalog.Route {
 		return &catalog.Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: 5 * time.Second, Objective: 100 * time.Millisecond,
@@ -91,32 +91,32 @@
 	for i := range 4 {
 		table.Put(directory.Entry{ID: fmt.Sprintf("u%d", i), Service: "s", DataCentre: "dc", Slots: 4, State: directory.Ready})
 	}
-	b.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
-	b.share.Apply(prepaid.Grant{Node: "n", Incarnation: "i", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "one", Ceiling: 500_000, Remaining: 1_000_000, Prepaid: 1_000_000}}})
-	report := func(context.Context) error { b.share.Compose(); b.share.Acknowledge(); return nil }
-	b.Gateway = New(DefaultSettings(), Deps{Clock: clock, Catalog: holder, Directory: table, Picker: placement.NewPicker(placement.DefaultSettings(), nil),
-		Share: b.share, Upstreams: b.up, Events: event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 64, log.NewNopLogger()), Metrics: NewMetrics(false),
-		Borrower: lending.NewBorrower(nil, clock, "n", func(string) []lending.Peer { return nil }), Report: report, Nodes: func() int { return 1 },
-		Repeats: repeats.Limits{Ratio: 0.2, Extra: extra, Window: window}, DataCentre: "dc", Region: "r"})
-	return b
+	tg.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
+	tg.share.Apply(prepaid.Grant{Node: "n", Incarnation: "i", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "one", Ceiling: 500_000, Remaining: 1_000_000, Prepaid: 1_000_000}}})
+	report := func(context.Context) error { tg.share.Compose(); tg.share.Acknowledge(); return nil }
+	tg.Gateway = New(DefaultSettings(), Deps{Clock: clock, Catalog: holder, Directory: table, Picker: placement.NewPicker(placement.DefaultSettings(), nil),
+		Share: tg.share, Upstreams: tg.upstreams, Events: event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 64, log.NewNopLogger()), Metrics: NewMetrics(false),
+		Borrower: lending.NewBorrower(nil, clock, "n", func(string) []lending.Peer { return nil }), ReportUsage: report, LiveNodes: func() int { return 1 },
+		RetryLimits: repeats.Limits{Ratio: 0.2, Extra: extra, Window: window}, DataCentre: "dc", Region: "r"})
+	return tg
 }
 
-func (b *bed) serve(ctx context.Context, route string) *caller {
-	c := &caller{}
-	b.Serve(ctx, b.request(route), c)
+func (tg *testGateway) serve(ctx context.Context, route string) *recordingSink {
+	c := &recordingSink{}
+	tg.Serve(ctx, tg.request(route), c)
 	return c
 }
 
-func (b *bed) request(route string) *Request {
+func (tg *testGateway) request(route string) *Request {
 	return &Request{ID: "id", Method: http.MethodPost, Target: "/" + route + "/", Path: "/" + route + "/", Host: "h", Key: "k",
-		TimeLeft: 4 * time.Second, Arrived: b.clock.Now(), PromptTokens: 100, MaxOutput: 600}
+		TimeLeft: 4 * time.Second, Arrived: tg.clock.Now(), PromptTokens: 100, MaxOutput: 600}
 }
 
-func answer(status int, events bool, body io.Reader) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, Length: -1, Signed: true, Events: events, Body: body, Close: func() {}}
+func newResponse(status int, events bool, body io.Reader) *Response {
+	return &Response{Status: status, Header: http.Header{}, Length: -1, Signed: true, IsEventStream: events, Body: body, Close: func() {}}
 }
 
-func numbered(from, to int) string {
+func numberedEvents(from, to int) string {
 	var s strings.Builder
 	for id := from; id <= to; id++ {
 		fmt.Fprintf(&s, "id: %d\ndata: x\n\n", id)
@@ -124,159 +124,160 @@
 	return s.String()
 }
 
-// cutAfter is a body that breaks off.
-func cutAfter(text string) io.Reader {
-	return io.MultiReader(strings.NewReader(text), errReader{})
+// truncatedBody returns a body that fails after head.
+func truncatedBody(head string) io.Reader {
+	return io.MultiReader(strings.NewReader(head), errReader{})
 }
 
 type errReader struct{}
 
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func silent(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Answer, error) {
+func hang(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// An engine goes dark with a request that may be repeated. Its caller must not wait until
-// the deadline while other engines are free; and the second engine is asked once only.
-func TestSilentUpstreamIsLeftForAnother(t *testing.T) {
+// An engine hangs on a retryable request. The caller must not wait until its deadline while
+// other engines are free, and the second engine must get the request only once.
+func TestSilentUpstreamIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	var b *bed
-	b = newBed(100, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
-		if len(b.up.sent) == 1 {
-			return silent(ctx, u, d)
+	var tg *testGateway
+	tg = newTestGateway(100, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
+		if len(tg.upstreams.sent) == 1 {
+			return hang(ctx, u, d)
 		}
-		return answer(200, false, strings.NewReader("ok")), nil
+		return newResponse(200, false, strings.NewReader("ok")), nil
 	})
-	c := b.serve(context.Background(), "read")
+	c := tg.serve(context.Background(), "read")
 	is.Equal(c.status, 200)
 	is.Equal(c.body.String(), "ok")
-	is.Equal(len(b.up.sent), 2)
+	is.Equal(len(tg.upstreams.sent), 2)
 }
 
-// The same with a request that must run at most once: it may have run, so it is never
-// sent again, and the answer doesn't claim that it didn't run.
-func TestSilentUpstreamKeepsAnOrder(t *testing.T) {
+// The same with a request that must run at most once: it may have run, so it is not retried, and
+// the error does not claim that it did not run.
+func TestNonIdempotentIsNotRetriedAfterSilence(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, silent)
+	tg := newTestGateway(100, hang)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	c := b.serve(ctx, "file")
-	is.Equal(len(b.up.sent), 1)
+	c := tg.serve(ctx, "file")
+	is.Equal(len(tg.upstreams.sent), 1)
 	is.True(c.refusal != nil)
 	is.True(!c.refusal.NotRun())
 }
 
-// A broken connection is not a "not run" either.
-func TestBrokenConnectionKeepsAnOrder(t *testing.T) {
+// A reset connection does not prove that the request did not run.
+func TestNonIdempotentIsNotRetriedAfterReset(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	tg := newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		return nil, errors.New("reset")
 	})
-	c := b.serve(context.Background(), "file")
-	is.Equal(len(b.up.sent), 1)
+	c := tg.serve(context.Background(), "file")
+	is.Equal(len(tg.upstreams.sent), 1)
 	is.Equal(c.refusal.Code, result.OutcomeUnknown)
 }
 
-// Nothing listens at the first upstreams. Nothing was sent, so an order may try others.
-func TestUnsentOrderGoesOn(t *testing.T) {
+// The first upstreams refuse connections. Nothing was sent, so even a non-idempotent request may
+// be sent to others.
+func TestUnsentNonIdempotentIsRetried(t *testing.T) {
 	is := is.New(t)
-	var b *bed
-	b = newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
-		if len(b.up.sent) < 3 {
+	var tg *testGateway
+	tg = newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
+		if len(tg.upstreams.sent) < 3 {
 			return nil, fmt.Errorf("%w: refused", ErrNotSent)
 		}
-		return answer(200, false, strings.NewReader("ok")), nil
+		return newResponse(200, false, strings.NewReader("ok")), nil
 	})
-	is.Equal(b.serve(context.Background(), "file").status, 200)
-	is.Equal(len(b.up.sent), 3)
+	is.Equal(tg.serve(context.Background(), "file").status, 200)
+	is.Equal(len(tg.upstreams.sent), 3)
 }
 
-// Every upstream refuses for want of room. The budget for repeats bounds what the node
-// adds to that, and each caller learns at once that nothing ran and when to come back.
-func TestRepeatsAreBounded(t *testing.T) {
+// Every upstream is full and refuses. The retry budget bounds the load that the node adds, and
+// each caller learns at once that nothing ran and when to retry.
+func TestRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := newBed(10, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
-		a := answer(503, false, strings.NewReader(""))
+	tg := newTestGateway(10, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
+		a := newResponse(503, false, strings.NewReader(""))
 		a.NotRun = true
 		return a, nil
 	})
 	for range 50 {
-		c := b.serve(context.Background(), "file")
+		c := tg.serve(context.Background(), "file")
 		is.True(c.refusal.NotRun())
 		is.True(c.refusal.RetryAfter > 0)
 	}
-	is.True(len(b.up.sent) <= 50+10+10) // the requests, a fifth of them, and the fixed number
+	is.True(len(tg.upstreams.sent) <= 50+10+10) // the requests, 20% retries, and the fixed allowance
 }
 
-// A stream is cut within its fourth event and another engine goes on. The caller sees
-// each event once, in order, also when the other engine repeats some.
-func TestResumedStreamHasEachEventOnce(t *testing.T) {
+// A stream breaks off within its fourth event and continues at another engine. The caller must
+// receive each event once, in order, even if the second engine repeats some.
+func TestResumedStreamDeliversEachEventOnce(t *testing.T) {
 	is := is.New(t)
-	var b *bed
-	b = newBed(100, func(_ context.Context, _ *directory.Upstream, d *Dispatch) (*Answer, error) {
-		if len(b.up.sent) == 1 {
-			return answer(200, true, cutAfter(numbered(1, 3)+"id: 4\nda")), nil
+	var tg *testGateway
+	tg = newTestGateway(100, func(_ context.Context, _ *directory.Upstream, d *Dispatch) (*Response, error) {
+		if len(tg.upstreams.sent) == 1 {
+			return newResponse(200, true, truncatedBody(numberedEvents(1, 3)+"id: 4\nda")), nil
 		}
-		is.Equal(d.After, int64(3))
-		return answer(200, true, strings.NewReader(numbered(2, 6))), nil
+		is.Equal(d.LastEventID, int64(3))
+		return newResponse(200, true, strings.NewReader(numberedEvents(2, 6))), nil
 	})
-	c := b.serve(context.Background(), "stream")
-	is.Equal(c.body.String(), numbered(1, 6))
+	c := tg.serve(context.Background(), "stream")
+	is.Equal(c.body.String(), numberedEvents(1, 6))
 	is.True(!c.aborted)
-	is.Equal(b.share.Status("one").Spent, int64(100+6*6))
-	is.Equal(b.share.Status("one").Reserved, int64(0))
+	is.Equal(tg.share.Status("one").Spent, int64(100+6*6))
+	is.Equal(tg.share.Status("one").Reserved, int64(0))
 }
 
-// A stream that can't resume is cut. The answer must not end as if it were whole, and the
-// account pays for the prompt and what was delivered.
-func TestCutStreamIsAborted(t *testing.T) {
+// A stream that cannot resume breaks off. The response must not end as if it were complete, and
+// the account pays for the prompt and the delivered events.
+func TestTruncatedStreamIsAborted(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
-		return answer(200, true, cutAfter(numbered(1, 3))), nil
+	tg := newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
+		return newResponse(200, true, truncatedBody(numberedEvents(1, 3))), nil
 	})
-	c := b.serve(context.Background(), "once")
+	c := tg.serve(context.Background(), "once")
 	is.True(c.aborted)
-	is.Equal(len(b.up.sent), 1)
-	is.Equal(b.share.Status("one").Spent, int64(100+3*6))
+	is.Equal(len(tg.upstreams.sent), 1)
+	is.Equal(tg.share.Status("one").Spent, int64(100+3*6))
 }
 
-// The caller has gone when the second event is written. Nothing is sent elsewhere for it.
-func TestNothingIsRepeatedForACallerThatLeft(t *testing.T) {
+// The caller disconnects before its first event is written. The request must not be retried.
+func TestNoRetryAfterCallerDisconnects(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
-		return answer(200, true, strings.NewReader(numbered(1, 3))), nil
+	tg := newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
+		return newResponse(200, true, strings.NewReader(numberedEvents(1, 3))), nil
 	})
-	c := &caller{gone: true}
-	b.Serve(context.Background(), b.request("stream"), c)
+	c := &recordingSink{failWrites: true}
+	tg.Serve(context.Background(), tg.request("stream"), c)
 	is.True(c.aborted)
-	is.Equal(len(b.up.sent), 1)
+	is.Equal(len(tg.upstreams.sent), 1)
 }
 
-// A request that never ran costs its account nothing, whatever was set aside for it.
-func TestRequestThatDidntRunCostsNothing(t *testing.T) {
+// A request that never ran costs its account nothing, whatever was reserved for it.
+func TestUnexecutedRequestCostsNothing(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) { return nil, ErrNotSent })
-	b.serve(context.Background(), "once")
-	is.Equal(b.share.Status("one").Spent, int64(0))
-	is.Equal(b.share.Status("one").Reserved, int64(0))
+	tg := newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) { return nil, ErrNotSent })
+	tg.serve(context.Background(), "once")
+	is.Equal(tg.share.Status("one").Spent, int64(0))
+	is.Equal(tg.share.Status("one").Reserved, int64(0))
 }
 
-// The time that a caller waits counts from when its request was read, also while the
-// machine was suspended; an upstream is told what is left of it.
-func TestUpstreamsLearnWhatIsLeft(t *testing.T) {
+// The caller's timeout counts from when its request was read, even while the machine was
+// suspended; the upstream is told the remaining time.
+func TestUpstreamsReceiveRemainingTime(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
-		return answer(200, false, strings.NewReader("ok")), nil
+	tg := newTestGateway(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
+		return newResponse(200, false, strings.NewReader("ok")), nil
 	})
-	r := b.request("read")
-	b.clock.Advance(3 * time.Second)
-	b.Serve(context.Background(), r, &caller{})
-	is.Equal(b.up.sent[0].Left, time.Second)
-	late := &caller{}
-	b.clock.Advance(time.Second)
-	b.Serve(context.Background(), r, late)
+	r := tg.request("read")
+	tg.clock.Advance(3 * time.Second)
+	tg.Serve(context.Background(), r, &recordingSink{})
+	is.Equal(tg.upstreams.sent[0].Remaining, time.Second)
+	late := &recordingSink{}
+	tg.clock.Advance(time.Second)
+	tg.Serve(context.Background(), r, late)
 	is.True(late.refusal.NotRun())
-	is.Equal(len(b.up.sent), 1)
+	is.Equal(len(tg.upstreams.sent), 1)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -8,14 +8,14 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Metrics counts what the gateway did. The maps are published by expvar.
+// Metrics holds the gateway's counters, which expvar publishes as maps.
 type Metrics struct {
 	finished *expvar.Map
 	refused  *expvar.Map
 	latency  *expvar.Map
 }
 
-// NewMetrics returns counters, published under the given expvar names if publish is set.
+// NewMetrics returns new counters. If publish is set, it registers them with expvar.
 func NewMetrics(publish bool) *Metrics {
 	m := &Metrics{finished: new(expvar.Map).Init(), refused: new(expvar.Map).Init(), latency: new(expvar.Map).Init()}
 	if publish {
@@ -26,15 +26,15 @@
 	return m
 }
 
-func (m *Metrics) finish(route, outcome string, took time.Duration) {
+func (m *Metrics) recordFinished(route, outcome string, took time.Duration) {
 	m.finished.Add(outcome, 1)
-	m.latency.Add(route+"_le_"+strconv.FormatInt(bucket(took), 10), 1)
+	m.latency.Add(route+"_le_"+strconv.FormatInt(latencyBucket(took), 10), 1)
 }
 
-func (m *Metrics) refuse(code result.Code) { m.refused.Add(code.String(), 1) }
+func (m *Metrics) recordRefused(code result.Code) { m.refused.Add(code.String(), 1) }
 
-// bucket rounds a latency up to a power of two milliseconds.
-func bucket(took time.Duration) int64 {
+// latencyBucket rounds a latency up to a power of two in milliseconds.
+func latencyBucket(took time.Duration) int64 {
 	for limit := int64(1); ; limit *= 2 {
 		if took.Milliseconds() <= limit {
 			return limit
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -11,57 +11,57 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// ErrNotSent wraps errors after which the upstream has seen nothing of the request.
+// ErrNotSent wraps errors that occurred before any of the request reached the upstream.
 var ErrNotSent = errors.New("nothing was sent")
 
-// Dispatch is what is sent to an upstream.
+// Dispatch is a request as sent to an upstream.
 type Dispatch struct {
 	*Request
 	Account string
-	// Left is the time after which the upstream may stop.
-	Left time.Duration
-	// After is the last event that the caller has, if HasAfter.
-	After    int64
-	HasAfter bool
-	// Urgency ranks the request at engines, 0 first.
+	// Remaining is the time after which the upstream may stop.
+	Remaining time.Duration
+	// LastEventID is the last event that the caller has received; valid if HasLastEventID.
+	LastEventID    int64
+	HasLastEventID bool
+	// Urgency is the request's priority at engines; 0 is the most urgent.
 	Urgency int
 }
 
-// Answer is the start of an upstream's answer. Close must be called; before the body's
-// end it stops the upstream's work.
-type Answer struct {
+// Response is the start of an upstream's response. Close must be called; called before the end
+// of the body, it stops the upstream's work.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes; negative if unsaid.
+	// Length is the body's length in bytes; negative if unknown.
 	Length int64
-	// NotRun: the upstream says that it didn't run the request.
+	// NotRun reports that the upstream declared that it did not run the request.
 	NotRun bool
-	// Elsewhere: another upstream has the address by now.
-	Elsewhere bool
-	// Signed: the answer bears the upstream's signature.
+	// AddressReassigned reports that the address now belongs to another upstream.
+	AddressReassigned bool
+	// Signed reports that the response carries the upstream's signature.
 	Signed bool
-	// Events: the body is a stream of events.
-	Events bool
-	Body   io.Reader
-	Close  func()
+	// IsEventStream reports that the body is a stream of events.
+	IsEventStream bool
+	Body          io.Reader
+	Close         func()
 }
 
-// Upstreams sends requests. It never sends one twice.
+// Upstreams sends requests. It never retries.
 type Upstreams interface {
-	// Send returns the start of the answer. Ending ctx closes the connection. An error
-	// that doesn't wrap ErrNotSent leaves open whether the request ran.
-	Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error)
+	// Send returns the start of the response. Canceling ctx closes the connection. After an
+	// error that does not wrap ErrNotSent, the request may have run.
+	Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error)
 }
 
-// Sink takes the answer to the caller.
+// Sink receives the response for the caller.
 type Sink interface {
-	// Refuse answers for the fleet itself.
+	// Refuse sends an error produced by the gateway itself.
 	Refuse(*result.Error)
-	// Start passes an upstream's status and headers on; a negative length leaves the
-	// body's end to be marked by the framing.
+	// Start forwards an upstream's status and headers. If length is negative, the framing marks
+	// the end of the body.
 	Start(status int, header http.Header, length int64)
 	Write([]byte) error
 	Flush() error
-	// Abort closes the connection so that the answer can't be taken for whole.
+	// Abort closes the connection so that the caller cannot take the response for complete.
 	Abort()
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -7,29 +7,29 @@
 	"lavenderpin.dev/lavenderpin/placement"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request, fully read.
 type Request struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID     string
 	Method string
-	// Target is the request target as sent, Path its path alone.
+	// Target is the request target as sent, Path only its path.
 	Target, Path string
 	Host         string
-	// Header holds the headers that are passed on unchanged.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
 	Key    string
-	// TimeLeft is how long the caller waits, from Arrived on; zero if unsaid.
+	// TimeLeft is how long the caller waits, counted from Arrived; zero if not given.
 	TimeLeft time.Duration
-	// Arrived is the boot clock when the request had been read.
+	// Arrived is the boot clock reading at which the request had been read.
 	Arrived time.Duration
 	// PromptTokens and MaxOutput are the request's declared sizes in tokens.
 	PromptTokens, MaxOutput int64
 	Prefix                  []placement.Part
-	// ResumeAfter is the last event that the caller has of an earlier attempt.
-	ResumeAfter int64
-	HasResume   bool
+	// ResumeAfter is the last event that the caller received in an earlier attempt.
+	ResumeAfter    int64
+	HasResumeAfter bool
 }
 
-// most returns the most tokens that the request can use.
-func (r *Request) most() int64 { return r.PromptTokens + r.MaxOutput }
+// maxTokens returns the most tokens that the request can use.
+func (r *Request) maxTokens() int64 { return r.PromptTokens + r.MaxOutput }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -11,19 +11,19 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// verdict is how one send ended.
-type verdict int
+// sendResult is the result of one send.
+type sendResult int
 
 const (
-	// delivered: the caller has the whole answer, or the call is over for it.
-	delivered verdict = iota + 1
-	// notRun: the request surely didn't run there.
+	// delivered: the caller has the whole response, or the call is over for the caller.
+	delivered sendResult = iota + 1
+	// notRun: the upstream certainly did not run the request.
 	notRun
-	// mayHaveRun: it ran or may have, and the caller has no whole answer.
+	// mayHaveRun: the request ran or may have run, and the caller has no complete response.
 	mayHaveRun
 )
 
-// run sends the request until it is answered or given up.
+// run sends the request until a response is delivered or it gives up.
 func (c *call) run(ctx context.Context) {
 	if refusal := c.shed(c.upstreams()); refusal != nil {
 		c.outcome = "refused"
@@ -40,27 +40,27 @@
 			c.giveUp(ctx, "no upstream is left")
 			return
 		}
-		if c.sends > 0 && !c.takeRepeat() {
+		if c.sends > 0 && !c.takeRetry() {
 			c.g.Events.Record(event.RetryDenied, "request", c.r.ID, "service", c.service.Name, "sends", c.sends)
 			c.giveUp(ctx, "the budget for repeats is spent")
 			return
 		}
 		c.sends++
 		c.upstream = choice.Upstream
-		c.logDispatch(choice)
-		v := c.send(ctx, choice)
-		if v == mayHaveRun {
-			c.ran++
+		c.recordDispatch(choice)
+		res := c.send(ctx, choice)
+		if res == mayHaveRun {
+			c.possibleRuns++
 		}
-		if v == delivered {
+		if res == delivered {
 			return
 		}
 		c.tried = append(c.tried, choice.Upstream)
-		if !c.maySendAgain(ctx, v) {
+		if !c.maySendAgain(ctx, res) {
 			c.giveUp(ctx, "no send is left")
 			return
 		}
-		c.g.Events.Record(event.AttemptRetried, "request", c.r.ID, "upstream", choice.Upstream.ID, "ran", c.ran, "after", c.lastEvent)
+		c.g.Events.Record(event.AttemptRetried, "request", c.r.ID, "upstream", choice.Upstream.ID, "ran", c.possibleRuns, "after", c.lastEvent)
 	}
 }
 
@@ -68,9 +68,9 @@
 	return c.g.Directory.Current().Upstreams(c.service.Name)
 }
 
-// logDispatch tells where the request goes and what decided it. An age of -1 means that
-// the upstream hasn't told its load yet.
-func (c *call) logDispatch(choice placement.Choice) {
+// recordDispatch records the chosen upstream and the inputs of the choice. load_age_ms is -1 if
+// the upstream has not reported its load yet.
+func (c *call) recordDispatch(choice placement.Choice) {
 	load := choice.Upstream.Load()
 	age := int64(-1)
 	if load.At != 0 {
@@ -78,48 +78,48 @@
 	}
 	c.g.Events.Record(event.RequestDispatched, "request", c.r.ID, "upstream", choice.Upstream.ID, "send", c.sends,
 		"expected_ms", choice.Expected.Milliseconds(), "candidates", choice.Candidates, "unread", choice.Unread,
-		"running", load.Running, "waiting", load.Waiting, "load_age_ms", age, "left_ms", c.left().Milliseconds(), "after", c.lastEvent)
+		"running", load.Running, "waiting", load.Waiting, "load_age_ms", age, "left_ms", c.timeLeft().Milliseconds(), "after", c.lastEvent)
 }
 
-func (c *call) maySendAgain(ctx context.Context, v verdict) bool {
-	if c.gone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.left() < c.g.settings.MinSend {
+func (c *call) maySendAgain(ctx context.Context, res sendResult) bool {
+	if c.callerGone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.timeLeft() < c.g.settings.MinTimeLeft {
 		return false
 	}
-	if c.ran == 0 {
+	if c.possibleRuns == 0 {
 		return true
 	}
-	if !c.route.Repeatable() || c.ran >= c.route.MaxAttempts {
+	if !c.route.Repeatable() || c.possibleRuns >= c.route.MaxAttempts {
 		return false
 	}
-	// A stream can be joined only where its events are numbered.
+	// A stream can be continued only if its events are numbered.
 	return c.events == 0 || c.hasEvent
 }
 
-// giveUp gives the final answer at once.
-func (c *call) giveUp(ctx context.Context, why string) {
+// giveUp sends the final response immediately.
+func (c *call) giveUp(ctx context.Context, reason string) {
 	switch {
-	case c.gone || errors.Is(context.Cause(ctx), context.Canceled):
+	case c.callerGone || errors.Is(context.Cause(ctx), context.Canceled):
 		c.outcome = "caller_left"
 		c.g.Events.Record(event.CallerLeft, "request", c.r.ID, "events", c.events)
 		c.sink.Abort()
-	case c.started:
+	case c.responseStarted:
 		c.outcome = "cut"
-		c.g.Events.Record(event.RequestFailed, "request", c.r.ID, "reason", why, "events", c.events, "ran", c.ran)
+		c.g.Events.Record(event.RequestFailed, "request", c.r.ID, "reason", reason, "events", c.events, "ran", c.possibleRuns)
 		c.sink.Abort()
 	case c.fallback != nil:
 		c.outcome = "upstream_failed"
 		c.fallback.deliver(c.sink)
-	case c.ran > 0:
+	case c.possibleRuns > 0:
 		c.outcome = "unknown"
-		c.refuse(c.unknown(ctx, why))
+		c.refuse(c.unknownOutcome(ctx, reason))
 	default:
 		c.outcome = "refused"
-		c.refuse(result.New(result.NoUpstream, "%s", why).After(c.g.settings.BusyRetry))
+		c.refuse(result.New(result.NoUpstream, "%s", reason).After(c.g.settings.BusyRetryAfter))
 	}
 }
 
-// unknown is the answer when the request may have run.
-func (c *call) unknown(ctx context.Context, why string) *result.Error {
+// unknownOutcome returns the error for a request that may have run.
+func (c *call) unknownOutcome(ctx context.Context, reason string) *result.Error {
 	code := result.UpstreamFailed
 	if c.route.Kind == catalog.NonIdempotent {
 		code = result.OutcomeUnknown
@@ -127,11 +127,11 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code = result.DeadlineExceeded
 	}
-	return result.New(code, "%s", why)
+	return result.New(code, "%s", reason)
 }
 
-// observe books a failed send with the upstream.
-func (c *call) observe(u *directory.Upstream, unreachable bool) {
+// recordFailure records a failed send in the upstream's statistics.
+func (c *call) recordFailure(u *directory.Upstream, unreachable bool) {
 	now := c.g.Clock.Now()
 	if unreachable {
 		u.Unreachable(now)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -12,84 +12,84 @@
 	"lavenderpin.dev/lavenderpin/placement"
 )
 
-// heldAnswer is an upstream's whole answer.
-type heldAnswer struct {
+// bufferedResponse is a complete upstream response held in memory.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (h *heldAnswer) deliver(sink Sink) {
-	sink.Start(h.status, h.header, int64(len(h.body)))
-	_ = sink.Write(h.body) // a caller that left has no use of an error
+func (b *bufferedResponse) deliver(sink Sink) {
+	sink.Start(b.status, b.header, int64(len(b.body)))
+	_ = sink.Write(b.body) // a caller that disconnected cannot receive an error
 }
 
-// send sends the request to one upstream and passes its answer on.
-func (c *call) send(ctx context.Context, choice placement.Choice) verdict {
+// send sends the request to one upstream and forwards its response.
+func (c *call) send(ctx context.Context, choice placement.Choice) sendResult {
 	u := choice.Upstream
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := c.watchSilence(u, cancel)
-	defer silence.stop()
+	monitor := c.monitorSilence(u, cancel)
+	defer monitor.stop()
 	u.InFlight.Add(1)
 	defer u.InFlight.Add(-1)
-	sent := c.g.Clock.Now()
-	u.Sent(sent)
-	c.sentAt = sent
+	sentAt := c.g.Clock.Now()
+	u.Sent(sentAt)
+	c.lastSentAt = sentAt
 	prompt := int64(choice.Unread)
 	u.PromptInFlight.Add(prompt)
-	reading := true
-	answered := func() {
-		if reading {
+	promptPending := true
+	markAnswered := func() {
+		if promptPending {
 			u.PromptInFlight.Add(-prompt)
-			u.Settled(sent)
-			reading = false
+			u.Settled(sentAt)
+			promptPending = false
 		}
 	}
-	defer answered()
+	defer markAnswered()
 
-	answer, err := c.g.Upstreams.Send(ctx, u, c.dispatch())
+	resp, err := c.g.Upstreams.Send(ctx, u, c.newDispatch())
 	if err != nil {
-		return c.noAnswer(ctx, u, err)
+		return c.handleSendError(ctx, u, err)
 	}
-	defer answer.Close()
+	defer resp.Close()
 	u.Heard(c.g.Clock.Now())
-	if v, final := c.refusedBy(u, answer); final {
-		return v
+	if res, final := c.handleNotRun(u, resp); final {
+		return res
 	}
 	c.g.Picker.Observe(c.query(), u)
-	if answer.Events && answer.Status < 300 {
-		return c.stream(ctx, u, answer, silence, answered)
+	if resp.IsEventStream && resp.Status < 300 {
+		return c.forwardStream(ctx, u, resp, monitor, markAnswered)
 	}
-	return c.whole(ctx, u, answer)
+	return c.forwardBuffered(ctx, u, resp)
 }
 
-func (c *call) dispatch() *Dispatch {
-	d := &Dispatch{Request: c.r, Account: c.accountName(), Left: c.left(), After: c.r.ResumeAfter, HasAfter: c.r.HasResume, Urgency: c.urgency()}
+func (c *call) newDispatch() *Dispatch {
+	d := &Dispatch{Request: c.r, Account: c.accountName(), Remaining: c.timeLeft(), LastEventID: c.r.ResumeAfter, HasLastEventID: c.r.HasResumeAfter, Urgency: c.urgency()}
 	if c.hasEvent {
-		d.After, d.HasAfter = c.lastEvent, true
+		d.LastEventID, d.HasLastEventID = c.lastEvent, true
 	}
 	return d
 }
 
-// mostUrgency is the last rank that engines know.
-const mostUrgency = 9
+// maxUrgency is the highest rank (least urgent) that engines support.
+const maxUrgency = 9
 
-// urgency ranks the request at engines by its account's priority, or else its route's.
+// urgency returns the rank for engines: the account's priority if set, otherwise the route's.
 func (c *call) urgency() int {
 	rank := c.route.Priority
 	if c.account != nil && c.account.HasPriority {
 		rank = c.account.Priority
 	}
-	return min(mostUrgency, max(0, rank))
+	return min(maxUrgency, max(0, rank))
 }
 
-// noAnswer books a send that brought no answer.
-func (c *call) noAnswer(ctx context.Context, u *directory.Upstream, err error) verdict {
+// handleSendError records a send that brought no response.
+func (c *call) handleSendError(ctx context.Context, u *directory.Upstream, err error) sendResult {
 	notSent := errors.Is(err, ErrNotSent)
-	silent := errors.Is(context.Cause(ctx), errSilent)
+	silent := errors.Is(context.Cause(ctx), errUpstreamSilent)
 	if ctx.Err() == nil || silent {
-		c.observe(u, notSent || silent)
+		c.recordFailure(u, notSent || silent)
 	}
 	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "not_sent", notSent, "silent", silent, "error", err)
 	if notSent {
@@ -98,74 +98,73 @@
 	return mayHaveRun
 }
 
-// refusedBy handles answers that say that the request didn't run.
-func (c *call) refusedBy(u *directory.Upstream, answer *Answer) (verdict, bool) {
-	if !answer.NotRun && !answer.Elsewhere {
+// handleNotRun handles responses which report that the request did not run.
+func (c *call) handleNotRun(u *directory.Upstream, resp *Response) (sendResult, bool) {
+	if !resp.NotRun && !resp.AddressReassigned {
 		return 0, false
 	}
-	c.observe(u, answer.Elsewhere)
-	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "elsewhere", answer.Elsewhere, "not_run", true)
+	c.recordFailure(u, resp.AddressReassigned)
+	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", resp.Status, "elsewhere", resp.AddressReassigned, "not_run", true)
 	return notRun, true
 }
 
-// maxWhole bounds an answer that is read whole before any of it is passed on, in bytes.
-// Plain services answer with some hundred bytes; a longer answer is passed on as it
-// comes.
-const maxWhole = 256 << 10
-
-// whole reads an answer to its end before the caller sees any of it, so that one that
-// breaks off can still be replaced.
-func (c *call) whole(ctx context.Context, u *directory.Upstream, answer *Answer) verdict {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWhole))
-	if err == nil && len(body) == maxWhole {
-		return c.long(u, answer, body)
-	}
-	if err != nil || answer.Length >= 0 && int64(len(body)) != answer.Length {
-		c.observe(u, false)
-		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "bytes", len(body), "error", err)
+// maxBufferedBytes is the largest response, in bytes, that is read whole before any of it is
+// forwarded. Plain services respond with a few hundred bytes; a longer response is streamed.
+const maxBufferedBytes = 256 << 10
+
+// forwardBuffered reads the whole response before the caller sees any of it, so that a truncated
+// one can still be replaced.
+func (c *call) forwardBuffered(ctx context.Context, u *directory.Upstream, resp *Response) sendResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
+	if err == nil && len(body) == maxBufferedBytes {
+		return c.forwardLarge(u, resp, body)
+	}
+	if err != nil || resp.Length >= 0 && int64(len(body)) != resp.Length {
+		c.recordFailure(u, false)
+		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", resp.Status, "bytes", len(body), "error", err)
 		return mayHaveRun
 	}
-	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
-	if answer.Status >= 500 {
-		c.observe(u, false)
-		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status)
-		if !c.started {
-			c.fallback = held
+	buffered := &bufferedResponse{status: resp.Status, header: resp.Header, body: body}
+	if resp.Status >= 500 {
+		c.recordFailure(u, false)
+		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", resp.Status)
+		if !c.responseStarted {
+			c.fallback = buffered
 		}
 		return mayHaveRun
 	}
-	if !answer.Signed && answer.Status < 300 || c.started {
-		c.observe(u, false)
-		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "signed", answer.Signed)
+	if !resp.Signed && resp.Status < 300 || c.responseStarted {
+		c.recordFailure(u, false)
+		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", resp.Status, "signed", resp.Signed)
 		return mayHaveRun
 	}
 	u.Succeed(c.g.Clock.Now())
-	c.ran++
+	c.possibleRuns++
 	c.outcome = "served"
-	held.deliver(c.sink)
+	buffered.deliver(c.sink)
 	return delivered
 }
 
-// long passes an answer on that is too large to hold.
-func (c *call) long(u *directory.Upstream, answer *Answer, head []byte) verdict {
-	if c.started {
+// forwardLarge streams a response that is too large to buffer.
+func (c *call) forwardLarge(u *directory.Upstream, resp *Response, head []byte) sendResult {
+	if c.responseStarted {
 		return mayHaveRun
 	}
-	c.started = true
-	c.sink.Start(answer.Status, answer.Header, answer.Length)
+	c.responseStarted = true
+	c.sink.Start(resp.Status, resp.Header, resp.Length)
 	if err := c.sink.Write(head); err != nil {
 		return mayHaveRun
 	}
-	if _, err := io.Copy(sinkWriter{c.sink}, answer.Body); err != nil {
-		c.observe(u, false)
+	if _, err := io.Copy(sinkWriter{c.sink}, resp.Body); err != nil {
+		c.recordFailure(u, false)
 		return mayHaveRun
 	}
-	c.ran++
+	c.possibleRuns++
 	c.outcome = "served"
 	return delivered
 }
 
-// sinkWriter lets io.Copy write to a sink.
+// sinkWriter adapts a Sink to io.Writer for io.Copy.
 type sinkWriter struct{ Sink }
 
 func (w sinkWriter) Write(p []byte) (int, error) {
@@ -175,7 +174,7 @@
 	return len(p), nil
 }
 
-// repeatableStream tells whether a cut stream may go on elsewhere.
-func (c *call) repeatableStream() bool {
+// streamResumable reports whether an interrupted stream may continue at another upstream.
+func (c *call) streamResumable() bool {
 	return c.route.Kind == catalog.Streaming && c.route.Resumable
 }
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -8,8 +8,8 @@
 	"lavenderpin.dev/lavenderpin/shedding"
 )
 
-// shed refuses a prompt before it is sent where upstreams answer too late. Plain services
-// refuse by themselves when they are full.
+// shed refuses a prompt before it is sent if upstreams respond too late. Plain services refuse
+// requests themselves when they are full.
 func (c *call) shed(upstreams []*directory.Upstream) *result.Error {
 	if c.service.Engine == nil {
 		return nil
@@ -21,9 +21,9 @@
 			waits = append(waits, u.Wait(now))
 		}
 	}
-	usual, policy := shedding.Usual(waits), c.g.settings.Shedding
-	if policy.Admit(usual, c.route.Objective, draw()) {
+	typical, policy := shedding.Usual(waits), c.g.settings.Shedding
+	if policy.Admit(typical, c.route.Objective, random()) {
 		return nil
 	}
-	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.Return(draw()))
+	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", typical.Round(time.Millisecond), c.route.Objective).After(policy.Return(random()))
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -9,101 +9,101 @@
 	"lavenderpin.dev/lavenderpin/directory"
 )
 
-// errSilent ends a send whose upstream said nothing for too long.
-var errSilent = errors.New("the upstream is silent")
+// errUpstreamSilent cancels a send whose upstream sent nothing for too long.
+var errUpstreamSilent = errors.New("the upstream is silent")
 
-// silenceWatch ends a send that may be repeated when its upstream has gone dark. A dark
-// upstream looks just like a slow one to a single request; without the watch its callers
-// would wait until their deadline while others are free.
+// silenceMonitor cancels a retryable send when its upstream has become unresponsive. To a single
+// request an unresponsive upstream looks like a slow one; without the monitor its callers would
+// wait until their deadline while other upstreams are free.
 //
-// Under a crowd most upstreams that are late are busy. Requests that were taken away from
-// them began anew elsewhere, behind others, and used up the budget for repeats; the next
-// ones were then cut off with nowhere to go, though their upstreams would have answered. So
-// a send ends only if nothing came from the upstream to anybody here, and only with the
-// right to send the request again in hand.
-type silenceWatch struct {
+// Under overload most late upstreams are busy, not unresponsive. Canceling their requests made
+// these start again elsewhere, at the end of other queues, and used up the retry budget; later
+// requests were then canceled with no retry left, although their upstreams would have responded.
+// So a send is canceled only if this node received nothing from the upstream for any request,
+// and only after a retry has been granted.
+type silenceMonitor struct {
 	c      *call
 	u      *directory.Upstream
 	cancel context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// wait is how long the upstream may be silent; zero if the send isn't watched.
-	wait    time.Duration
+	// timeout is how long the upstream may be silent; zero if the send is not monitored.
+	timeout time.Duration
 	stopped bool
 }
 
-// recheck is the pause before the next look at an upstream that was found busy, or at a
-// budget that was found spent.
-const recheck = 200 * time.Millisecond
+// recheckInterval is the pause before the next check if the upstream was found busy or the retry
+// budget exhausted.
+const recheckInterval = 200 * time.Millisecond
 
-// watchSilence begins to watch a send for its first answer.
-func (c *call) watchSilence(u *directory.Upstream, cancel context.CancelCauseFunc) *silenceWatch {
-	w := &silenceWatch{c: c, u: u, cancel: cancel}
-	wait := time.Duration(c.g.settings.SilenceFactor * float64(c.route.Objective))
-	last := c.ran+1 >= c.route.MaxAttempts
-	if c.route.Repeatable() && !last && wait > 0 && c.left()-wait >= c.route.Objective/2 {
-		w.arm(wait)
+// monitorSilence starts to monitor a send for the start of its response.
+func (c *call) monitorSilence(u *directory.Upstream, cancel context.CancelCauseFunc) *silenceMonitor {
+	m := &silenceMonitor{c: c, u: u, cancel: cancel}
+	timeout := time.Duration(c.g.settings.SilenceFactor * float64(c.route.Objective))
+	lastAttempt := c.possibleRuns+1 >= c.route.MaxAttempts
+	if c.route.Repeatable() && !lastAttempt && timeout > 0 && c.timeLeft()-timeout >= c.route.Objective/2 {
+		m.arm(timeout)
 	}
-	return w
+	return m
 }
 
-// rearm gives the upstream until the next event of a stream.
-func (w *silenceWatch) rearm() {
-	w.disarm()
-	c := w.c
-	if c.repeatableStream() && c.ran+1 < c.route.MaxAttempts && c.route.MaxGap > 0 {
-		w.arm(time.Duration(c.g.settings.GapFactor * float64(c.route.MaxGap)))
+// rearm restarts the timer for the next event of a stream.
+func (m *silenceMonitor) rearm() {
+	m.disarm()
+	c := m.c
+	if c.streamResumable() && c.possibleRuns+1 < c.route.MaxAttempts && c.route.MaxGap > 0 {
+		m.arm(time.Duration(c.g.settings.GapFactor * float64(c.route.MaxGap)))
 	}
 }
 
-func (w *silenceWatch) arm(wait time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.wait = wait
-	w.timer = time.AfterFunc(wait, w.look)
+func (m *silenceMonitor) arm(timeout time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.timeout = timeout
+	m.timer = time.AfterFunc(timeout, m.check)
 }
 
-func (w *silenceWatch) disarm() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Stop()
-		w.timer = nil
+func (m *silenceMonitor) disarm() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.timer != nil {
+		m.timer.Stop()
+		m.timer = nil
 	}
 }
 
-// stop ends the watch for good.
-func (w *silenceWatch) stop() {
-	w.disarm()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stopped = true
+// stop ends the monitoring permanently.
+func (m *silenceMonitor) stop() {
+	m.disarm()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopped = true
 }
 
-// look decides when the time is over.
-func (w *silenceWatch) look() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stopped || w.timer == nil {
+// check runs when the timer fires and decides whether to cancel the send.
+func (m *silenceMonitor) check() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.stopped || m.timer == nil {
 		return
 	}
-	if w.u.HeardWithin(w.wait/silentPart, w.c.g.Clock.Now()) || !w.c.takeRepeat() {
-		w.timer.Reset(recheck)
+	if m.u.HeardWithin(m.timeout/silenceDivisor, m.c.g.Clock.Now()) || !m.c.takeRetry() {
+		m.timer.Reset(recheckInterval)
 		return
 	}
-	w.c.repeatTaken.Store(true)
-	w.cancel(errSilent)
+	m.c.retryTaken.Store(true)
+	m.cancel(errUpstreamSilent)
 }
 
-// silentPart divides the wait into the silence towards all requests here that tells a dark
-// upstream from a busy one.
-const silentPart = 2
+// silenceDivisor divides the timeout into the silence towards all requests of this node that
+// distinguishes an unresponsive upstream from a busy one.
+const silenceDivisor = 2
 
-// takeRepeat takes the right to send the request once more; false if the budget is spent.
-func (c *call) takeRepeat() bool {
-	if c.repeatTaken.Swap(false) {
+// takeRetry takes one retry from the budget; false if the budget is exhausted.
+func (c *call) takeRetry() bool {
+	if c.retryTaken.Swap(false) {
 		return true
 	}
-	return c.g.repeats(c.service.Name).TryRepeat(c.g.Nodes())
+	return c.g.retryBudget(c.service.Name).TryRepeat(c.g.LiveNodes())
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -13,102 +13,102 @@
 	"lavenderpin.dev/lavenderpin/directory"
 )
 
-// bubbleClock is a boot clock in a test's own time.
-type bubbleClock struct{}
+// synctestClock is a boot clock that follows the fake time of a synctest bubble.
+type synctestClock struct{}
 
-func (bubbleClock) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func (synctestClock) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// newBubbleBed is a bed in a test's own time; extra is the budget for repeats.
-func newBubbleBed(extra float64, s script) *bed {
-	b := newBed(extra, s)
-	b.Clock = bubbleClock{}
-	return b
+// newSynctestGateway returns a test gateway in a synctest bubble; extra is the retry budget.
+func newSynctestGateway(extra float64, respond responder) *testGateway {
+	tg := newTestGateway(extra, respond)
+	tg.Clock = synctestClock{}
+	return tg
 }
 
-func (b *bed) ask(route string) *caller {
-	r := b.request(route)
-	r.Arrived = b.Clock.Now()
-	c := &caller{}
-	b.Serve(context.Background(), r, c)
+func (tg *testGateway) serveNow(route string) *recordingSink {
+	r := tg.request(route)
+	r.Arrived = tg.Clock.Now()
+	c := &recordingSink{}
+	tg.Serve(context.Background(), r, c)
 	return c
 }
 
-// after answers once a time has passed.
-func after(ctx context.Context, d time.Duration) (*Answer, error) {
+// respondAfter responds after a delay.
+func respondAfter(ctx context.Context, d time.Duration) (*Response, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(d):
-		return answer(200, false, strings.NewReader("ok")), nil
+		return newResponse(200, false, strings.NewReader("ok")), nil
 	}
 }
 
-// A crowd keeps an engine busy: it answers its callers one after the other, each late. Taken
-// away from it, a request begins anew behind others elsewhere, and the budget for repeats is
-// used up by requests that would have been answered.
-func TestBusyUpstreamKeepsItsRequests(t *testing.T) {
+// Under overload an engine serves its callers one after the other, each late. Canceled there, a
+// request would start again behind others elsewhere, and requests that would have been served
+// would use up the retry budget.
+func TestBusyUpstreamKeepsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var sent atomic.Int64
-		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
+		tg := newSynctestGateway(1000, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 			if n := sent.Add(1); n > 1 {
-				return after(ctx, 10*time.Millisecond)
+				return respondAfter(ctx, 10*time.Millisecond)
 			}
-			return after(ctx, time.Second)
+			return respondAfter(ctx, time.Second)
 		})
-		b.Gateway.settings.Shedding.Part = 100 // only the watch is looked at
-		for _, u := range b.Directory.Current().Upstreams("s")[1:] {
-			b.Directory.Remove(u.ID)
+		tg.Gateway.settings.Shedding.Part = 100 // disables shedding: the test covers only the silence monitor
+		for _, u := range tg.Directory.Current().Upstreams("s")[1:] {
+			tg.Directory.Remove(u.ID)
 		}
-		done := make(chan *caller)
-		go func() { done <- b.ask("read") }()
+		done := make(chan *recordingSink)
+		go func() { done <- tg.serveNow("read") }()
 		for range 40 {
 			time.Sleep(20 * time.Millisecond)
-			is.Equal(b.ask("read").status, 200)
+			is.Equal(tg.serveNow("read").status, 200)
 		}
 		is.Equal((<-done).status, 200)
 		is.Equal(sent.Load(), int64(41)) // none was sent twice
 	})
 }
 
-// An engine is late and the budget for repeats is spent. The request must stay where it is:
-// taken away with nowhere to go it would fail, though its engine answers in time.
-func TestSpentBudgetTakesNoRequestAway(t *testing.T) {
+// An engine is late and the retry budget is exhausted. The request must not be canceled: without
+// a retry it would fail although its engine responds in time.
+func TestExhaustedRetryBudgetCancelsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBubbleBed(0, func(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Answer, error) {
-			return after(ctx, time.Second)
+		tg := newSynctestGateway(0, func(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Response, error) {
+			return respondAfter(ctx, time.Second)
 		})
-		is.Equal(b.ask("read").status, 200)
-		is.Equal(len(b.up.sent), 1)
+		is.Equal(tg.serveNow("read").status, 200)
+		is.Equal(len(tg.upstreams.sent), 1)
 	})
 }
 
-// An engine goes dark under a crowd, while the others hold many requests for some time.
-// Counted by its open requests alone it looks no worse than they do, and a quarter of all
-// callers waits there until their deadlines.
-func TestNewRequestsLeaveADarkUpstream(t *testing.T) {
+// An engine hangs under overload while the others hold many requests for some time. By its
+// number of open requests alone it looks no worse than the others, and a quarter of all callers
+// would wait there until their deadlines.
+func TestNewRequestsAvoidUnresponsiveUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var dark atomic.Int64
-		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Answer, error) {
+		var sentToUnresponsive atomic.Int64
+		tg := newSynctestGateway(1000, func(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Response, error) {
 			if u.ID == "u0" {
-				dark.Add(1)
+				sentToUnresponsive.Add(1)
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			return after(ctx, 400*time.Millisecond)
+			return respondAfter(ctx, 400*time.Millisecond)
 		})
-		for _, u := range b.Directory.Current().Upstreams("s") {
+		for _, u := range tg.Directory.Current().Upstreams("s") {
 			entry := u.Entry
 			entry.Slots = 64
-			b.Directory.Put(entry)
+			tg.Directory.Put(entry)
 		}
 		for range 100 {
-			go b.ask("file")
+			go tg.serveNow("file")
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		is.True(dark.Load() <= 10) // of 100
+		is.True(sentToUnresponsive.Load() <= 10) // of 100
 	})
 }
--- a/gateway/startup.go
+++ b/gateway/startup.go
@@ -7,25 +7,25 @@
 	"lavenderpin.dev/lavenderpin/catalog"
 )
 
-// A node that has just started knows no configuration and holds no tokens for some tenths of
-// a second. When a whole fleet comes back, a caller that is refused then comes back to
-// another node in the same state, and has used up its one try.
+// A node that has just started has no configuration and no tokens for a few tenths of a second.
+// When a whole fleet restarts, a caller that is refused retries at another node in the same
+// state, and has then used up its only retry.
 
 const (
-	// objectivePart divides a route's objective into the longest wait for a first grant.
-	objectivePart = 3
-	// timeLeftPart divides the caller's time into the longest wait for a configuration,
-	// before which no objective is known.
-	timeLeftPart = 4
+	// objectiveDivisor divides a route's objective into the longest wait for a first grant.
+	objectiveDivisor = 3
+	// timeLeftDivisor divides the caller's remaining time into the longest wait for a
+	// configuration; the objective is not known before.
+	timeLeftDivisor = 4
 )
 
-// awaitConfig returns the configuration in force, and waits a moment for the first one and
-// for the first list of upstreams. Nil tells that no configuration came.
+// awaitConfig returns the configuration in force. It waits briefly for the first one and for the
+// first list of upstreams, and returns nil if no configuration arrived.
 func (g *Gateway) awaitConfig(ctx context.Context, timeLeft time.Duration) *catalog.View {
 	if view := g.Catalog.Current(); view != nil {
 		return view
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(g.settings.StartWait, timeLeft/timeLeftPart))
+	ctx, cancel := context.WithTimeout(ctx, min(g.settings.StartupWait, timeLeft/timeLeftDivisor))
 	defer cancel()
 	for _, known := range []<-chan struct{}{g.Catalog.First(), g.Directory.Listed()} {
 		select {
@@ -36,12 +36,12 @@
 	return g.Catalog.Current()
 }
 
-// awaitFirstGrant waits a moment for the node's first grant.
+// awaitFirstGrant waits briefly for the node's first grant.
 func (c *call) awaitFirstGrant(ctx context.Context) {
 	if c.g.Share.Granted() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(c.g.settings.StartWait, c.route.Objective/objectivePart))
+	ctx, cancel := context.WithTimeout(ctx, min(c.g.settings.StartupWait, c.route.Objective/objectiveDivisor))
 	defer cancel()
 	select {
 	case <-c.g.Share.FirstGrant():
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -9,60 +9,60 @@
 	"lavenderpin.dev/lavenderpin/eventstream"
 )
 
-// stream passes events on as they arrive, whole ones only. The answer ends as complete
-// only if the upstream's did.
-func (c *call) stream(ctx context.Context, u *directory.Upstream, answer *Answer, silence *silenceWatch, answered func()) verdict {
-	if !answer.Signed {
-		c.observe(u, false)
+// forwardStream forwards complete events as they arrive. The response ends as complete only if
+// the upstream's did.
+func (c *call) forwardStream(ctx context.Context, u *directory.Upstream, resp *Response, monitor *silenceMonitor, markAnswered func()) sendResult {
+	if !resp.Signed {
+		c.recordFailure(u, false)
 		return mayHaveRun
 	}
-	events := eventstream.NewReader(answer.Body)
+	events := eventstream.NewReader(resp.Body)
 	for first := true; ; first = false {
 		e, err := events.Next()
 		if err == io.EOF {
-			return c.streamEnded(u)
+			return c.handleStreamEnd(u)
 		}
 		if err != nil {
-			return c.streamCut(ctx, u, err)
+			return c.handleStreamError(ctx, u, err)
 		}
 		if first {
 			now := c.g.Clock.Now()
-			u.Began(now-c.sentAt, now)
+			u.Began(now-c.lastSentAt, now)
 		}
-		answered()
-		c.clock()
-		u.Heard(c.lastAt)
-		silence.rearm()
-		c.begin(answer)
-		if !c.pass(e, !events.Buffered()) {
+		markAnswered()
+		c.recordEventTime()
+		u.Heard(c.lastEventAt)
+		monitor.rearm()
+		c.startResponse(resp)
+		if !c.forwardEvent(e, !events.Buffered()) {
 			return mayHaveRun
 		}
 	}
 }
 
-// begin sends the answer's head before its first event. A stream that goes on at
-// another upstream keeps the head that the caller has.
-func (c *call) begin(answer *Answer) {
-	if c.started {
+// startResponse forwards status and headers before the first event. A stream that continues at
+// another upstream keeps those that the caller already has.
+func (c *call) startResponse(resp *Response) {
+	if c.responseStarted {
 		return
 	}
-	c.started = true
-	c.sink.Start(answer.Status, answer.Header, -1)
+	c.responseStarted = true
+	c.sink.Start(resp.Status, resp.Header, -1)
 }
 
-// clock keeps the times of events.
-func (c *call) clock() {
+// recordEventTime updates the event timings.
+func (c *call) recordEventTime() {
 	now := c.g.Clock.Now()
-	if c.lastAt == 0 {
+	if c.lastEventAt == 0 {
 		c.firstEvent = now - c.r.Arrived
 	} else {
-		c.longestGap = max(c.longestGap, now-c.lastAt)
+		c.longestGap = max(c.longestGap, now-c.lastEventAt)
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 }
 
-// pass hands one event on. Events that the caller has already are left out.
-func (c *call) pass(e eventstream.Event, flush bool) bool {
+// forwardEvent forwards one event unless the caller already has it.
+func (c *call) forwardEvent(e eventstream.Event, flush bool) bool {
 	if e.HasID {
 		if c.hasEvent && e.ID <= c.lastEvent {
 			return true
@@ -70,31 +70,31 @@
 		c.lastEvent, c.hasEvent = e.ID, true
 	}
 	if err := c.sink.Write(e.Raw); err != nil {
-		c.gone = true
+		c.callerGone = true
 		return false
 	}
 	c.events++
 	if flush && c.sink.Flush() != nil {
-		c.gone = true
+		c.callerGone = true
 	}
-	return !c.gone
+	return !c.callerGone
 }
 
-func (c *call) streamEnded(u *directory.Upstream) verdict {
-	if !c.started {
-		// A stream without a single event isn't an answer.
-		c.observe(u, false)
+func (c *call) handleStreamEnd(u *directory.Upstream) sendResult {
+	if !c.responseStarted {
+		// A stream without any event is not a response.
+		c.recordFailure(u, false)
 		return mayHaveRun
 	}
 	u.Succeed(c.g.Clock.Now())
-	c.ran++
+	c.possibleRuns++
 	c.outcome = "served"
 	return delivered
 }
 
-func (c *call) streamCut(ctx context.Context, u *directory.Upstream, err error) verdict {
-	if ctx.Err() == nil || context.Cause(ctx) == errSilent {
-		c.observe(u, context.Cause(ctx) == errSilent)
+func (c *call) handleStreamError(ctx context.Context, u *directory.Upstream, err error) sendResult {
+	if ctx.Err() == nil || context.Cause(ctx) == errUpstreamSilent {
+		c.recordFailure(u, context.Cause(ctx) == errUpstreamSilent)
 	}
 	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "events", c.events, "after", c.lastEvent, "error", err)
 	return mayHaveRun
