--- a/catalog/split.go
+++ b/catalog/split.go
@@ -1,8 +1,8 @@
 package catalog
 
-// Choose returns the service for a request by the route's weights; draw is uniform in
-// [0, 1). It returns an empty name if no service has a weight.
-func (r *Route) Choose(draw float64) string {
+// ChooseService picks a service by the route's weights; draw is uniform in [0, 1). It returns an
+// empty name if no service has a positive weight.
+func (r *Route) ChooseService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
@@ -10,10 +10,10 @@
 	if total <= 0 {
 		return ""
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, w := range r.Split {
-		at -= float64(w.Weight)
-		if at < 0 {
+		remaining -= float64(w.Weight)
+		if remaining < 0 {
 			return w.Service
 		}
 	}
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says what may be done with a request a second time.
+// Kind determines whether a request may be retried.
 type Kind int
 
 const (
@@ -10,79 +10,79 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Streaming requests answer with events. They run at most once unless the route
-	// lets a stream resume after its last delivered event.
+	// Streaming requests are answered with a stream of events. They run at most once unless the
+	// route allows a stream to resume after its last delivered event.
 	Streaming
 )
 
-// Route says how the requests below a path prefix are served.
+// Route defines how requests below a path prefix are served.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that the operator lets a request wait.
+	// Timeout is the longest time that a request may take, set by the operator.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, within which
-	// the answer is on time.
+	// Objective is the target time to the response, or to the first event of a stream.
 	Objective time.Duration
-	// MaxGap is the longest pause between events of a stream that is on time.
+	// MaxGap is the target for the longest pause between two events of a stream.
 	MaxGap time.Duration
-	// Priority ranks requests, 0 first.
+	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	Split    []Weight
-	// MaxAttempts bounds the upstreams on which one request may run.
+	Split    []WeightedService
+	// MaxAttempts bounds the number of upstreams on which one request may run.
 	MaxAttempts int
-	// Anonymous routes need no key.
+	// Anonymous routes require no key.
 	Anonymous bool
-	// Resumable streams may go on at another upstream after the last delivered event.
+	// Resumable streams may continue at another upstream after the last delivered event.
 	Resumable bool
 }
 
-// Repeatable tells whether a request may run again after it may have run.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request that may have run may be run again.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Weight is a service's part of a route's requests.
-type Weight struct {
+// WeightedService is a service with its relative share of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of upstreams that answer alike.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name string
-	// MaxConnections is what one upstream accepts from all nodes together.
+	// MaxConnections is the number of connections that one upstream accepts from all nodes
+	// together.
 	MaxConnections int
-	// Engine tells about model engines; nil for plain services.
+	// Engine describes the model engines; nil for plain services.
 	Engine *Engine
 }
 
-// Engine is what all model engines of a service have in common.
+// Engine holds the properties shared by all model engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// KVCapacity is an engine's memory in tokens.
+	// KVCapacity is the size of an engine's KV cache in tokens.
 	KVCapacity int
-	// TokensPerEvent is the most tokens that one event of a stream holds.
+	// TokensPerEvent is the maximum number of tokens in one stream event.
 	TokensPerEvent int
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority replaces a route's priority if HasPriority.
+	// Priority overrides the route's priority if HasPriority.
 	Priority    int
 	HasPriority bool
-	// Prepaid is the total of tokens that the account may use. Zero with HasPrepaid
-	// unset means that its use isn't limited.
+	// Prepaid is the total number of tokens that the account may use. If HasPrepaid is unset,
+	// usage is not limited.
 	Prepaid    int64
 	HasPrepaid bool
 }
 
-// Limits bound what a caller may send and how slowly.
+// Limits bound the size of requests and the time taken to send them.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/catalog/view.go
+++ b/catalog/view.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// View is one version of the configuration. It is never changed once published.
+// View is one version of the configuration. It is immutable once published.
 type View struct {
 	Version  int64
 	Limits   Limits
@@ -13,20 +13,20 @@
 	services map[string]*Service
 	accounts map[string]*Account
 	keys     map[string]*Account
-	// keyed tells that the configuration knows client accounts at all.
-	keyed bool
+	// hasAccounts reports whether the configuration defines any client accounts.
+	hasAccounts bool
 }
 
 // NewView indexes a configuration. keys maps each API key to an account's name.
 func NewView(version int64, limits Limits, routes []*Route, services []*Service, accounts []*Account, keys map[string]string) *View {
 	v := &View{
-		Version:  version,
-		Limits:   limits,
-		routes:   make(map[string][]*Route),
-		services: make(map[string]*Service, len(services)),
-		accounts: make(map[string]*Account, len(accounts)),
-		keys:     make(map[string]*Account, len(keys)),
-		keyed:    len(accounts) > 0,
+		Version:     version,
+		Limits:      limits,
+		routes:      make(map[string][]*Route),
+		services:    make(map[string]*Service, len(services)),
+		accounts:    make(map[string]*Account, len(accounts)),
+		keys:        make(map[string]*Account, len(keys)),
+		hasAccounts: len(accounts) > 0,
 	}
 	for _, r := range routes {
 		v.routes[r.Host] = append(v.routes[r.Host], r)
@@ -48,7 +48,7 @@
 	return v
 }
 
-// Match returns the route of the host with the longest prefix of path, or nil.
+// Match returns the host's route with the longest matching path prefix, or nil.
 func (v *View) Match(host, path string) *Route {
 	for _, r := range v.routes[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -78,8 +78,8 @@
 // Account returns a client account by name, or nil.
 func (v *View) Account(name string) *Account { return v.accounts[name] }
 
-// NeedsKey tells whether a route's requests must name a client account.
-func (v *View) NeedsKey(r *Route) bool { return v.keyed && !r.Anonymous }
+// RequiresKey reports whether requests of a route must carry the key of a client account.
+func (v *View) RequiresKey(r *Route) bool { return v.hasAccounts && !r.Anonymous }
 
-// Authenticate returns the account that holds a key, or nil.
+// Authenticate returns the account that owns a key, or nil.
 func (v *View) Authenticate(key string) *Account { return v.keys[key] }
--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -131,7 +131,7 @@
 
 // lostIncarnation leaves what a node that has lost power left in the store.
 func (b *bubble) lostIncarnation(node string, s site) {
-	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, Peer: node, Capacity: s.capacity, StoreMs: 4, Ready: true})
+	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, PeerAddress: node, Capacity: s.capacity, StoreWriteMs: 4, Ready: true})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 func view(string, []byte) (*catalog.View, bool, error) {
 	route := func(path, service string) *catalog.Route {
 		return &catalog.Route{Name: path, Host: host, PathPrefix: path, Kind: catalog.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 1,
-			Split: []catalog.Weight{{Service: service, Weight: 1}}}
+			Split: []catalog.WeightedService{{Service: service, Weight: 1}}}
 	}
 	return catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("/plain/", "app"), route("/prompt/", "llm")},
 		[]*catalog.Service{{Name: "app"}, {Name: "llm", Engine: &catalog.Engine{Slots: 8, TokensPerEvent: 6}}},
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -171,7 +171,7 @@
 
 // record is what the node writes about itself.
 func (n *Node) record() presence.Record {
-	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, Peer: n.settings.Peer,
-		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeMs(),
+	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, PeerAddress: n.settings.Peer,
+		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreWriteMs: n.storeMs(),
 		Ready: n.Ready(), Leaving: n.leaving.Load()}
 }
--- a/edgenode/records.go
+++ b/edgenode/records.go
@@ -42,8 +42,8 @@
 func (n *Node) neighbours() []peerfetch.Peer {
 	var peers []peerfetch.Peer
 	for _, r := range n.roster.Live() {
-		if r.DataCentre == n.settings.DataCentre && r.Peer != "" {
-			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.Peer, Capacity: r.Capacity})
+		if r.DataCentre == n.settings.DataCentre && r.PeerAddress != "" {
+			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.PeerAddress, Capacity: r.Capacity})
 		}
 	}
 	return peers
@@ -68,6 +68,6 @@
 }
 
 func hasIP(r *presence.Record, ip string) bool {
-	host, _, err := net.SplitHostPort(r.Peer)
+	host, _, err := net.SplitHostPort(r.PeerAddress)
 	return err == nil && host == ip
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -63,12 +63,12 @@
 	if c.route == nil {
 		return result.New(result.UnknownService, "no route has this host and path")
 	}
-	if c.view.NeedsKey(c.route) {
+	if c.view.RequiresKey(c.route) {
 		if c.account = c.view.Authenticate(c.r.Key); c.account == nil {
 			return result.New(result.UnknownKey, "the key belongs to no client account")
 		}
 	}
-	if c.service = c.view.Service(c.route.Choose(random())); c.service == nil {
+	if c.service = c.view.Service(c.route.ChooseService(random())); c.service == nil {
 		return result.New(result.NoUpstream, "the route has no service").After(c.g.settings.BusyRetryAfter)
 	}
 	if c.timeLeft() < c.g.settings.MinTimeLeft {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -82,7 +82,7 @@
 	holder := &catalog.Holder{}
 	route := func(name string, kind catalog.Kind, attempts int, resumable bool) *catalog.Route {
 		return &catalog.Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: 5 * time.Second, Objective: 100 * time.Millisecond,
-			MaxGap: 20 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable, Split: []catalog.Weight{{Service: "s", Weight: 1}}}
+			MaxGap: 20 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable, Split: []catalog.WeightedService{{Service: "s", Weight: 1}}}
 	}
 	holder.Publish(catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("read", catalog.Idempotent, 2, false), route("file", catalog.NonIdempotent, 1, false),
 		route("stream", catalog.Streaming, 2, true), route("once", catalog.Streaming, 1, false)},
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -88,7 +88,7 @@
 	if c.possibleRuns == 0 {
 		return true
 	}
-	if !c.route.Repeatable() || c.possibleRuns >= c.route.MaxAttempts {
+	if !c.route.Retryable() || c.possibleRuns >= c.route.MaxAttempts {
 		return false
 	}
 	// A stream can be continued only if its events are numbered.
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -42,7 +42,7 @@
 	m := &silenceMonitor{c: c, u: u, cancel: cancel}
 	timeout := time.Duration(c.g.settings.SilenceFactor * float64(c.route.Objective))
 	lastAttempt := c.possibleRuns+1 >= c.route.MaxAttempts
-	if c.route.Repeatable() && !lastAttempt && timeout > 0 && c.timeLeft()-timeout >= c.route.Objective/2 {
+	if c.route.Retryable() && !lastAttempt && timeout > 0 && c.timeLeft()-timeout >= c.route.Objective/2 {
 		m.arm(timeout)
 	}
 	return m
--- a/presence/addresses.go
+++ b/presence/addresses.go
@@ -6,52 +6,51 @@
 )
 
 const (
-	// mostNamed bounds the addresses of one answer: enough to outlive several losses.
-	mostNamed = 16
-	// fewestLarge is how many large instances must be ready for the small ones to be
-	// left out: with fewer, the loss of two would leave callers too few until they ask
-	// again.
-	fewestLarge = 4
+	// maxAddresses bounds the addresses in one response; enough to survive the loss of several.
+	maxAddresses = 16
+	// minLargeInstances is the number of ready large instances from which small ones are left
+	// out: with fewer, the loss of two would leave callers too few until they ask again.
+	minLargeInstances = 4
 )
 
-// Addresses returns where callers of a place should connect: ready nodes of their
-// region, or of all.
+// Addresses returns the addresses that callers of a region should connect to: those of ready
+// nodes in the region, or of all ready nodes if it has none.
 //
-// Small instances are named only where large ones are few. One caller may send a hundred
-// requests a second to the address that it has drawn, which an instance with a tenth of
-// the link can't carry: its callers wait until their deadlines while the large ones idle.
+// Small instances are listed only if there are few large ones. One caller may send a hundred
+// requests a second to the address it picked, which an instance with a tenth of the link cannot
+// carry: its callers would wait until their deadlines while large instances idle.
 func Addresses(live []Record, region string) []string {
-	near := readyOf(live, func(r Record) bool { return r.Region == region })
-	if len(near) == 0 {
-		near = readyOf(live, func(Record) bool { return true })
+	candidates := readyRecords(live, func(r Record) bool { return r.Region == region })
+	if len(candidates) == 0 {
+		candidates = readyRecords(live, func(Record) bool { return true })
 	}
-	near = large(near)
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
+	candidates = largeInstances(candidates)
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	var addresses []string
-	for _, r := range near[:min(len(near), mostNamed)] {
+	for _, r := range candidates[:min(len(candidates), maxAddresses)] {
 		addresses = append(addresses, r.Address)
 	}
 	return addresses
 }
 
-// large returns the records with at least half of the largest capacity, or all if these
-// are too few.
-func large(records []Record) []Record {
-	most := 0
+// largeInstances returns the records with at least half of the largest capacity, or all records
+// if there are too few of these.
+func largeInstances(records []Record) []Record {
+	maxCapacity := 0
 	for _, r := range records {
-		most = max(most, r.Capacity)
+		maxCapacity = max(maxCapacity, r.Capacity)
 	}
-	big := slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return 2*r.Capacity < most })
-	if len(big) < fewestLarge {
+	selected := slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return 2*r.Capacity < maxCapacity })
+	if len(selected) < minLargeInstances {
 		return records
 	}
-	return big
+	return selected
 }
 
-func readyOf(live []Record, in func(Record) bool) []Record {
+func readyRecords(live []Record, match func(Record) bool) []Record {
 	var ready []Record
 	for _, r := range live {
-		if r.Ready && in(r) {
+		if r.Ready && match(r) {
 			ready = append(ready, r)
 		}
 	}
--- a/presence/doc.go
+++ b/presence/doc.go
@@ -1,6 +1,6 @@
-// Package presence knows which nodes of the fleet serve, from what each writes about
-// itself twice a second.
+// Package presence tracks which nodes of the fleet serve, from the record that each node writes
+// about itself at most twice a second.
 //
-// A node that wasn't heard of counts as gone only while the store can be read: when the
-// store is out of reach nobody is heard of, and callers must go on finding the nodes.
+// A silent node counts as gone only while the store can be read: when the store is unreachable
+// no node is heard from, and callers must still be able to find the nodes.
 package presence
--- /dev/null
+++ b/presence/interval.go
@@ -0,0 +1,63 @@
+package presence
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// minInterval is the shortest interval between a node's records: a dead node is detected
+	// after five of them.
+	minInterval = 500 * time.Millisecond
+	// intervalPerNode lengthens the interval with the size of the fleet, up to unlistedInterval,
+	// so that up to 160 nodes together write at most about 80 records a second.
+	intervalPerNode = 12 * time.Millisecond
+	// unlistedInterval is the interval of nodes whose addresses are not given to callers: nobody
+	// waits for news of them.
+	unlistedInterval = 2 * time.Second
+)
+
+// isListed reports whether a node's address is given to callers in its region while it is ready.
+func isListed(live []Record, own Record) bool {
+	sameRegion := []Record{own}
+	for _, r := range live {
+		if r.Region == own.Region && r.Node != own.Node {
+			sameRegion = append(sameRegion, r)
+		}
+	}
+	return slices.ContainsFunc(largeInstances(sameRegion), func(r Record) bool { return r.Node == own.Node })
+}
+
+// RecordInterval returns the interval at which a node should write its own record.
+func RecordInterval(live []Record, own Record) time.Duration {
+	interval := max(minInterval, min(unlistedInterval, time.Duration(len(live))*intervalPerNode))
+	if !isListed(live, own) {
+		return max(interval, unlistedInterval)
+	}
+	return interval
+}
+
+// maxNearWriteTime is the longest time that a write takes from the store's own region: the
+// store's response and a few round trips between data centres. From another region a write takes
+// 66 ms.
+const maxNearWriteTime = 30 * time.Millisecond
+
+// Precedes reports whether node a comes before node b in the order in which nodes take on the
+// fleet's singleton tasks: nodes in the store's region first, then by larger capacity, then by
+// name.
+//
+// After a fault from which all nodes recover at once, the nodes of the other region share one
+// link for everything they read. A node there took on the tasks 2.3 s later than a node near the
+// store would have.
+func Precedes(a, b *Record) bool {
+	return cmp.Or(cmp.Compare(a.storeDistance(), b.storeDistance()), cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Node, b.Node)) < 0
+}
+
+// storeDistance ranks nodes by their distance from the store.
+func (r *Record) storeDistance() int {
+	if r.StoreWriteMs > 0 && time.Duration(r.StoreWriteMs)*time.Millisecond <= maxNearWriteTime {
+		return 0
+	}
+	return 1
+}
--- a/presence/record.go
+++ b/presence/record.go
@@ -10,23 +10,23 @@
 	Address    string `json:"a,omitempty"`
 	DataCentre string `json:"dc,omitempty"`
 	Region     string `json:"r,omitempty"`
-	// Capacity is what the instance can carry, in hundredths of a usual one.
+	// Capacity is the capacity of the instance in hundredths of a standard one.
 	Capacity int `json:"c,omitempty"`
-	// Ready: the node takes new callers.
+	// Ready reports that the node accepts new callers.
 	Ready bool `json:"re,omitempty"`
-	// Peer is where other nodes connect.
-	Peer string `json:"p,omitempty"`
-	// StoreMs is the shortest time that the node's process saw a write to the store take, in
-	// milliseconds; zero before it has seen one.
-	StoreMs int64 `json:"s,omitempty"`
-	// EveryMs is the interval of the node's records in milliseconds.
-	EveryMs int64 `json:"e,omitempty"`
-	// Leaving: the node finishes what it has and ends.
+	// PeerAddress is where other nodes connect.
+	PeerAddress string `json:"p,omitempty"`
+	// StoreWriteMs is the shortest write to the store that the node's process has measured, in
+	// milliseconds; zero before the first one.
+	StoreWriteMs int64 `json:"s,omitempty"`
+	// IntervalMs is the interval between the node's records in milliseconds.
+	IntervalMs int64 `json:"e,omitempty"`
+	// Leaving reports that the node is finishing its requests before it stops.
 	Leaving bool `json:"l,omitempty"`
 }
 
-// late returns how much longer than usual the node may be silent, for a number of its
-// records left out.
-func (r *Record) late(records int) time.Duration {
-	return time.Duration(records) * max(0, time.Duration(r.EveryMs)*time.Millisecond-leastEvery)
+// extraSilence returns how much longer than a node with the minimum interval this node may be
+// silent, for a number of missed records.
+func (r *Record) extraSilence(missed int) time.Duration {
+	return time.Duration(missed) * max(0, time.Duration(r.IntervalMs)*time.Millisecond-minInterval)
 }
--- a/presence/roster.go
+++ b/presence/roster.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// SilentAfter is how long a node may be silent while the store can be read before
-	// callers aren't sent to it any more: five records of one that writes at the least
-	// interval; one that writes more rarely may leave two more out.
-	SilentAfter = 2600 * time.Millisecond
-	// IdleAfter is how long it may be silent before another node takes its duties up:
-	// three records, and one more of a node that writes more rarely. Doing so too early
-	// costs a few calls and nothing else, since every write of a duty is fenced.
-	IdleAfter = 1600 * time.Millisecond
+	// LiveTimeout is how long a node may be silent, while the store can be read, before callers
+	// are no longer sent to it: five records at the minimum interval. Nodes with a longer
+	// interval may miss two more.
+	LiveTimeout = 2600 * time.Millisecond
+	// ActiveTimeout is how long a node may be silent before another node takes over its tasks:
+	// three records, and one more for a node with a longer interval. A premature takeover costs
+	// only a few calls, since every write of a task is fenced.
+	ActiveTimeout = 1600 * time.Millisecond
 )
 
-// Roster is the nodes as last heard of. It is safe for concurrent use.
+// Roster holds the last known record of each node. It is safe for concurrent use.
 type Roster struct {
 	clock bootclock.Clock
 
 	mu    sync.Mutex
 	nodes map[string]*member
-	// readable is how long the store could be read in all; silence counts in it.
-	readable time.Duration
-	caughtAt time.Duration
-	caught   bool
-	// live and active are what Live and Active return until the roster changes; nil tells
-	// that they must be made anew. Silence counts in readable time, which moves with a
-	// reading only. A node looks at them many times a second: sorting them each time would
-	// take most of a quiet node's processor time in a large fleet.
+	// readableTime is the total time in which the store could be read; silence is measured in
+	// it.
+	readableTime time.Duration
+	lastReadAt   time.Duration
+	lastReadOK   bool
+	// live and active cache the results of Live and Active until the roster changes; nil if they
+	// must be rebuilt. Silence is measured in readable time, which advances only when the store
+	// is read. A node calls Live and Active many times a second: sorting each time would take
+	// most of an idle node's processor time in a large fleet.
 	live, active []Record
 }
 
 type member struct {
 	Record
-	heard time.Duration
+	heardAt time.Duration
 }
 
 // NewRoster returns an empty roster.
@@ -47,23 +48,23 @@
 	return &Roster{clock: clock, nodes: make(map[string]*member)}
 }
 
-// Hear takes a node's record.
-func (r *Roster) Hear(rec Record) {
+// Update stores a node's record.
+func (r *Roster) Update(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nodes[rec.Node] = &member{Record: rec, heard: r.readable}
-	r.changed()
+	r.nodes[rec.Node] = &member{Record: rec, heardAt: r.readableTime}
+	r.invalidate()
 }
 
-// Read tells whether the nodes' records were ever read.
-func (r *Roster) Read() bool {
+// HasRead reports whether the nodes' records were ever read.
+func (r *Roster) HasRead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.caught || r.caughtAt != 0
+	return r.lastReadOK || r.lastReadAt != 0
 }
 
-// Last returns a node's last record; false if none was read.
-func (r *Roster) Last(node string) (Record, bool) {
+// LastRecord returns a node's last record; false if there is none.
+func (r *Roster) LastRecord(node string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.nodes[node]
@@ -73,72 +74,74 @@
 	return m.Record, true
 }
 
-// Forget drops a node whose record was deleted.
-func (r *Roster) Forget(node string) {
+// Remove deletes a node whose record was deleted.
+func (r *Roster) Remove(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.nodes, node)
-	r.changed()
+	r.invalidate()
 }
 
-// changed lets the lists be made anew. Caller holds mu.
-func (r *Roster) changed() { r.live, r.active = nil, nil }
+// invalidate discards the cached lists. The caller holds mu.
+func (r *Roster) invalidate() { r.live, r.active = nil, nil }
 
-// mostBetweenReadings bounds how much of the time between two successful readings
-// counts as time in which the store could be read.
-const mostBetweenReadings = 2 * time.Second
+// maxReadGap bounds how much of the time between two successful reads counts as time in which
+// the store could be read.
+const maxReadGap = 2 * time.Second
 
-// Caught notes a successful reading of the store.
-func (r *Roster) Caught() {
+// ReadSucceeded records a successful read of the store.
+func (r *Roster) ReadSucceeded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	if r.caught {
-		r.readable += min(now-r.caughtAt, mostBetweenReadings)
-		r.changed()
+	if r.lastReadOK {
+		r.readableTime += min(now-r.lastReadAt, maxReadGap)
+		r.invalidate()
 	}
-	r.caught, r.caughtAt = true, now
+	r.lastReadOK, r.lastReadAt = true, now
 }
 
-// Lost notes a failed reading: the time since the last successful one doesn't count.
-func (r *Roster) Lost() {
+// ReadFailed records a failed read: the time since the last successful one does not count.
+func (r *Roster) ReadFailed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.caught = false
+	r.lastReadOK = false
 }
 
-// Live returns the nodes that serve, by name. The list is shared and must not be changed.
+// Live returns the nodes that serve, sorted by name. The slice is shared and must not be
+// modified.
 func (r *Roster) Live() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.live == nil {
-		r.live = r.heardWithin(SilentAfter, silentRecords)
+		r.live = r.heardWithin(LiveTimeout, liveMissedRecords)
 	}
 	return r.live
 }
 
-// Active returns the nodes that may have duties, by name. The list is shared and must not be
-// changed.
+// Active returns the nodes that may hold tasks, sorted by name. The slice is shared and must not
+// be modified.
 func (r *Roster) Active() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.active == nil {
-		r.active = r.heardWithin(IdleAfter, idleRecords)
+		r.active = r.heardWithin(ActiveTimeout, activeMissedRecords)
 	}
 	return r.active
 }
 
-// How many records of a longer interval a node may leave out.
+// How many records a node with a longer interval may miss.
 const (
-	silentRecords = 2
-	idleRecords   = 1
+	liveMissedRecords   = 2
+	activeMissedRecords = 1
 )
 
-// heardWithin lists the nodes that were heard of within a time. Caller holds mu.
-func (r *Roster) heardWithin(silence time.Duration, records int) []Record {
+// heardWithin lists the nodes that were heard from within the given silence. The caller holds
+// mu.
+func (r *Roster) heardWithin(silence time.Duration, missed int) []Record {
 	live := make([]Record, 0, len(r.nodes))
 	for _, m := range r.nodes {
-		if !m.Leaving && r.readable-m.heard <= silence+m.late(records) {
+		if !m.Leaving && r.readableTime-m.heardAt <= silence+m.extraSilence(missed) {
 			live = append(live, m.Record)
 		}
 	}
@@ -146,10 +149,10 @@
 	return live
 }
 
-// IsLive tells whether an incarnation of a node serves.
+// IsLive reports whether an incarnation of a node serves.
 func (r *Roster) IsLive(node, incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.nodes[node]
-	return ok && m.Incarnation == incarnation && !m.Leaving && r.readable-m.heard <= SilentAfter+m.late(silentRecords)
+	return ok && m.Incarnation == incarnation && !m.Leaving && r.readableTime-m.heardAt <= LiveTimeout+m.extraSilence(liveMissedRecords)
 }
