--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -103,10 +103,10 @@
 }
 
 // Fetch asks a node of the bubble for records.
-func (b *bubble) Fetch(ctx context.Context, address string, ask peerfetch.Ask, progress func()) (peerfetch.Reply, error) {
+func (b *bubble) Fetch(ctx context.Context, address string, ask peerfetch.Request, progress func()) (peerfetch.Reply, error) {
 	if n := b.reachable(address); n != nil {
 		progress()
-		return n.copies[ask.Topic].Answer(ctx, ask), nil
+		return n.copies[ask.Topic].Handle(ctx, ask), nil
 	}
 	<-ctx.Done()
 	return peerfetch.Reply{}, ctx.Err()
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -50,7 +50,7 @@
 	Lending lending.Transport
 	// Peers carries asks for records to nodes of the data centre; nil lets the node read
 	// everything from the store.
-	Peers   peerfetch.Caller
+	Peers   peerfetch.Transport
 	Events  *event.Recorder
 	Metrics *gateway.Metrics
 	// DecodeConfig reads a configuration; false tells that the record is none.
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -50,7 +50,7 @@
 	// rosterTried is closed once the first reading of the nodes' records has ended.
 	rosterTried chan struct{}
 	// copies holds the newest records of topics, by name, for nodes of the data centre.
-	copies map[string]*peerfetch.Copy
+	copies map[string]*peerfetch.Replica
 	loops  sync.WaitGroup
 	// stop ends the loops.
 	stop context.CancelFunc
@@ -62,7 +62,7 @@
 func Start(ctx context.Context, settings Settings, deps Deps) (*Node, error) {
 	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, rosterTried: make(chan struct{}),
 		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), begun: deps.Clock.Now()}
-	n.copies = map[string]*peerfetch.Copy{configTopic: peerfetch.NewCopy(deps.Clock), upstreamTopic: peerfetch.NewCopy(deps.Clock)}
+	n.copies = map[string]*peerfetch.Replica{configTopic: peerfetch.NewReplica(deps.Clock), upstreamTopic: peerfetch.NewReplica(deps.Clock)}
 	if settings.Capacity < smallCapacity {
 		periodic.Pause(ctx, rand.N(smallStartDelay))
 	}
--- a/edgenode/records.go
+++ b/edgenode/records.go
@@ -34,8 +34,8 @@
 	if n.deps.Peers == nil {
 		return topic
 	}
-	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.neighbours, Fleet: func() int { return len(n.roster.Live()) }, Known: n.rosterTried, NewestOnly: newestOnly,
-		Caller: n.deps.Peers, Copy: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
+	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.neighbours, FleetSize: func() int { return len(n.roster.Live()) }, PeersKnown: n.rosterTried, NewestOnly: newestOnly,
+		Transport: n.deps.Peers, Replica: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
 }
 
 // neighbours returns the nodes of this data centre, this one included.
--- a/peerfetch/http.go
+++ b/peerfetch/http.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	// Path is where a node takes asks.
+	// Path is the URL path at which a node accepts requests.
 	Path = "/records"
-	// maxAsk and maxReply bound messages in bytes. A configuration has 4 MB at most.
-	maxAsk   = 4 << 10
-	maxReply = 8 << 20
-	// replyTimeout bounds the writing of a reply to a peer that takes it too slowly.
+	// maxRequestBytes and maxReplyBytes bound messages. A configuration has 4 MB at most.
+	maxRequestBytes = 4 << 10
+	maxReplyBytes   = 8 << 20
+	// replyTimeout bounds the time to write a reply to a slow peer.
 	replyTimeout = 5 * time.Second
 )
 
-// Client carries asks over kept connections.
-type Client struct{ Wire *httpwire.Client }
+// Client sends requests over persistent connections.
+type Client struct{ HTTP *httpwire.Client }
 
-// Fetch sends an ask and reads its reply.
-func (c *Client) Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error) {
+// Fetch sends a request and reads the reply.
+func (c *Client) Fetch(ctx context.Context, address string, req Request, progress func()) (Reply, error) {
 	var reply Reply
-	err := c.Wire.PostJSON(ctx, address, Path, &ask, &reply, maxReply, progress)
+	err := c.HTTP.PostJSON(ctx, address, Path, &req, &reply, maxReplyBytes, progress)
 	return reply, err
 }
 
-// Handler answers the asks of peers out of copies by topic. A configuration holds callers' keys,
-// so only addresses that known names are answered.
-func Handler(copies map[string]*Copy, known func(ip string) bool) http.Handler {
+// Handler serves peers' requests from the replicas, which are keyed by topic. A configuration
+// contains callers' keys, so only addresses accepted by isNode are served.
+func Handler(replicas map[string]*Replica, isNode func(ip string) bool) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, req *http.Request) {
-		ip, _, err := net.SplitHostPort(req.RemoteAddr)
-		if err != nil || !known(ip) {
+	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, httpReq *http.Request) {
+		ip, _, err := net.SplitHostPort(httpReq.RemoteAddr)
+		if err != nil || !isNode(ip) {
 			http.Error(w, "not a node of this fleet", http.StatusForbidden)
 			return
 		}
-		raw, err := io.ReadAll(io.LimitReader(req.Body, maxAsk))
+		raw, err := io.ReadAll(io.LimitReader(httpReq.Body, maxRequestBytes))
 		if err != nil {
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		var ask Ask
-		if err := json.Unmarshal(raw, &ask); err != nil {
+		var req Request
+		if err := json.Unmarshal(raw, &req); err != nil {
 			http.Error(w, "not an ask", http.StatusBadRequest)
 			return
 		}
-		held, ok := copies[ask.Topic]
+		replica, ok := replicas[req.Topic]
 		if !ok {
 			http.Error(w, "unknown topic", http.StatusNotFound)
 			return
 		}
-		ask.WaitMs = min(ask.WaitMs, peerWait.Milliseconds())
-		out, err := json.Marshal(held.Answer(req.Context(), ask))
+		req.WaitMs = min(req.WaitMs, maxPeerWait.Milliseconds())
+		out, err := json.Marshal(replica.Handle(httpReq.Context(), req))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(replyTimeout)) // a connection without deadlines is bounded by the asker
-		_, _ = w.Write(out)                                                              // a peer that left asks another
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(replyTimeout)) // without deadline support, the requester's timeout bounds the connection
+		_, _ = w.Write(out)                                                              // a peer that disconnected asks another
 	})
 	return mux
 }
--- a/peerfetch/messages.go
+++ b/peerfetch/messages.go
@@ -6,32 +6,32 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// Ask asks a peer for the records of a topic.
-type Ask struct {
+// Request asks a peer for the records of a topic.
+type Request struct {
 	Topic string `json:"topic"`
-	// From is the first offset that the asker hasn't read; negative asks for each key's
-	// newest record.
+	// From is the first offset that the requester has not read; a negative one requests the
+	// newest record of each key.
 	From int64 `json:"from"`
 	// End is the offset up to which the peer must have read.
 	End int64 `json:"end"`
-	// WaitMs is how long the peer may wait until it has, in milliseconds.
+	// WaitMs is how long the peer may wait to reach End, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// Reply is what a peer holds.
+// Reply is a peer's reply to a Request.
 type Reply struct {
-	// Behind tells that the peer hasn't read as far as was asked, Arriving that it is
-	// receiving records at the moment.
-	Behind   bool `json:"behind,omitempty"`
-	Arriving bool `json:"arriving,omitempty"`
-	// Forgotten tells that the peer doesn't hold all records since From.
-	Forgotten bool              `json:"forgotten,omitempty"`
-	Records   []keyedlog.Record `json:"records,omitempty"`
-	// Next is the offset to read on from.
+	// Behind reports that the peer has not read up to End, Receiving that it is currently
+	// receiving records from the store.
+	Behind    bool `json:"behind,omitempty"`
+	Receiving bool `json:"arriving,omitempty"`
+	// Incomplete reports that the peer does not hold all records since From.
+	Incomplete bool              `json:"forgotten,omitempty"`
+	Records    []keyedlog.Record `json:"records,omitempty"`
+	// Next is the offset to continue reading from.
 	Next int64 `json:"next"`
 }
 
-// Caller carries an ask to a peer. progress is called whenever a part of the reply arrives.
-type Caller interface {
-	Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error)
+// Transport sends a request to a peer. progress is called whenever a part of the reply arrives.
+type Transport interface {
+	Fetch(ctx context.Context, address string, req Request, progress func()) (Reply, error)
 }
--- a/peerfetch/rank.go
+++ b/peerfetch/rank.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Peer is a node of the data centre.
+// Peer is a node of this data centre.
 type Peer struct {
 	Node    string
 	Address string
-	// Capacity is what its instance can carry, in hundredths of a usual one.
+	// Capacity is the capacity of the node's instance in hundredths of a standard one.
 	Capacity int
 }
 
-// rank returns a node's place among the nodes of its data centre and the peers it fetches
-// from; a place of 0 reads the store itself. Nodes with the most capacity come first, since
-// they send what the others fetch. Nodes whose views differ may both be first, or none: the
-// one costs a reading more, the other ends with the patience of the next.
-func rank(self string, peers []Peer) (place int, sources []Peer) {
-	if len(peers) < fewest {
+// rankNode returns a node's rank among the nodes of its data centre and the peers it fetches
+// from; rank 0 reads the store itself. Nodes with the largest capacity come first, since they
+// send what the others fetch. Nodes with different views may both rank first, or none may: the
+// former costs one more read, the latter ends when the next node's timeout expires.
+func rankNode(self string, peers []Peer) (rank int, sources []Peer) {
+	if len(peers) < minPeers {
 		return 0, nil
 	}
-	order := slices.Clone(peers)
-	slices.SortFunc(order, func(a, b Peer) int {
+	ranked := slices.Clone(peers)
+	slices.SortFunc(ranked, func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Node, b.Node))
 	})
-	place = slices.IndexFunc(order, func(p Peer) bool { return p.Node == self })
-	if place <= 0 {
+	rank = slices.IndexFunc(ranked, func(p Peer) bool { return p.Node == self })
+	if rank <= 0 {
 		return 0, nil
 	}
-	return place, order[:min(place, asked)]
+	return rank, ranked[:min(rank, sourceCount)]
 }
--- a/peerfetch/start_test.go
+++ b/peerfetch/start_test.go
@@ -13,27 +13,27 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// starting returns the topic of a node that starts with so many nodes of its data centre
-// and of the fleet known.
-func starting(store keyedlog.Topic, held copies, near, fleet int) *Topic {
-	topic := fourth(store, held)
+// newStartingNode returns the topic of a node that starts while peerCount nodes of its data
+// centre and fleetSize nodes of the fleet are known.
+func newStartingNode(store keyedlog.Topic, replicas replicaTransport, peerCount, fleetSize int) *Topic {
+	topic := newFourthNode(store, replicas)
 	topic.Self, topic.NewestOnly = "new", true
-	peers := topic.Peers()[:min(near, len(topic.Peers()))]
+	peers := topic.Peers()[:min(peerCount, len(topic.Peers()))]
 	topic.Peers = func() []Peer { return peers }
-	topic.Fleet = func() int { return fleet }
+	topic.FleetSize = func() int { return fleetSize }
 	return topic
 }
 
-// Guards against a starting node that reads all records from the store because its own
-// record isn't read back yet, without which its neighbours refuse it.
-func TestStartingNodeWaitsUntilItIsKnown(t *testing.T) {
+// A starting node must not read all records from the store only because its own record has not
+// been read back yet; until then its peers refuse it.
+func TestStartingNodeWaitsUntilListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		write(t, store, "1")
-		held := NewCopy(bubbleClock{})
-		held.Reset([]keyedlog.Record{{Key: "config", Value: []byte("1")}}, 1)
-		topic := starting(store, copies{"n0": held, "n1": held}, 5, 20)
+		appendRecord(t, store, "1")
+		replica := NewReplica(synctestClock{})
+		replica.Reset([]keyedlog.Record{{Key: "config", Value: []byte("1")}}, 1)
+		topic := newStartingNode(store, replicaTransport{"n0": replica, "n1": replica}, 5, 20)
 		known := topic.Peers()
 		listed := atomic.Bool{}
 		topic.Peers = func() []Peer {
@@ -50,16 +50,16 @@
 	})
 }
 
-// Guards against nodes of a small fleet that wait for neighbours who will never come, while
-// their callers wait for an upstream.
-func TestSmallFleetWaitsForNobody(t *testing.T) {
-	for _, near := range []int{0, 1, 3} {
+// Nodes of a small fleet must not wait for peers that never come, while their callers wait for
+// an upstream.
+func TestSmallFleetDoesNotWaitForPeers(t *testing.T) {
+	for _, peerCount := range []int{0, 1, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			store := &countingTopic{Topic: memtopic.New()}
-			write(t, store, "1")
+			appendRecord(t, store, "1")
 			begun := time.Now()
-			_, _, err := starting(store, nil, near, 7).Newest(t.Context(), func() {})
+			_, _, err := newStartingNode(store, nil, peerCount, 7).Newest(t.Context(), func() {})
 			is.NoErr(err)
 			is.Equal(time.Since(begun), time.Duration(0))
 			is.Equal(store.read.Load(), int64(1))
@@ -67,18 +67,18 @@
 	}
 }
 
-// Guards against nodes of a large fleet's first start that each read all records, since
-// nobody is known yet.
-func TestFirstStartOfALargeFleetWaitsForPeers(t *testing.T) {
+// When a large fleet starts for the first time, no node is known yet. Its nodes must not each
+// read all records from the store.
+func TestFirstStartOfLargeFleetWaitsForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		for i := range manyRecords {
-			write(t, store, fmt.Sprint(i))
+		for i := range longLogRecords {
+			appendRecord(t, store, fmt.Sprint(i))
 		}
 		begun := time.Now()
-		_, _, err := starting(store, nil, 0, 0).Newest(t.Context(), func() {})
+		_, _, err := newStartingNode(store, nil, 0, 0).Newest(t.Context(), func() {})
 		is.NoErr(err)
-		is.True(time.Since(begun) >= knownPatience) // nobody came
+		is.True(time.Since(begun) >= peersKnownTimeout) // no peer appeared
 	})
 }
--- a/peerfetch/topic.go
+++ b/peerfetch/topic.go
@@ -15,66 +15,68 @@
 )
 
 const (
-	// fewest is how many nodes a data centre must have for its nodes to fetch from each other:
-	// below it, three copies at most cross the link.
-	fewest = 4
-	// asked is how many nodes of a data centre the others fetch from.
-	asked = 2
-	// look is the mean time between two questions where the log ends; it varies by a quarter.
-	look = 850 * time.Millisecond
-	// endTimeout bounds such a question: several round trips between regions.
+	// minPeers is how many nodes a data centre must have for its nodes to fetch from each other:
+	// with fewer, at most three copies cross the link.
+	minPeers = 4
+	// sourceCount is how many nodes of a data centre the others fetch from.
+	sourceCount = 2
+	// endPollInterval is the mean interval between queries for the end of the log; it is
+	// jittered by a quarter.
+	endPollInterval = 850 * time.Millisecond
+	// endTimeout bounds such a query: several round trips between regions.
 	endTimeout = 500 * time.Millisecond
-	// peerWait is how long a peer may wait for what it was asked for.
-	peerWait = 250 * time.Millisecond
-	// peerTimeout bounds the time until a peer's reply begins, and that in which nothing of
-	// it arrives.
-	peerTimeout = peerWait + 250*time.Millisecond
-	// peerPause is the pause between two rounds of asks.
-	peerPause = 60 * time.Millisecond
-	// longestRound is how long a round takes if no peer answers.
-	longestRound = asked*peerTimeout + peerPause
-	// secondPatience is how long the node that ranks second tries peers before it reads the
-	// store itself.
-	secondPatience = 300 * time.Millisecond
-	// laterPatience is how long the next ones try, placePatience is added for each place up to
-	// mostPatience: the second node's reading shall reach them before they fill the link.
-	laterPatience = 700 * time.Millisecond
-	placePatience = 50 * time.Millisecond
-	mostPatience  = 1200 * time.Millisecond
-	// arrivingPatience bounds the patience with a peer that is receiving the records itself:
-	// asking the store for them beside it would delay both.
-	arrivingPatience = 5 * time.Second
-	// knownPatience is how long a starting node waits until it knows its peers.
-	knownPatience = time.Second
-	// peersLook is how often it looks for them: a small part of what it takes to hear of one.
-	peersLook = 20 * time.Millisecond
-	// manyRecords is the length of a log, in records, from which on a node waits for peers
-	// though nobody has been heard of: reading it takes longer than to hear of them.
-	manyRecords = 1000
-	// manyNodes is how many nodes a fleet has from which on a node waits for peers though
-	// fewer than fewest of its data centre are known: a small fleet has no more.
-	manyNodes = 3 * fewest
+	// maxPeerWait bounds how long a peer may wait for the requested records.
+	maxPeerWait = 250 * time.Millisecond
+	// peerTimeout bounds the time until a peer's reply starts, and any pause while it arrives.
+	peerTimeout = maxPeerWait + 250*time.Millisecond
+	// roundPause is the pause between two rounds of requests.
+	roundPause = 60 * time.Millisecond
+	// maxRoundTime is the duration of a round in which no peer replies.
+	maxRoundTime = sourceCount*peerTimeout + roundPause
+	// secondNodeTimeout is how long the node ranked second tries peers before it reads the store
+	// itself.
+	secondNodeTimeout = 300 * time.Millisecond
+	// laterNodeTimeout is the same for the nodes after it; timeoutPerRank is added for each
+	// rank, up to maxPeersTimeout. What the second node reads should reach them before they fill
+	// the link.
+	laterNodeTimeout = 700 * time.Millisecond
+	timeoutPerRank   = 50 * time.Millisecond
+	maxPeersTimeout  = 1200 * time.Millisecond
+	// receivingTimeout bounds the wait for a peer that is receiving the records itself: reading
+	// them from the store at the same time would delay both.
+	receivingTimeout = 5 * time.Second
+	// peersKnownTimeout is how long a starting node waits until its peers are known.
+	peersKnownTimeout = time.Second
+	// peersPollInterval is how often it checks for them: a small part of the time it takes to
+	// hear from one.
+	peersPollInterval = 20 * time.Millisecond
+	// longLogRecords is the log length, in records, from which a node waits for peers although
+	// it has heard from none: reading such a log takes longer than hearing from peers.
+	longLogRecords = 1000
+	// largeFleetNodes is the fleet size from which a node waits for peers although fewer than
+	// minPeers of its data centre are known: a small fleet has no more.
+	largeFleetNodes = 3 * minPeers
 )
 
 // Topic reads a topic of the store with the help of peers.
 type Topic struct {
 	keyedlog.Topic
 	Name string
-	// Self is this node's name, Peers returns the nodes of its data centre, itself included.
+	// Self is this node's name. Peers returns the nodes of its data centre, including itself.
 	Self  string
 	Peers func() []Peer
-	// Fleet returns how many nodes are known in all.
-	Fleet func() int
-	// Known is closed once the peers were read for the first time, or couldn't be.
-	Known <-chan struct{}
-	// NewestOnly leaves it to the store what follows the newest records: for topics whose
-	// records are small, and many only together.
+	// FleetSize returns the number of known nodes in the fleet.
+	FleetSize func() int
+	// PeersKnown is closed once the peers were read for the first time, or could not be read.
+	PeersKnown <-chan struct{}
+	// NewestOnly fetches only the newest records from peers and reads later ones from the store,
+	// for topics whose records are small and are large only in total.
 	NewestOnly bool
 
-	Caller Caller
-	Copy   *Copy
-	Clock  bootclock.Clock
-	Events *event.Recorder
+	Transport Transport
+	Replica   *Replica
+	Clock     bootclock.Clock
+	Events    *event.Recorder
 }
 
 // Newest reads the newest records from peers that are up to date, or from the store.
@@ -82,56 +84,56 @@
 	if t.awaitPeers(ctx) && t.NewestOnly {
 		t.awaitMorePeers(ctx)
 	}
-	if place, sources := rank(t.Self, t.Peers()); place > 0 {
-		reply, ok, err := t.newestOfPeers(ctx, place, sources, progress)
+	if rank, sources := rankNode(t.Self, t.Peers()); rank > 0 {
+		reply, ok, err := t.newestFromPeers(ctx, rank, sources, progress)
 		if err != nil {
 			return nil, 0, err
 		}
 		if ok {
-			t.Copy.Reset(reply.Records, reply.Next)
+			t.Replica.Reset(reply.Records, reply.Next)
 			return reply.Records, reply.Next, nil
 		}
 	}
-	records, next, err := t.Copy.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
+	records, next, err := t.Replica.trackRead(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
 		return t.Topic.Newest(ctx, progress)
 	})
 	if err == nil {
-		t.Copy.Reset(records, next)
+		t.Replica.Reset(records, next)
 	}
 	return records, next, err
 }
 
-// newestOfPeers returns what peers hold; false leaves it to the store.
-func (t *Topic) newestOfPeers(ctx context.Context, place int, sources []Peer, progress func()) (Reply, bool, error) {
-	end, err := t.startAt(ctx)
+// newestFromPeers returns the records that peers hold; false means to read the store.
+func (t *Topic) newestFromPeers(ctx context.Context, rank int, sources []Peer, progress func()) (Reply, bool, error) {
+	end, err := t.requiredEnd(ctx)
 	progress()
 	if err == nil {
-		reply, ok := t.fetch(ctx, place, sources, Ask{From: -1, End: end}, progress)
+		reply, ok := t.fetch(ctx, rank, sources, Request{From: -1, End: end}, progress)
 		return reply, ok, nil
 	}
-	if reply, ok := t.newer(ctx, sources, Ask{From: -1, End: t.Copy.Next() + 1}, progress); ok {
+	if reply, ok := t.fetchNewer(ctx, sources, Request{From: -1, End: t.Replica.Next() + 1}, progress); ok {
 		return reply, true, nil
 	}
 	return Reply{}, false, err
 }
 
-// startAt returns how far a peer must have read for its newest records to be taken. A node that
-// has read nothing yet takes whatever a peer has, and asks the store afterwards: while all
-// nodes start, the answer would wait behind what they all read.
-func (t *Topic) startAt(ctx context.Context) (int64, error) {
-	if t.Copy.Next() < 0 {
+// requiredEnd returns the offset up to which a peer must have read. A node that has read nothing
+// yet accepts whatever a peer has and queries the store afterwards: while all nodes start, the
+// store's response would queue behind everything that they read.
+func (t *Topic) requiredEnd(ctx context.Context) (int64, error) {
+	if t.Replica.Next() < 0 {
 		return 0, nil
 	}
-	return t.end(ctx)
+	return t.logEnd(ctx)
 }
 
-// awaitPeers waits until the peers are known and tells whether they are. After a power loss of all, nodes that began to
-// read before they knew them would each take a copy of their own.
+// awaitPeers waits until the peers are known and reports whether they are. After a power loss of
+// the whole fleet, nodes that started to read before would each read their own copy.
 func (t *Topic) awaitPeers(ctx context.Context) bool {
-	timer := time.NewTimer(knownPatience)
+	timer := time.NewTimer(peersKnownTimeout)
 	defer timer.Stop()
 	select {
-	case <-t.Known:
+	case <-t.PeersKnown:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -139,90 +141,91 @@
 	return false
 }
 
-// awaitMorePeers waits while peers that will be known soon aren't: in a fleet that starts for
-// the first time nobody is known before the nodes have written their first records. The
-// records are many, so each node that doesn't wait costs much of a link.
+// awaitMorePeers waits while more peers are expected: when a fleet starts for the first time,
+// none is known before the nodes have written their first records. The records are many, so each
+// node that does not wait uses much of a link.
 func (t *Topic) awaitMorePeers(ctx context.Context) {
-	isLong := sync.OnceValue(func() bool { return t.isLong(ctx) })
-	for begun := t.Clock.Now(); ctx.Err() == nil && t.Clock.Now()-begun < knownPatience && t.expectsPeers(isLong); {
-		periodic.Pause(ctx, peersLook)
+	logIsLong := sync.OnceValue(func() bool { return t.logIsLong(ctx) })
+	for begun := t.Clock.Now(); ctx.Err() == nil && t.Clock.Now()-begun < peersKnownTimeout && t.expectsMorePeers(logIsLong); {
+		periodic.Pause(ctx, peersPollInterval)
 	}
 }
 
-// isLong tells whether the log is long enough to wait for peers that nobody has heard of. If
-// the store doesn't answer, the reading itself tells so.
-func (t *Topic) isLong(ctx context.Context) bool {
-	end, err := t.end(ctx)
-	return err == nil && end >= manyRecords
+// logIsLong reports whether the log is long enough to wait for peers that nobody has heard from.
+// If the store does not respond, the read that follows reports the error.
+func (t *Topic) logIsLong(ctx context.Context) bool {
+	end, err := t.logEnd(ctx)
+	return err == nil && end >= longLogRecords
 }
 
-// expectsPeers tells whether more peers will be known soon: this node's own record isn't read
-// back yet, which is when peers begin to answer it, or too few of its data centre are known.
-// A small fleet has no more, and must not wait for them.
-func (t *Topic) expectsPeers(isLong func() bool) bool {
+// expectsMorePeers reports whether more peers will be known soon: either this node's own record
+// has not been read back yet, which is when peers start to serve it, or too few nodes of its
+// data centre are known. A small fleet has no more, and must not wait for them.
+func (t *Topic) expectsMorePeers(logIsLong func() bool) bool {
 	peers := t.Peers()
-	if len(peers) >= fewest {
+	if len(peers) >= minPeers {
 		return !slices.ContainsFunc(peers, func(p Peer) bool { return p.Node == t.Self })
 	}
 	if len(peers) > 0 {
-		return t.Fleet() >= manyNodes
+		return t.FleetSize() >= largeFleetNodes
 	}
-	return isLong()
+	return logIsLong()
 }
 
 // Read reads from an offset on.
 func (t *Topic) Read(ctx context.Context, from int64, wait time.Duration, progress func()) ([]keyedlog.Record, int64, error) {
-	place, sources := rank(t.Self, t.Peers())
-	if place > 0 && !t.NewestOnly {
-		end, err := t.end(ctx)
+	rank, sources := rankNode(t.Self, t.Peers())
+	if rank > 0 && !t.NewestOnly {
+		end, err := t.logEnd(ctx)
 		progress()
 		if err != nil {
-			if reply, ok := t.newer(ctx, sources, Ask{From: from, End: from + 1}, progress); ok {
-				return t.extend(from, reply)
+			if reply, ok := t.fetchNewer(ctx, sources, Request{From: from, End: from + 1}, progress); ok {
+				return t.applyReply(from, reply)
 			}
 			return nil, 0, err
 		}
 		if end == from {
-			periodic.Pause(ctx, min(wait, look*3/4+rand.N(look/2)))
+			periodic.Pause(ctx, min(wait, endPollInterval*3/4+rand.N(endPollInterval/2)))
 			return nil, from, ctx.Err()
 		}
-		// An end before what was read is stale; a reading of the store waits for news.
+		// An end before from is stale; reading the store waits for new records.
 		if end > from {
-			if reply, ok := t.fetch(ctx, place, sources, Ask{From: from, End: end}, progress); ok {
-				return t.extend(from, reply)
+			if reply, ok := t.fetch(ctx, rank, sources, Request{From: from, End: end}, progress); ok {
+				return t.applyReply(from, reply)
 			}
 		}
 	}
-	records, next, err := t.Copy.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
+	records, next, err := t.Replica.trackRead(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
 		return t.Topic.Read(ctx, from, wait, progress)
 	})
 	if err == nil {
-		t.Copy.Extend(from, records, next)
+		t.Replica.Extend(from, records, next)
 	}
 	return records, next, err
 }
 
-// extend takes over what a peer has since an offset.
-func (t *Topic) extend(from int64, reply Reply) ([]keyedlog.Record, int64, error) {
-	if reply.Forgotten {
+// applyReply adds a peer's records since an offset.
+func (t *Topic) applyReply(from int64, reply Reply) ([]keyedlog.Record, int64, error) {
+	if reply.Incomplete {
 		return nil, 0, keyedlog.ErrForgotten
 	}
-	t.Copy.Extend(from, reply.Records, reply.Next)
+	t.Replica.Extend(from, reply.Records, reply.Next)
 	return reply.Records, reply.Next, nil
 }
 
-func (t *Topic) end(ctx context.Context) (int64, error) {
+func (t *Topic) logEnd(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	return t.Topic.End(ctx)
 }
 
-// newer asks each peer once for more than is known. A node that can't ask the store, since it is cut off or its link is
-// full, takes what its peers have learned meanwhile.
-func (t *Topic) newer(ctx context.Context, sources []Peer, ask Ask, progress func()) (Reply, bool) {
-	ask.Topic = t.Name
+// fetchNewer asks each peer once for newer records than those known. A node that cannot query
+// the store, because it is partitioned or its link is saturated, takes what its peers have
+// learned meanwhile.
+func (t *Topic) fetchNewer(ctx context.Context, sources []Peer, req Request, progress func()) (Reply, bool) {
+	req.Topic = t.Name
 	for _, source := range sources {
-		if reply, err := t.ask(ctx, source, ask, progress); err == nil && !reply.Behind {
+		if reply, err := t.request(ctx, source, req, progress); err == nil && !reply.Behind {
 			t.Events.Record(event.RecordsFetched, "topic", t.Name, "peer", source.Node, "end", reply.Next, "records", len(reply.Records), "store", false)
 			return reply, true
 		}
@@ -230,45 +233,45 @@
 	return Reply{}, false
 }
 
-// fetch asks peers until one is far enough or the patience is over.
-func (t *Topic) fetch(ctx context.Context, place int, sources []Peer, ask Ask, progress func()) (Reply, bool) {
-	ask.Topic, ask.WaitMs = t.Name, peerWait.Milliseconds()
+// fetch asks peers until one has read far enough or the timeout expires.
+func (t *Topic) fetch(ctx context.Context, rank int, sources []Peer, req Request, progress func()) (Reply, bool) {
+	req.Topic, req.WaitMs = t.Name, maxPeerWait.Milliseconds()
 	begun := t.Clock.Now()
-	until := begun + patience(place)
+	deadline := begun + peersTimeout(rank)
 	first := rand.N(len(sources))
-	for t.Clock.Now() < until && ctx.Err() == nil {
+	for t.Clock.Now() < deadline && ctx.Err() == nil {
 		for i := range sources {
 			source := sources[(first+i)%len(sources)]
-			reply, err := t.ask(ctx, source, ask, progress)
-			if err == nil && reply.Arriving {
-				until = min(begun+arrivingPatience, max(until, t.Clock.Now()+longestRound))
+			reply, err := t.request(ctx, source, req, progress)
+			if err == nil && reply.Receiving {
+				deadline = min(begun+receivingTimeout, max(deadline, t.Clock.Now()+maxRoundTime))
 			}
 			if err != nil || reply.Behind {
 				continue
 			}
-			t.Events.Record(event.RecordsFetched, "topic", t.Name, "peer", source.Node, "end", ask.End, "records", len(reply.Records), "ms", (t.Clock.Now() - begun).Milliseconds())
+			t.Events.Record(event.RecordsFetched, "topic", t.Name, "peer", source.Node, "end", req.End, "records", len(reply.Records), "ms", (t.Clock.Now() - begun).Milliseconds())
 			return reply, true
 		}
 		progress()
-		periodic.Pause(ctx, peerPause)
+		periodic.Pause(ctx, roundPause)
 	}
-	t.Events.Record(event.RelayFailed, "topic", t.Name, "peers", len(sources), "end", ask.End, "ms", (t.Clock.Now() - begun).Milliseconds())
+	t.Events.Record(event.RelayFailed, "topic", t.Name, "peers", len(sources), "end", req.End, "ms", (t.Clock.Now() - begun).Milliseconds())
 	return Reply{}, false
 }
 
-func (t *Topic) ask(ctx context.Context, source Peer, ask Ask, progress func()) (Reply, error) {
-	limited, arriving, cancel := stall.Limit(ctx, peerTimeout, peerTimeout)
+func (t *Topic) request(ctx context.Context, source Peer, req Request, progress func()) (Reply, error) {
+	limited, markProgress, cancel := stall.Limit(ctx, peerTimeout, peerTimeout)
 	defer cancel()
-	return t.Caller.Fetch(limited, source.Address, ask, func() {
-		arriving()
+	return t.Transport.Fetch(limited, source.Address, req, func() {
+		markProgress()
 		progress()
 	})
 }
 
-// patience is how long a node tries peers before it reads the store itself.
-func patience(place int) time.Duration {
-	if place == 1 {
-		return secondPatience
+// peersTimeout is how long a node tries peers before it reads the store itself.
+func peersTimeout(rank int) time.Duration {
+	if rank == 1 {
+		return secondNodeTimeout
 	}
-	return min(mostPatience, laterPatience+time.Duration(place)*placePatience)
+	return min(maxPeersTimeout, laterNodeTimeout+time.Duration(rank)*timeoutPerRank)
 }
--- a/peerfetch/topic_test.go
+++ b/peerfetch/topic_test.go
@@ -21,12 +21,12 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// bubbleClock is a boot clock in a test's own time.
-type bubbleClock struct{}
+// synctestClock is a boot clock that follows the fake time of a synctest bubble.
+type synctestClock struct{}
 
-func (bubbleClock) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func (synctestClock) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// countingTopic counts the records that were read from the store.
+// countingTopic counts the records read from the store.
 type countingTopic struct {
 	*memtopic.Topic
 	read atomic.Int64
@@ -44,21 +44,21 @@
 	return records, next, err
 }
 
-// copies answers asks out of peers' copies; a peer without one is dark.
-type copies map[string]*Copy
+// replicaTransport serves requests from peers' replicas; a peer without one never replies.
+type replicaTransport map[string]*Replica
 
-func (c copies) Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error) {
-	held, ok := c[address]
+func (t replicaTransport) Fetch(ctx context.Context, address string, req Request, progress func()) (Reply, error) {
+	replica, ok := t[address]
 	if !ok {
 		<-ctx.Done()
 		return Reply{}, ctx.Err()
 	}
 	progress()
-	return held.Answer(ctx, ask), nil
+	return replica.Handle(ctx, req), nil
 }
 
-// fourth returns the topic of the fourth of a data centre's nodes.
-func fourth(store keyedlog.Topic, held copies) *Topic {
+// newFourthNode returns the topic of the node ranked fourth in a data centre.
+func newFourthNode(store keyedlog.Topic, replicas replicaTransport) *Topic {
 	peers := make([]Peer, 5)
 	for i := range peers {
 		name := fmt.Sprintf("n%d", i)
@@ -66,37 +66,37 @@
 	}
 	known := make(chan struct{})
 	close(known)
-	return &Topic{Known: known, Topic: store, Name: "config", Self: "n3", Peers: func() []Peer { return peers }, Caller: held, Copy: NewCopy(bubbleClock{}), Clock: bubbleClock{},
+	return &Topic{PeersKnown: known, Topic: store, Name: "config", Self: "n3", Peers: func() []Peer { return peers }, Transport: replicas, Replica: NewReplica(synctestClock{}), Clock: synctestClock{},
 		Events: event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), "n3", 64, log.NewNopLogger())}
 }
 
-// unreachable is a store that answers nothing.
-func unreachable() *memtopic.Topic {
+// newUnreachableStore returns a store whose calls time out.
+func newUnreachableStore() *memtopic.Topic {
 	store := memtopic.New()
 	store.Fail = context.DeadlineExceeded
 	return store
 }
 
-func write(t *testing.T, store keyedlog.Topic, value string) {
+func appendRecord(t *testing.T, store keyedlog.Topic, value string) {
 	t.Helper()
 	if err := store.Append(t.Context(), keyedlog.Fence{}, keyedlog.Record{Key: "config", Value: []byte(value)}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A node that reads what a peer holds takes a second copy over the link to the store.
-func TestReadsFromThePeerAlone(t *testing.T) {
+// A node that reads from the store what a peer holds transfers a second copy over the link.
+func TestReadsFromPeerOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		first := NewCopy(bubbleClock{})
-		n := fourth(store, copies{"n0": first})
-		write(t, store, "1")
+		first := NewReplica(synctestClock{})
+		n := newFourthNode(store, replicaTransport{"n0": first})
+		appendRecord(t, store, "1")
 		first.Reset([]keyedlog.Record{record("config", 0)}, 1)
 		_, next, err := n.Newest(t.Context(), func() {})
 		is.NoErr(err)
 		is.Equal(next, int64(1))
-		write(t, store, "2")
+		appendRecord(t, store, "2")
 		first.Extend(1, []keyedlog.Record{record("config", 1)}, 2)
 		records, next, err := n.Read(t.Context(), next, time.Second, func() {})
 		is.NoErr(err)
@@ -106,35 +106,35 @@
 	})
 }
 
-// All nodes start while the link to the store is full, and the store's word on where the log
-// ends doesn't come through. A node that waits for it knows no configuration for seconds.
-func TestStartsFromAPeerWithoutTheStore(t *testing.T) {
+// All nodes start while the link to the store is saturated, and the query for the end of the log
+// fails. A node that waits for it has no configuration for seconds.
+func TestStartsFromPeerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := unreachable()
-		first := NewCopy(bubbleClock{})
+		store := newUnreachableStore()
+		first := NewReplica(synctestClock{})
 		first.Reset([]keyedlog.Record{record("config", 4)}, 5)
-		n := fourth(store, copies{"n0": first})
+		n := newFourthNode(store, replicaTransport{"n0": first})
 		records, next, err := n.Newest(t.Context(), func() {})
 		is.NoErr(err)
 		is.Equal(len(records), 1)
 		_, _, err = n.Read(t.Context(), next, time.Second, func() {})
-		is.Equal(err, context.DeadlineExceeded) // it doesn't count as up to date
+		is.Equal(err, context.DeadlineExceeded) // it does not count as up to date
 		_, _, err = n.Newest(t.Context(), func() {})
 		is.Equal(err, context.DeadlineExceeded)
 	})
 }
 
-// A node is cut off from the store, or its link is full, while its peers learn of a change. It
-// must not stay behind them.
-func TestTakesNewsFromPeersWithoutTheStore(t *testing.T) {
+// A node is partitioned from the store, or its link is saturated, while its peers learn of a
+// change. It must not stay behind them.
+func TestFetchesUpdatesFromPeersWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := unreachable()
-		second := NewCopy(bubbleClock{})
+		store := newUnreachableStore()
+		second := NewReplica(synctestClock{})
 		second.Reset([]keyedlog.Record{record("config", 4)}, 5)
-		n := fourth(store, copies{"n1": second})
-		n.Copy.Reset([]keyedlog.Record{record("config", 4)}, 5)
+		n := newFourthNode(store, replicaTransport{"n1": second})
+		n.Replica.Reset([]keyedlog.Record{record("config", 4)}, 5)
 		_, _, err := n.Read(t.Context(), 5, time.Second, func() {})
 		is.Equal(err, context.DeadlineExceeded)
 		second.Extend(5, []keyedlog.Record{record("config", 5)}, 6)
@@ -149,40 +149,40 @@
 	})
 }
 
-// Peers that are dark, or that are cut off from the store and don't know it, must not keep a
-// node behind.
-func TestReadsTheStoreWhenPeersAreBehind(t *testing.T) {
-	for name, held := range map[string]copies{"dark": {}, "behind": {"n0": NewCopy(bubbleClock{}), "n1": NewCopy(bubbleClock{})}} {
+// Peers that do not respond, or that are partitioned from the store without knowing it, must not
+// keep a node behind.
+func TestReadsStoreWhenPeersAreBehind(t *testing.T) {
+	for name, replicas := range map[string]replicaTransport{"unresponsive": {}, "behind": {"n0": NewReplica(synctestClock{}), "n1": NewReplica(synctestClock{})}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				store := &countingTopic{Topic: memtopic.New()}
-				write(t, store, "1")
-				for _, c := range held {
-					c.Reset(nil, 0)
+				appendRecord(t, store, "1")
+				for _, replica := range replicas {
+					replica.Reset(nil, 0)
 				}
-				n := fourth(store, held)
+				n := newFourthNode(store, replicas)
 				begun := time.Now()
 				records, _, err := n.Read(t.Context(), 0, time.Second, func() {})
 				is.NoErr(err)
 				is.Equal(string(records[0].Value), "1")
-				is.True(time.Since(begun) <= mostPatience+asked*peerTimeout)
+				is.True(time.Since(begun) <= maxPeersTimeout+sourceCount*peerTimeout)
 			})
 		})
 	}
 }
 
-// A peer takes long to receive a large configuration itself. Nodes that read the store
-// meanwhile delay it and themselves.
-func TestWaitsForAPeerThatIsReceiving(t *testing.T) {
+// A peer takes long to receive a large configuration itself. Nodes that read the store meanwhile
+// delay it and themselves.
+func TestWaitsForPeerThatIsReceiving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		write(t, store, "1")
-		first := NewCopy(bubbleClock{})
+		appendRecord(t, store, "1")
+		first := NewReplica(synctestClock{})
 		first.Reset(nil, 0)
 		go func() {
-			records, next, _ := first.receive(func() {}, func(progress func()) ([]keyedlog.Record, int64, error) {
+			records, next, _ := first.trackRead(func() {}, func(progress func()) ([]keyedlog.Record, int64, error) {
 				for range 30 {
 					time.Sleep(100 * time.Millisecond)
 					progress()
@@ -191,7 +191,7 @@
 			})
 			first.Extend(0, records, next)
 		}()
-		n := fourth(store, copies{"n0": first, "n1": NewCopy(bubbleClock{})})
+		n := newFourthNode(store, replicaTransport{"n0": first, "n1": NewReplica(synctestClock{})})
 		records, _, err := n.Read(t.Context(), 0, time.Second, func() {})
 		is.NoErr(err)
 		is.Equal(len(records), 1)
@@ -199,42 +199,42 @@
 	})
 }
 
-// A peer's reading stalls. It must not be waited for any longer than one that never began.
-func TestReadsTheStoreWhenAPeerStalls(t *testing.T) {
+// A peer's read stalls. It must not be waited for longer than one that never started.
+func TestReadsStoreWhenPeerStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		write(t, store, "1")
-		first := NewCopy(bubbleClock{})
+		appendRecord(t, store, "1")
+		first := NewReplica(synctestClock{})
 		first.Reset(nil, 0)
 		stalled, end := context.WithTimeout(t.Context(), 10*time.Second)
 		defer end()
 		go func() {
-			_, _, _ = first.receive(func() {}, func(progress func()) ([]keyedlog.Record, int64, error) {
+			_, _, _ = first.trackRead(func() {}, func(progress func()) ([]keyedlog.Record, int64, error) {
 				progress()
 				<-stalled.Done()
 				return nil, 0, stalled.Err()
-			}) // the reading fails on purpose
+			}) // the read fails on purpose
 		}()
-		n := fourth(store, copies{"n0": first})
+		n := newFourthNode(store, replicaTransport{"n0": first})
 		begun := time.Now()
 		_, _, err := n.Read(t.Context(), 0, time.Second, func() {})
 		is.NoErr(err)
-		is.True(time.Since(begun) <= arrivingFor+mostPatience+asked*peerTimeout)
+		is.True(time.Since(begun) <= progressTimeout+maxPeersTimeout+sourceCount*peerTimeout)
 	})
 }
 
-// The store's word on the end is seconds old. A node that asked peers for less than it has would
-// ask again and again, and one that waited for the old end would hear nothing.
-func TestStaleEndIsLeftToTheStore(t *testing.T) {
+// The end that the store reports is seconds old. A node that asked peers for less than it has
+// would repeat that forever, and one that waited at the old end would receive nothing.
+func TestStaleEndIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memtopic.New()
-		write(t, store, "1")
-		write(t, store, "2")
-		ahead := NewCopy(bubbleClock{})
+		appendRecord(t, store, "1")
+		appendRecord(t, store, "2")
+		ahead := NewReplica(synctestClock{})
 		ahead.Reset(nil, 9)
-		n := fourth(staleEnd{store, 0}, copies{"n0": ahead, "n1": ahead})
+		n := newFourthNode(staleEndTopic{store, 0}, replicaTransport{"n0": ahead, "n1": ahead})
 		records, next, err := n.Read(t.Context(), 1, time.Second, func() {})
 		is.NoErr(err)
 		is.Equal(len(records), 1)
@@ -242,49 +242,49 @@
 	})
 }
 
-// staleEnd is a topic whose end is told late.
-type staleEnd struct {
+// staleEndTopic is a topic that reports a stale end.
+type staleEndTopic struct {
 	*memtopic.Topic
 	end int64
 }
 
-func (s staleEnd) End(context.Context) (int64, error) { return s.end, nil }
+func (s staleEndTopic) End(context.Context) (int64, error) { return s.end, nil }
 
-// Nodes with the most room send what the others fetch; a small data centre needs none of it.
+// Nodes with the largest capacity serve the others; a small data centre needs no sources.
 func TestRanksByCapacity(t *testing.T) {
 	is := is.New(t)
 	peers := []Peer{{Node: "a", Capacity: 48}, {Node: "b", Capacity: 200}, {Node: "c", Capacity: 48}, {Node: "d", Capacity: 200}}
-	place, sources := rank("c", peers)
+	place, sources := rankNode("c", peers)
 	is.Equal(place, 3)
 	is.Equal([]string{sources[0].Node, sources[1].Node}, []string{"b", "d"})
-	place, sources = rank("d", peers)
+	place, sources = rankNode("d", peers)
 	is.Equal(place, 1)
 	is.Equal(len(sources), 1)
-	place, _ = rank("b", peers)
+	place, _ = rankNode("b", peers)
 	is.Equal(place, 0)
-	place, _ = rank("c", peers[:3])
+	place, _ = rankNode("c", peers[:3])
 	is.Equal(place, 0)
-	place, _ = rank("unlisted", peers)
+	place, _ = rankNode("unlisted", peers)
 	is.Equal(place, 0)
 }
 
-// A configuration holds callers' keys: whoever isn't a node of the fleet must not get it.
-func TestRecordsAreForNodesOnly(t *testing.T) {
+// A configuration contains callers' keys: only nodes of the fleet may get it.
+func TestHandlerServesOnlyNodes(t *testing.T) {
 	is := is.New(t)
-	held := NewCopy(bubbleClock{})
-	held.Reset([]keyedlog.Record{record("config", 0)}, 1)
-	node := true
-	server := httptest.NewServer(Handler(map[string]*Copy{"config": held}, func(string) bool { return node }))
+	replica := NewReplica(synctestClock{})
+	replica.Reset([]keyedlog.Record{record("config", 0)}, 1)
+	isNode := true
+	server := httptest.NewServer(Handler(map[string]*Replica{"config": replica}, func(string) bool { return isNode }))
 	defer server.Close()
-	client := &Client{Wire: httpwire.NewClient(httpwire.Options{Clock: bootclock.System{}, DialTimeout: time.Second})}
+	client := &Client{HTTP: httpwire.NewClient(httpwire.Options{Clock: bootclock.System{}, DialTimeout: time.Second})}
 	address := server.Listener.Addr().String()
-	reply, err := client.Fetch(t.Context(), address, Ask{Topic: "config", From: -1, End: 1}, func() {})
+	reply, err := client.Fetch(t.Context(), address, Request{Topic: "config", From: -1, End: 1}, func() {})
 	is.NoErr(err)
 	is.Equal(reply, Reply{Records: []keyedlog.Record{record("config", 0)}, Next: 1})
-	_, err = client.Fetch(t.Context(), address, Ask{Topic: "spend", From: -1}, func() {})
+	_, err = client.Fetch(t.Context(), address, Request{Topic: "spend", From: -1}, func() {})
 	is.True(err != nil)
-	node = false
-	_, err = client.Fetch(t.Context(), address, Ask{Topic: "config", From: -1, End: 1}, func() {})
+	isNode = false
+	_, err = client.Fetch(t.Context(), address, Request{Topic: "config", From: -1, End: 1}, func() {})
 	is.True(err != nil)
 	resp, err := http.Get(server.URL + Path)
 	is.NoErr(err)
