--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,16 +31,16 @@
 
 // fakeUpstreams records what was sent.
 type fakeUpstreams struct {
-	mu     sync.Mutex
-	sent   []*Dispatch
-	script responder
+	mu      sync.Mutex
+	sent    []*Dispatch
+	respond responder
 }
 
 func (f *fakeUpstreams) Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, d)
 	f.mu.Unlock()
-	return f.script(ctx, u, d)
+	return f.respond(ctx, u, d)
 }
 
 // recordingSink records what the caller received.
@@ -78,7 +78,7 @@
 func newTestGateway(extra float64, respond responder) *testGateway {
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
-	tg := &testGateway{upstreams: &fakeUpstreams{script: respond}, clock: clock}
+	tg := &testGateway{upstreams: &fakeUpstreams{respond: respond}, clock: clock}
 	holder := &catalog.Holder{}
 	route := func(name string, kind catalog.Kind, attempts int, resumable bool) *catalog.Route {
 		return &catalog.Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: 5 * time.Second, Objective: 100 * time.Millisecond,
--- a/peerfetch/topic_test.go
+++ b/peerfetch/topic_test.go
@@ -254,18 +254,18 @@
 func TestRanksByCapacity(t *testing.T) {
 	is := is.New(t)
 	peers := []Peer{{Node: "a", Capacity: 48}, {Node: "b", Capacity: 200}, {Node: "c", Capacity: 48}, {Node: "d", Capacity: 200}}
-	place, sources := rankNode("c", peers)
-	is.Equal(place, 3)
+	rank, sources := rankNode("c", peers)
+	is.Equal(rank, 3)
 	is.Equal([]string{sources[0].Node, sources[1].Node}, []string{"b", "d"})
-	place, sources = rankNode("d", peers)
-	is.Equal(place, 1)
+	rank, sources = rankNode("d", peers)
+	is.Equal(rank, 1)
 	is.Equal(len(sources), 1)
-	place, _ = rankNode("b", peers)
-	is.Equal(place, 0)
-	place, _ = rankNode("c", peers[:3])
-	is.Equal(place, 0)
-	place, _ = rankNode("unlisted", peers)
-	is.Equal(place, 0)
+	rank, _ = rankNode("b", peers)
+	is.Equal(rank, 0)
+	rank, _ = rankNode("c", peers[:3])
+	is.Equal(rank, 0)
+	rank, _ = rankNode("unlisted", peers)
+	is.Equal(rank, 0)
 }
 
 // A configuration contains callers' keys: only nodes of the fleet may get it.
