--- a/gateway/send.go
+++ b/gateway/send.go
@@ -108,8 +108,8 @@
 	return notRun, true
 }
 
-// maxBufferedBytes is the largest response, in bytes, that is read whole before any of it is
-// forwarded. Plain services respond with a few hundred bytes; a longer response is streamed.
+// maxBufferedBytes bounds a response, in bytes, that is read whole before any of it is forwarded.
+// Plain services respond with a few hundred bytes; a longer response is streamed.
 const maxBufferedBytes = 256 << 10
 
 // forwardBuffered reads the whole response before the caller sees any of it, so that a truncated
