--- a/gateway/call.go
+++ b/gateway/call.go
@@ -185,8 +185,8 @@
 	return c.account.Name
 }
 
-func (c *call) query() *placement.Query {
-	return &placement.Query{Now: c.g.Clock.Now(), DataCentre: c.g.DataCentre, Region: c.g.Region,
+func (c *call) query() *placement.Request {
+	return &placement.Request{Now: c.g.Clock.Now(), DataCentre: c.g.DataCentre, Region: c.g.Region,
 		PromptTokens: int(c.r.PromptTokens), Prefix: c.r.Prefix, Tried: c.tried}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,7 +60,7 @@
 		return
 	}
 	defer c.settle()
-	g.retryBudget(c.service.Name).Request()
+	g.retryBudget(c.service.Name).RecordRequest()
 	ctx, cancel := context.WithTimeout(ctx, c.timeLeft())
 	defer cancel()
 	c.run(ctx)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -25,7 +25,7 @@
 	Arrived time.Duration
 	// PromptTokens and MaxOutput are the request's declared sizes in tokens.
 	PromptTokens, MaxOutput int64
-	Prefix                  []placement.Part
+	Prefix                  []placement.PromptPart
 	// ResumeAfter is the last event that the caller received in an earlier attempt.
 	ResumeAfter    int64
 	HasResumeAfter bool
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -70,14 +70,14 @@
 
 // recordDispatch records the chosen upstream and the inputs of the choice. load_age_ms is -1 if
 // the upstream has not reported its load yet.
-func (c *call) recordDispatch(choice placement.Choice) {
+func (c *call) recordDispatch(choice placement.PickResult) {
 	load := choice.Upstream.Load()
 	age := int64(-1)
 	if load.At != 0 {
 		age = c.g.since(load.At).Milliseconds()
 	}
 	c.g.Events.Record(event.RequestDispatched, "request", c.r.ID, "upstream", choice.Upstream.ID, "send", c.sends,
-		"expected_ms", choice.Expected.Milliseconds(), "candidates", choice.Candidates, "unread", choice.Unread,
+		"expected_ms", choice.Expected.Milliseconds(), "candidates", choice.Candidates, "unread", choice.Uncached,
 		"running", load.Running, "waiting", load.Waiting, "load_age_ms", age, "left_ms", c.timeLeft().Milliseconds(), "after", c.lastEvent)
 }
 
@@ -134,8 +134,8 @@
 func (c *call) recordFailure(u *directory.Upstream, unreachable bool) {
 	now := c.g.Clock.Now()
 	if unreachable {
-		u.Unreachable(now)
+		u.RecordUnreachable(now)
 		return
 	}
-	u.Fail(now)
+	u.RecordFailure(now)
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,7 +25,7 @@
 }
 
 // send sends the request to one upstream and forwards its response.
-func (c *call) send(ctx context.Context, choice placement.Choice) sendResult {
+func (c *call) send(ctx context.Context, choice placement.PickResult) sendResult {
 	u := choice.Upstream
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -34,15 +34,15 @@
 	u.InFlight.Add(1)
 	defer u.InFlight.Add(-1)
 	sentAt := c.g.Clock.Now()
-	u.Sent(sentAt)
+	u.RecordSent(sentAt)
 	c.lastSentAt = sentAt
-	prompt := int64(choice.Unread)
+	prompt := int64(choice.Uncached)
 	u.PromptInFlight.Add(prompt)
 	promptPending := true
 	markAnswered := func() {
 		if promptPending {
 			u.PromptInFlight.Add(-prompt)
-			u.Settled(sentAt)
+			u.RecordSettled(sentAt)
 			promptPending = false
 		}
 	}
@@ -53,7 +53,7 @@
 		return c.handleSendError(ctx, u, err)
 	}
 	defer resp.Close()
-	u.Heard(c.g.Clock.Now())
+	u.RecordReceived(c.g.Clock.Now())
 	if res, final := c.handleNotRun(u, resp); final {
 		return res
 	}
@@ -138,7 +138,7 @@
 		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", resp.Status, "signed", resp.Signed)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.possibleRuns++
 	c.outcome = "served"
 	buffered.deliver(c.sink)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -88,7 +88,7 @@
 	if m.stopped || m.timer == nil {
 		return
 	}
-	if m.u.HeardWithin(m.timeout/silenceDivisor, m.c.g.Clock.Now()) || !m.c.takeRetry() {
+	if m.u.ReceivedWithin(m.timeout/silenceDivisor, m.c.g.Clock.Now()) || !m.c.takeRetry() {
 		m.timer.Reset(recheckInterval)
 		return
 	}
@@ -105,5 +105,5 @@
 	if c.retryTaken.Swap(false) {
 		return true
 	}
-	return c.g.retryBudget(c.service.Name).TryRepeat(c.g.LiveNodes())
+	return c.g.retryBudget(c.service.Name).TryRetry(c.g.LiveNodes())
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -56,7 +56,7 @@
 			}
 			return respondAfter(ctx, time.Second)
 		})
-		tg.Gateway.settings.Shedding.Part = 100 // disables shedding: the test covers only the silence monitor
+		tg.Gateway.settings.Shedding.Threshold = 100 // disables shedding: the test covers only the silence monitor
 		for _, u := range tg.Directory.Current().Upstreams("s")[1:] {
 			tg.Directory.Remove(u.ID)
 		}
--- a/gateway/startup.go
+++ b/gateway/startup.go
@@ -27,7 +27,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(g.settings.StartupWait, timeLeft/timeLeftDivisor))
 	defer cancel()
-	for _, known := range []<-chan struct{}{g.Catalog.Ready(), g.Directory.Listed()} {
+	for _, known := range []<-chan struct{}{g.Catalog.Ready(), g.Directory.Synced()} {
 		select {
 		case <-known:
 		case <-ctx.Done():
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -27,11 +27,11 @@
 		}
 		if first {
 			now := c.g.Clock.Now()
-			u.Began(now-c.lastSentAt, now)
+			u.RecordResponseStart(now-c.lastSentAt, now)
 		}
 		markAnswered()
 		c.recordEventTime()
-		u.Heard(c.lastEventAt)
+		u.RecordReceived(c.lastEventAt)
 		monitor.rearm()
 		c.startResponse(resp)
 		if !c.forwardEvent(e, !events.Buffered()) {
@@ -86,7 +86,7 @@
 		c.recordFailure(u, false)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.possibleRuns++
 	c.outcome = "served"
 	return delivered
--- a/request/ask.go
+++ b/request/ask.go
@@ -11,15 +11,15 @@
 )
 
 // ask describes the run to the picker.
-func (r *chatRun) ask(tried map[string]bool) routing.Ask {
+func (r *chatRun) ask(tried map[string]bool) routing.Request {
 	ask := r.prompt
 	ask.Tried = tried
 	return ask
 }
 
 // askOf describes a request of an account to admission and routing.
-func (s *Server) askOf(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Ask {
-	ask := routing.Ask{Service: service.GetName(), Region: s.Region,
+func (s *Server) askOf(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Request {
+	ask := routing.Request{Service: service.GetName(), Region: s.Region,
 		Account: account.GetName(), Team: account.GetTeam(), Weight: account.GetWeight(), Priority: int(account.GetPriority())}
 	ask.Deadline, _ = ctx.Deadline()
 	return ask
@@ -27,7 +27,7 @@
 
 // describe fills in what the choice of an engine needs to know of a prompt. The
 // prompt's text is the contents of its messages, one after the other.
-func (b *chatBody) describe(ask *routing.Ask) {
+func (b *chatBody) describe(ask *routing.Request) {
 	var text prefix.Hasher
 	for _, raw := range b.messages {
 		text.Write(messageText(raw))
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -47,7 +47,7 @@
 
 func newSite(t testing.TB, engines ...standin.EngineOptions) *site {
 	is := is.New(t)
-	client, err := upstream.NewHTTPClientWithSilence(testSilence)
+	client, err := upstream.NewHTTPClientWithReadTimeout(testSilence)
 	is.NoErr(err)
 	t.Cleanup(client.Close)
 	s := &site{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
@@ -100,12 +100,12 @@
 // testServer is one node's request server with its share of the budget.
 type testServer struct {
 	*Server
-	holder *budget.Holder
+	holder *budget.ShareHolder
 }
 
 func (s *site) newServer(name string) *testServer {
 	clock := clockwork.NewRealClock()
-	holder := budget.NewHolder(name, clock)
+	holder := budget.NewShareHolder(name, clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	holder.Credit("budget", testTokens)
 	return &testServer{holder: holder, Server: &Server{
@@ -115,7 +115,7 @@
 	}}
 }
 
-type holderReserver struct{ holder *budget.Holder }
+type holderReserver struct{ holder *budget.ShareHolder }
 
 func (h holderReserver) Reserve(_ context.Context, name string, tokens uint64) (budget.Grant, error) {
 	reservation, err := h.holder.Reserve(name, tokens)
@@ -128,38 +128,38 @@
 // holderGrant is a grant out of the node's own share, without a witness.
 type holderGrant struct {
 	*budget.Reservation
-	holder *budget.Holder
+	holder *budget.ShareHolder
 }
 
 func (g holderGrant) Request() budget.RequestID { return g.ID }
 
 func (g holderGrant) Dispatch(context.Context, string) error {
-	if g.holder.RightLeft() <= 0 {
+	if g.holder.RightRemaining() <= 0 {
 		return result.New(result.SpendRightLapsed, "the right to spend has lapsed")
 	}
 	return nil
 }
 
-func (g holderGrant) NotAfter() time.Time { return time.Now().Add(g.holder.RightLeft()) }
+func (g holderGrant) NotAfter() time.Time { return time.Now().Add(g.holder.RightRemaining()) }
 
 func (g holderGrant) Progress(uint64) {}
 
 // inOrder picks the first upstream by name that wasn't tried.
 type inOrder struct{}
 
-func (inOrder) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
+func (inOrder) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	for _, c := range candidates {
 		if !ask.Tried[c.GetName()] {
-			return routing.Pick{Upstream: c, Done: func(error) {}}, nil
+			return routing.PickResult{Upstream: c, Done: func(error) {}}, nil
 		}
 	}
-	return routing.Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
+	return routing.PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
 }
 
 // settled returns what was billed, in tokens, and checks that nothing stays reserved.
 func (s *testServer) settled(t testing.TB) uint64 {
 	is := is.New(t)
-	is.Equal(s.holder.Open(), 0)                                               // nothing reserved left behind
+	is.Equal(s.holder.OpenReservations(), 0)                                   // nothing reserved left behind
 	is.Equal(s.holder.Available("budget"), testTokens-s.holder.Used("budget")) // the rest is given back
 	return s.holder.Used("budget")
 }
--- a/request/chatrun.go
+++ b/request/chatrun.go
@@ -33,8 +33,8 @@
 	started bool
 	usage   upstream.Usage
 	// prompt is what the picker needs to know of the prompt.
-	prompt routing.Ask
-	pick   routing.Pick
+	prompt routing.Request
+	pick   routing.PickResult
 	// to is the upstream that runs the completion now; nil before the first.
 	to *operatorv1.Upstream
 	// passed holds a hash of each chunk that reached the caller, by its number.
