--- a/presence/roster_test.go
+++ b/presence/roster_test.go
@@ -15,8 +15,8 @@
 	return Record{Node: node, Incarnation: node + "-1", Address: node + ":1", Region: "r", Capacity: capacity, Ready: true}
 }
 
-// The store is away for ten seconds, so nobody is heard of. The nodes still serve; if
-// they were dropped from the answers, callers would find none.
+// The store is unreachable for ten seconds, so no node is heard from. The nodes still serve; if
+// they were dropped from the list, callers would find none.
 func TestNodesStayLiveWhileStoreIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
@@ -32,7 +32,7 @@
 	is.Equal(len(r.Live()), 1)
 }
 
-// A node dies while the store works. Callers must not be sent to it for long.
+// A node dies while the store works. Callers must soon no longer be sent to it.
 func TestSilentNodeIsDropped(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
@@ -49,23 +49,23 @@
 	is.True(!r.IsLive("b", "b-2"))
 }
 
-// One caller may send a hundred requests a second to the address that it has drawn. Sent
-// to a small instance it would choke its link while large ones idle.
+// One caller may send a hundred requests a second to the address it picked. Sent to a small
+// instance, they would saturate its link while large instances idle.
 func TestSmallInstancesAreListedOnlyWithoutLargeOnes(t *testing.T) {
 	is := is.New(t)
 	var live []Record
 	for i := range 20 {
 		live = append(live, record(fmt.Sprintf("small%d", i), 20))
 	}
-	for i := range fewestLarge - 1 {
+	for i := range minLargeInstances - 1 {
 		live = append(live, record(fmt.Sprintf("large%d", i), 200))
 	}
-	is.Equal(len(Addresses(live, "r")), mostNamed)
+	is.Equal(len(Addresses(live, "r")), maxAddresses)
 	live = append(live, record("large", 200))
-	is.Equal(len(Addresses(live, "r")), fewestLarge)
+	is.Equal(len(Addresses(live, "r")), minLargeInstances)
 }
 
-// A whole region is lost. Its callers are sent to the other one rather than nowhere.
+// A whole region is lost. Its callers must be sent to the other region instead of nowhere.
 func TestFallsBackToOtherRegions(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Addresses([]Record{record("a", 100)}, "another"), []string{"a:1"})
@@ -74,41 +74,41 @@
 	is.Equal(len(Addresses([]Record{leaving}, "r")), 0)
 }
 
-// A fleet has a few large nodes and many small ones, which callers aren't sent to. The
-// small ones write rarely, or nearly all calls to the store are theirs; and none of them
-// may be dropped for it, or have the fleet's duties while a large one is there.
+// A fleet has a few large nodes and many small ones, to which callers are not sent. If the small
+// ones did not write rarely, nearly all calls to the store would be theirs. Writing rarely must
+// not get them dropped, and none may hold the fleet's tasks while a large node is live.
 func TestUnlistedNodesWriteRarely(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	r := NewRoster(clock)
 	r.ReadSucceeded()
-	hear := func(node string, capacity int) {
+	update := func(node string, capacity int) {
 		rec := record(node, capacity)
 		rec.IntervalMs = RecordInterval(r.Live(), rec).Milliseconds()
 		r.Update(rec)
 	}
 	for i := range 5 {
-		hear(fmt.Sprintf("large%d", i), 200)
+		update(fmt.Sprintf("large%d", i), 200)
 	}
-	hear("a-small", 20)
-	hear("a-small", 20)
-	is.Equal(RecordInterval(r.Live(), record("large1", 200)), leastEvery)
-	is.Equal(RecordInterval(r.Live(), record("a-small", 20)), quietEvery)
+	update("a-small", 20)
+	update("a-small", 20)
+	is.Equal(RecordInterval(r.Live(), record("large1", 200)), minInterval)
+	is.Equal(RecordInterval(r.Live(), record("a-small", 20)), unlistedInterval)
 	for range 6 {
 		clock.Advance(500 * time.Millisecond)
 		for i := range 4 {
-			hear(fmt.Sprintf("large%d", i), 200)
+			update(fmt.Sprintf("large%d", i), 200)
 		}
 		r.ReadSucceeded()
 	}
 	clock.Advance(200 * time.Millisecond)
 	r.ReadSucceeded()
-	is.Equal(len(r.Live()), 5) // the large one that fell silent is gone, the small one is not
-	is.Equal(senior(r.Active()), "large0")
+	is.Equal(len(r.Live()), 5) // the silent large node is gone, the small one is not
+	is.Equal(firstInOrder(r.Active()), "large0")
 }
 
-// senior is the node that comes before all others.
-func senior(records []Record) string {
+// firstInOrder returns the node that precedes all others.
+func firstInOrder(records []Record) string {
 	return slices.MinFunc(records, func(a, b Record) int {
 		if Precedes(&a, &b) {
 			return -1
@@ -117,8 +117,8 @@
 	}).Node
 }
 
-// A node hears of others, loses the store and reads it again. Its lists must follow each
-// change: callers would be sent to a node that is gone.
+// A node hears of others, loses the store and reads it again. The cached lists must follow each
+// change, or callers would be sent to a node that is gone.
 func TestCachedListsAreInvalidated(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
@@ -134,7 +134,7 @@
 	clock.Advance(time.Minute)
 	r.ReadFailed()
 	r.ReadSucceeded()
-	is.Equal(len(r.Live()), 1) // the minute without the store doesn't count
+	is.Equal(len(r.Live()), 1) // the minute without the store does not count
 	for range 3 {
 		clock.Advance(2 * time.Second)
 		r.ReadSucceeded()
@@ -143,7 +143,7 @@
 	is.Equal(len(r.Active()), 0)
 }
 
-// At hundreds of equal nodes their records must not take up what the store can write.
+// Records of hundreds of equal nodes must not use up the store's write capacity.
 func TestWriteRateOfLargeFleetIsBounded(t *testing.T) {
 	is := is.New(t)
 	var live []Record
@@ -154,15 +154,15 @@
 	is.True(perSecond <= 200)
 }
 
-// All nodes come back at once and read what they need. The duty must fall to a node beside
-// the store: one behind the link that half of the fleet reads over begins seconds later, and
-// until then nobody is granted tokens.
+// All nodes restart at once and read what they need. The tasks must fall to a node near the
+// store: one behind the link that half of the fleet reads over starts seconds later, and until
+// then no node is granted tokens.
 func TestNodesNearTheStorePrecede(t *testing.T) {
 	is := is.New(t)
 	far, near, small := record("a", 200), record("b", 200), record("c", 20)
 	far.StoreWriteMs, near.StoreWriteMs, small.StoreWriteMs = 64, 6, 5
-	is.Equal(senior([]Record{far, small, near}), "b")
-	is.True(!Precedes(&near, &near)) // nobody comes before itself
-	near.StoreWriteMs = 0            // it has just begun
-	is.Equal(senior([]Record{far, near}), "a")
+	is.Equal(firstInOrder([]Record{far, small, near}), "b")
+	is.True(!Precedes(&near, &near)) // no node precedes itself
+	near.StoreWriteMs = 0            // it has just started
+	is.Equal(firstInOrder([]Record{far, near}), "a")
 }
