--- a/edgenode/readinglog.go
+++ b/edgenode/readinglog.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *readingLog) caught(r keyedlog.Reading) {
+func (l *readingLog) caught(r keyedlog.ReadStats) {
 	l.caughtAt.Store(int64(l.clock.Now()))
 	failed := l.failed
 	l.failed = 0
@@ -49,11 +49,11 @@
 	switch {
 	case failed > 0:
 		number = event.LogReachable
-	case r.Late <= lateReading:
+	case r.Delay <= lateReading:
 		return
 	}
-	l.events.Record(number, "topic", l.topic, "failed", failed, "since_ms", r.Since.Milliseconds(), "late_ms", r.Late.Milliseconds(),
-		"took_ms", r.Took.Milliseconds(), "records", r.Records, "bytes", r.Bytes)
+	l.events.Record(number, "topic", l.topic, "failed", failed, "since_ms", r.SinceLast.Milliseconds(), "late_ms", r.Delay.Milliseconds(),
+		"took_ms", r.Duration.Milliseconds(), "records", r.Records, "bytes", r.Bytes)
 }
 
 // ReadingStats tells how a topic is being read.
--- a/keyedlog/doc.go
+++ b/keyedlog/doc.go
@@ -1,7 +1,7 @@
-// Package keyedlog follows topics of a log that keep the newest record of each key for
-// ever.
+// Package keyedlog follows compacted topics: logs that retain the newest record of each
+// key indefinitely.
 //
-// A Follower starts from the newest records and reads on from there. When the log has
-// forgotten what it would read next, it starts again from the newest records; nothing
-// is lost, since each record replaces the key's one before.
+// A Follower starts from the newest records and reads on from there. When its next offset
+// is no longer retained, it starts again from the newest records; no update is lost, since
+// each record replaces the previous one of its key.
 package keyedlog
--- a/keyedlog/follower.go
+++ b/keyedlog/follower.go
@@ -10,146 +10,148 @@
 	"lavenderpin.dev/lavenderpin/internal/stall"
 )
 
-// Handler takes what a follower reads. Its methods are called from one goroutine.
+// Handler receives the records that a Follower reads. Its methods are called from one
+// goroutine.
 type Handler interface {
-	// Reset replaces everything by the newest records.
+	// Reset replaces the whole state with the newest records.
 	Reset(records []Record)
-	// Apply takes records in the log's order.
+	// Apply applies records in log order.
 	Apply(records []Record)
-	// Lost is called for each failed reading, Caught after each successful one.
-	Lost(err error)
-	Caught(Reading)
+	// ReadFailed is called for each failed read, ReadSucceeded after each successful one.
+	ReadFailed(err error)
+	ReadSucceeded(ReadStats)
 }
 
-// Options set a follower's pace.
+// Options configure how often a Follower reads and how long it waits.
 type Options struct {
-	// Wait is how long one reading waits for a record.
+	// Wait is how long one read waits for a record.
 	Wait time.Duration
-	// Pause is the time between two readings, which bounds their number.
+	// Pause is the time between two reads; it bounds their rate.
 	Pause time.Duration
-	// Extra, where given, lengthens the pause by what it returns.
-	Extra func() time.Duration
-	// Slack is how long an answer may take to begin beyond Wait before its connection
-	// counts as dead.
+	// ExtraPause, if set, returns a duration that is added to Pause.
+	ExtraPause func() time.Duration
+	// Slack is how long after Wait a response may take to begin before its connection
+	// is considered dead.
 	Slack time.Duration
-	// Retry is the mean pause after a failed reading; it varies by half, so that nodes
-	// that failed together don't come back together.
-	Retry time.Duration
+	// RetryPause is the mean pause after a failed read. It is jittered by half, so that
+	// nodes that failed at the same time don't retry at the same time.
+	RetryPause time.Duration
 }
 
 const (
-	// resetTimeout bounds the time until the newest records begin to arrive at the first try.
+	// resetTimeout bounds the time until the newest records begin to arrive, on the first
+	// attempt.
 	resetTimeout = 2200 * time.Millisecond
-	// resetGrowth is added after each failed try, up to resetMost. After a fault that all
-	// nodes come back from at once they share one link for these readings; nodes that
-	// gave up early and began again only kept it full.
-	resetGrowth = 1400 * time.Millisecond
-	resetMost   = 5 * time.Second
+	// resetTimeoutStep is added after each failed attempt, up to maxResetTimeout. When all
+	// nodes recover from a fault at once, they share one link for these reads; nodes that
+	// gave up early and started over only kept it saturated.
+	resetTimeoutStep = 1400 * time.Millisecond
+	maxResetTimeout  = 5 * time.Second
 )
 
-// stalledAfter is how long an answer that has begun may bring nothing. It leaves time for a
-// second reading within the three seconds in which a change must be in force.
-const stalledAfter = 1200 * time.Millisecond
+// stallTimeout is how long a response that has begun may stall. It leaves time for a second
+// read within the three seconds in which a change must take effect.
+const stallTimeout = 1200 * time.Millisecond
 
-// Follower reads a topic on and on.
+// Follower reads a topic continuously.
 type Follower struct {
-	topic   Topic
-	handler Handler
-	options Options
-	next    int64
-	// failed counts failed tries to read the newest records in a row.
-	failed int
-	// seen holds each key's newest offset: a reading of the newest records may be older
-	// than what was read before.
-	seen map[string]int64
-	// caughtAt is when a reading last succeeded.
-	caughtAt time.Time
+	topic      Topic
+	handler    Handler
+	options    Options
+	nextOffset int64
+	// failedResets counts consecutive failed attempts to read the newest records.
+	failedResets int
+	// newestOffsets holds the newest offset seen of each key: a read of the newest records
+	// may return older ones than were read before.
+	newestOffsets map[string]int64
+	// lastSuccess is when a read last succeeded.
+	lastSuccess time.Time
 }
 
-// NewFollower returns a follower that has read nothing.
+// NewFollower returns a Follower that has not read anything yet.
 func NewFollower(topic Topic, handler Handler, options Options) *Follower {
-	return &Follower{topic: topic, handler: handler, options: options, next: -1, seen: make(map[string]int64)}
+	return &Follower{topic: topic, handler: handler, options: options, nextOffset: -1, newestOffsets: make(map[string]int64)}
 }
 
 // Run follows the topic until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := f.pause()
-		if err := f.Step(ctx); err != nil {
-			f.handler.Lost(err)
-			pause = f.options.Retry/2 + rand.N(f.options.Retry)
+		if err := f.Poll(ctx); err != nil {
+			f.handler.ReadFailed(err)
+			pause = f.options.RetryPause/2 + rand.N(f.options.RetryPause)
 		}
 		periodic.Pause(ctx, pause)
 	}
 }
 
-// pause is the time between two readings that succeed.
+// pause returns the time between two successful reads.
 func (f *Follower) pause() time.Duration {
-	if f.options.Extra == nil {
+	if f.options.ExtraPause == nil {
 		return f.options.Pause
 	}
-	return f.options.Pause + f.options.Extra()
+	return f.options.Pause + f.options.ExtraPause()
 }
 
-// Step does one reading.
-func (f *Follower) Step(ctx context.Context) error {
-	if f.next < 0 {
+// Poll reads once.
+func (f *Follower) Poll(ctx context.Context) error {
+	if f.nextOffset < 0 {
 		return f.reset(ctx)
 	}
-	begun := time.Now()
-	limited, progress, cancel := stall.Limit(ctx, f.options.Wait+f.options.Slack, stalledAfter)
+	started := time.Now()
+	limited, progress, cancel := stall.Limit(ctx, f.options.Wait+f.options.Slack, stallTimeout)
 	defer cancel()
-	records, next, err := f.topic.Read(limited, f.next, f.options.Wait, progress)
-	if errors.Is(err, ErrForgotten) {
-		f.next = -1
+	records, next, err := f.topic.Read(limited, f.nextOffset, f.options.Wait, progress)
+	if errors.Is(err, ErrOffsetExpired) {
+		f.nextOffset = -1
 		return f.reset(ctx)
 	}
 	if err != nil {
-		// While readings fail the log goes on. Reading all of it afterwards would keep a
-		// node on a slow link seconds behind. The newest records are all that is needed.
-		f.next = -1
+		// The log grows while reads fail. Reading all of it afterwards would keep a node
+		// on a slow link seconds behind, and only the newest records are needed.
+		f.nextOffset = -1
 		return err
 	}
-	f.next = next
-	reading := f.reading(begun, records)
-	if fresh := f.fresh(records); len(fresh) > 0 {
-		f.handler.Apply(fresh)
+	f.nextOffset = next
+	stats := f.readStats(started, records)
+	if newer := f.dropStale(records); len(newer) > 0 {
+		f.handler.Apply(newer)
 	}
-	f.handler.Caught(reading)
+	f.handler.ReadSucceeded(stats)
 	return nil
 }
 
 func (f *Follower) reset(ctx context.Context) error {
-	begun := time.Now()
-	patience := min(resetTimeout+time.Duration(f.failed)*resetGrowth, resetMost)
-	newest := usualWatch.read(ctx, f.topic, patience)
-	if newest.err != nil {
-		f.failed++
-		return newest.err
+	started := time.Now()
+	timeout := min(resetTimeout+time.Duration(f.failedResets)*resetTimeoutStep, maxResetTimeout)
+	result := defaultReader.read(ctx, f.topic, timeout)
+	if result.err != nil {
+		f.failedResets++
+		return result.err
 	}
-	records, next := newest.records, newest.next
-	f.failed = 0
+	records, next := result.records, result.next
+	f.failedResets = 0
 	for _, r := range records {
-		f.seen[r.Key] = max(f.seen[r.Key], r.Offset)
+		f.newestOffsets[r.Key] = max(f.newestOffsets[r.Key], r.Offset)
 	}
-	f.next = next
-	reading := f.reading(begun, records)
+	f.nextOffset = next
+	stats := f.readStats(started, records)
 	f.handler.Reset(records)
-	f.handler.Caught(reading)
+	f.handler.ReadSucceeded(stats)
 	return nil
 }
 
-func (f *Follower) fresh(records []Record) []Record {
-	fresh := records[:0]
+func (f *Follower) dropStale(records []Record) []Record {
+	newer := records[:0]
 	for _, r := range records {
-		if at, ok := f.seen[r.Key]; ok && r.Offset <= at {
+		if newest, ok := f.newestOffsets[r.Key]; ok && r.Offset <= newest {
 			continue
 		}
-		f.seen[r.Key] = r.Offset
+		f.newestOffsets[r.Key] = r.Offset
 		if r.Deleted {
-			delete(f.seen, r.Key)
+			delete(f.newestOffsets, r.Key)
 		}
-		fresh = append(fresh, r)
+		newer = append(newer, r)
 	}
-	return fresh
+	return newer
 }
--- a/keyedlog/follower_test.go
+++ b/keyedlog/follower_test.go
@@ -9,11 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// memoryTopic is a topic that forgets when told to.
+// memoryTopic is an in-memory topic whose first retained offset and error a test sets.
 type memoryTopic struct {
-	records []Record
-	first   int64
-	fail    error
+	records     []Record
+	firstOffset int64
+	err         error
 }
 
 func (m *memoryTopic) put(key, value string) {
@@ -32,26 +32,26 @@
 			out = append(out, r)
 		}
 	}
-	return out, int64(len(m.records)), m.fail
+	return out, int64(len(m.records)), m.err
 }
 
 func (m *memoryTopic) Read(_ context.Context, from int64, _ time.Duration, _ func()) ([]Record, int64, error) {
-	if from < m.first {
-		return nil, 0, ErrForgotten
+	if from < m.firstOffset {
+		return nil, 0, ErrOffsetExpired
 	}
-	return append([]Record(nil), m.records[min(from, int64(len(m.records))):]...), int64(len(m.records)), m.fail
+	return append([]Record(nil), m.records[min(from, int64(len(m.records))):]...), int64(len(m.records)), m.err
 }
 
-func (m *memoryTopic) End(context.Context) (int64, error) { return int64(len(m.records)), m.fail }
+func (m *memoryTopic) End(context.Context) (int64, error) { return int64(len(m.records)), m.err }
 
-func (m *memoryTopic) Probe(context.Context) error { return m.fail }
+func (m *memoryTopic) Probe(context.Context) error { return m.err }
 
 func (m *memoryTopic) Append(context.Context, Fence, ...Record) error { return nil }
 
-// sink collects what a follower hands on.
+// sink is a Handler that collects records.
 type sink struct {
-	values       map[string]string
-	resets, lost int
+	values           map[string]string
+	resets, failures int
 }
 
 func (s *sink) Reset(records []Record) {
@@ -70,72 +70,72 @@
 	}
 }
 
-func (s *sink) Lost(error)     { s.lost++ }
-func (s *sink) Caught(Reading) {}
+func (s *sink) ReadFailed(error)        { s.failures++ }
+func (s *sink) ReadSucceeded(ReadStats) {}
 
-// The store forgets its history while a node is cut off. The node must learn what changed
-// meanwhile all the same, and what is gone.
-func TestStartsAnewWhenTheHistoryIsForgotten(t *testing.T) {
+// The store drops its history while a node is disconnected. The node must still learn which
+// keys changed or were deleted meanwhile.
+func TestResetsWhenOffsetExpired(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	topic.put("a", "")
 	topic.put("b", "2")
-	topic.first = 3
-	is.NoErr(f.Step(context.Background()))
+	topic.firstOffset = 3
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.resets, 2)
 	is.Equal(s.values, map[string]string{"b": "2"})
 }
 
-// A reading of the newest records is seconds behind what was read before. An older value
-// would bring a withdrawn key or an upstream that left back.
-func TestOlderRecordsAreIgnored(t *testing.T) {
+// A read of the newest records may be seconds behind earlier reads. An older value would
+// restore a revoked key or an upstream that has left.
+func TestStaleRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	topic.put("a", "2")
-	is.NoErr(f.Step(context.Background()))
-	f.next = 0
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
+	f.nextOffset = 0
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.values["a"], "2")
 }
 
-// The store fails. The last good state stays, and the loss is told.
-func TestFailedReadingKeepsTheState(t *testing.T) {
+// When the store fails, the last good state must stay and the failure must be reported.
+func TestFailedReadKeepsState(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
-	f := NewFollower(topic, s, Options{Retry: time.Millisecond, Slack: time.Second})
-	is.NoErr(f.Step(context.Background()))
-	topic.fail = errors.New("away")
+	f := NewFollower(topic, s, Options{RetryPause: time.Millisecond, Slack: time.Second})
+	is.NoErr(f.Poll(context.Background()))
+	topic.err = errors.New("away")
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	f.Run(ctx)
-	is.True(s.lost > 0)
+	is.True(s.failures > 0)
 	is.Equal(s.values["a"], "1")
 }
 
-// A node is cut off while many large configurations are written. Reading all of them
-// afterwards takes longer than a reading may, so that the node would stay behind for as
-// long as it tries; it must take the newest one alone.
-func TestTakesTheNewestAloneAfterALoss(t *testing.T) {
+// Many large configurations are written while a node is disconnected. Reading all of them
+// afterwards exceeds the read timeout, so the node would never catch up; it must read only
+// the newest one.
+func TestReadsOnlyNewestAfterFailure(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
-	topic.fail = errors.New("cut off")
-	is.True(f.Step(context.Background()) != nil)
+	is.NoErr(f.Poll(context.Background()))
+	topic.err = errors.New("cut off")
+	is.True(f.Poll(context.Background()) != nil)
 	for range 100 {
 		topic.put("a", "2")
 	}
 	topic.put("a", "3")
-	topic.fail = nil
-	is.NoErr(f.Step(context.Background()))
+	topic.err = nil
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.resets, 2)
 	is.Equal(s.values["a"], "3")
 }
--- a/keyedlog/topic.go
+++ b/keyedlog/topic.go
@@ -7,25 +7,25 @@
 )
 
 var (
-	// ErrForgotten tells that the records asked for aren't held any more.
-	ErrForgotten = errors.New("the log has forgotten these records")
-	// ErrFenced tells that a writer with a higher epoch has taken over.
-	ErrFenced = errors.New("a higher epoch has been seen")
+	// ErrOffsetExpired is returned when the requested records are no longer retained.
+	ErrOffsetExpired = errors.New("the offset is no longer retained")
+	// ErrFenced is returned when a writer with a higher epoch has taken over.
+	ErrFenced = errors.New("the producer is fenced by a higher epoch")
 )
 
-// Record is one record of a key.
+// Record is one version of a key's value, or its deletion.
 type Record struct {
 	Key   string
 	Value []byte
-	// Offset is the record's place in the log.
+	// Offset is the record's position in the log.
 	Offset int64
-	// Deleted tells that the key is gone; Value is empty.
+	// Deleted is true if the key was deleted; Value is then empty.
 	Deleted bool
 }
 
-// Fence refuses writers that were overtaken: an append fails with ErrFenced once the
-// same producer has appended with a higher epoch. Each append uses a higher epoch than
-// the one before, so that one which is executed late, after a newer one, is refused.
+// Fence rejects superseded writers: an append fails with ErrFenced once the same producer
+// has appended with a higher epoch. Each append uses a higher epoch than the previous one,
+// so that an append that executes late, after a newer one, is rejected.
 type Fence struct {
 	Producer string
 	Epoch    uint64
@@ -33,20 +33,20 @@
 
 // Topic is one partition of a keyed topic.
 type Topic interface {
-	// Newest returns the newest record of each key and the offset to read on from. It is
-	// called after losses, so it doesn't rely on connections made before. progress is called
-	// whenever a part of the answer arrives.
+	// Newest returns the newest record of each key and the offset to continue from. It is
+	// called after failures, so it doesn't reuse existing connections. progress is called
+	// whenever a part of the response arrives.
 	Newest(ctx context.Context, progress func()) ([]Record, int64, error)
-	// Probe returns nil when the store answers for the topic now, over a new connection. It
-	// asks for next to nothing.
+	// Probe returns nil if the store currently answers for the topic over a new connection.
+	// The request is cheap.
 	Probe(ctx context.Context) error
-	// End returns the offset at which the log ends now. It asks for next to nothing.
+	// End returns the offset at which the log currently ends. The request is cheap.
 	End(ctx context.Context) (int64, error)
-	// Read returns the records from an offset on and the next offset. It waits up to
-	// wait for the first one. It fails with ErrForgotten when from isn't held. progress is
-	// called whenever a part of the answer arrives.
+	// Read returns the records starting at an offset, and the next offset. It waits up to
+	// wait for the first record. It fails with ErrOffsetExpired if from is no longer
+	// retained. progress is called whenever a part of the response arrives.
 	Read(ctx context.Context, from int64, wait time.Duration, progress func()) ([]Record, int64, error)
-	// Append adds records, all or none. After an error other than ErrFenced they may
+	// Append adds records atomically. After an error other than ErrFenced the records may
 	// still be added later.
 	Append(ctx context.Context, fence Fence, records ...Record) error
 }
--- a/peerfetch/topic.go
+++ b/peerfetch/topic.go
@@ -205,7 +205,7 @@
 // extend takes over what a peer has since an offset.
 func (t *Topic) extend(from int64, reply Reply) ([]keyedlog.Record, int64, error) {
 	if reply.Forgotten {
-		return nil, 0, keyedlog.ErrForgotten
+		return nil, 0, keyedlog.ErrOffsetExpired
 	}
 	t.Copy.Extend(from, reply.Records, reply.Next)
 	return reply.Records, reply.Next, nil
