--- a/edgenode/announcer.go
+++ b/edgenode/announcer.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// announceCheck is how often a change of its readiness is looked for.
-	announceCheck = 100 * time.Millisecond
-	// announceTimeout bounds one record's writing.
+	// readinessCheckInterval is how often the node's readiness is checked for a change.
+	readinessCheckInterval = 100 * time.Millisecond
+	// announceTimeout bounds the write of one record.
 	announceTimeout = 600 * time.Millisecond
-	// firstAnnounce bounds the wait for the other nodes' records before the first own one.
-	// Without them a node doesn't know how far the store is, and a first record that leaves
-	// this out takes the duties from a node beside the store.
-	firstAnnounce = 300 * time.Millisecond
-	// firstCheck is how often the records are looked for.
-	firstCheck = 10 * time.Millisecond
+	// rosterReadTimeout bounds the wait for the other nodes' records before the first own record
+	// is written. Without them the node doesn't know its latency to the store, and a first
+	// record that lacks it takes the planner role from a node close to the store.
+	rosterReadTimeout = 300 * time.Millisecond
+	// rosterCheckInterval is how often the node checks whether the records have been read.
+	rosterCheckInterval = 10 * time.Millisecond
 )
 
-// announcer writes what the node says of itself.
+// announcer writes the node's presence records.
 type announcer struct {
 	node  *Node
 	epoch uint64
-	// every is the interval of records as of the last one.
-	every time.Duration
+	// interval is the interval of records as of the last one written.
+	interval time.Duration
 }
 
 func (a *announcer) run(ctx context.Context) {
-	ticker := time.NewTicker(announceCheck)
+	ticker := time.NewTicker(readinessCheckInterval)
 	defer ticker.Stop()
-	var last time.Duration
-	ready := false
+	var lastAnnounced time.Duration
+	announcedReady := false
 	a.awaitRoster(ctx)
 	for {
 		now := a.node.deps.Clock.Now()
-		a.node.noteQuiet()
-		if changed := a.node.Ready() != ready; changed || last == 0 || now-last >= a.every {
-			ready, last = a.node.Ready(), now
-			_ = a.announce(ctx) // the next record follows within half a second
+		a.node.updateIdle()
+		if changed := a.node.Ready() != announcedReady; changed || lastAnnounced == 0 || now-lastAnnounced >= a.interval {
+			announcedReady, lastAnnounced = a.node.Ready(), now
+			_ = a.announce(ctx) // retried at the next interval, within half a second
 		}
 		select {
 		case <-ctx.Done():
@@ -55,47 +55,47 @@
 }
 
 func (a *announcer) awaitRoster(ctx context.Context) {
-	begun := a.node.deps.Clock.Now()
-	for ctx.Err() == nil && !a.node.roster.Read() && a.node.deps.Clock.Now()-begun < firstAnnounce {
-		periodic.Pause(ctx, firstCheck)
+	started := a.node.deps.Clock.Now()
+	for ctx.Err() == nil && !a.node.roster.Read() && a.node.deps.Clock.Now()-started < rosterReadTimeout {
+		periodic.Pause(ctx, rosterCheckInterval)
 	}
 }
 
-// announce writes one record.
+// announce writes one presence record.
 func (a *announcer) announce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	rec := a.node.record()
-	a.every = presence.Every(a.node.roster.Live(), rec)
-	rec.EveryMs = a.every.Milliseconds()
+	rec := a.node.presenceRecord()
+	a.interval = presence.Every(a.node.roster.Live(), rec)
+	rec.EveryMs = a.interval.Milliseconds()
 	value, err := json.Marshal(&rec)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	a.epoch++
 	fence := keyedlog.Fence{Producer: "presence/" + rec.Incarnation, Epoch: a.epoch}
-	begun := a.node.deps.Clock.Now()
+	started := a.node.deps.Clock.Now()
 	if err := a.node.deps.Topics.Presence.Append(ctx, fence, keyedlog.Record{Key: rec.Node, Value: value}); err != nil {
 		return errors.Trace(err)
 	}
-	a.node.noteWrite(a.node.deps.Clock.Now() - begun)
+	a.node.recordWriteLatency(a.node.deps.Clock.Now() - started)
 	return nil
 }
 
-// noteWrite keeps the shortest time that a write to the store took.
-func (n *Node) noteWrite(took time.Duration) {
-	took = max(time.Millisecond, took)
-	if fastest := time.Duration(n.fastestWrite.Load()); fastest == 0 || took < fastest {
-		n.fastestWrite.Store(int64(took))
+// recordWriteLatency keeps the lowest latency of a write to the store.
+func (n *Node) recordWriteLatency(latency time.Duration) {
+	latency = max(time.Millisecond, latency)
+	if lowest := time.Duration(n.minWriteLatency.Load()); lowest == 0 || latency < lowest {
+		n.minWriteLatency.Store(int64(latency))
 	}
 }
 
-// storeMs is the shortest time that a write to the store took, in milliseconds. Before the
-// process has written anything it is what the node's earlier incarnation saw.
-func (n *Node) storeMs() int64 {
-	if own := time.Duration(n.fastestWrite.Load()); own > 0 {
-		return own.Milliseconds()
+// storeLatencyMs returns the lowest write latency to the store, in milliseconds. Before the
+// process has written anything it returns the value of the node's previous incarnation.
+func (n *Node) storeLatencyMs() int64 {
+	if lowest := time.Duration(n.minWriteLatency.Load()); lowest > 0 {
+		return lowest.Milliseconds()
 	}
-	earlier, _ := n.roster.Last(n.settings.Node)
-	return earlier.StoreMs
+	previous, _ := n.roster.Last(n.settings.Node)
+	return previous.StoreMs
 }
--- a/edgenode/confighandler.go
+++ b/edgenode/confighandler.go
@@ -5,17 +5,17 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// configHandler puts configurations in force.
+// configHandler publishes configurations to the catalog.
 type configHandler struct {
-	node     *Node
-	readings *readingLog
+	node    *Node
+	monitor *readMonitor
 }
 
-// Reset takes the newest records.
+// Reset applies the newest records.
 func (h *configHandler) Reset(records []keyedlog.Record) { h.Apply(records) }
 
-// Apply takes records in order. Of several configurations only the last is decoded: a
-// storm of large ones would cost more time than there is between two of them.
+// Apply applies records in order. Of several configurations only the last is decoded: in a burst
+// of large ones, decoding each would take longer than the interval between them.
 func (h *configHandler) Apply(records []keyedlog.Record) {
 	last := make(map[string]keyedlog.Record, 1)
 	for _, r := range records {
@@ -34,8 +34,8 @@
 	}
 }
 
-// ReadFailed keeps the configuration in force.
-func (h *configHandler) ReadFailed(err error) { h.readings.lost(err) }
+// ReadFailed leaves the current configuration in effect.
+func (h *configHandler) ReadFailed(err error) { h.monitor.failed(err) }
 
-// ReadSucceeded logs a reading that came late.
-func (h *configHandler) ReadSucceeded(r keyedlog.ReadStats) { h.readings.caught(r) }
+// ReadSucceeded logs a late read.
+func (h *configHandler) ReadSucceeded(r keyedlog.ReadStats) { h.monitor.succeeded(r) }
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -13,16 +13,16 @@
 	"lavenderpin.dev/lavenderpin/repeats"
 )
 
-// Settings are one node's own.
+// Settings are the settings of one node.
 type Settings struct {
 	Node        string
 	Incarnation string
-	// Start is what the process read of the clocks when it began.
+	// Start holds the clock readings taken when the process started.
 	Start   prepaid.ProcessStart
 	Address string
-	// Peer is where other nodes connect.
+	// Peer is the address that other nodes connect to.
 	Peer string
-	// Capacity is what the instance can carry, in hundredths of a usual one.
+	// Capacity is the capacity of the instance, in hundredths of a standard instance.
 	Capacity   int
 	DataCentre string
 	Region     string
@@ -31,30 +31,30 @@
 	Repeats repeats.Limits
 }
 
-// Topics are where the fleet's records stand in the store.
+// Topics are the store's topics that hold the fleet's records.
 type Topics struct {
-	// Operators and Upstreams are written by others.
+	// Operators and Upstreams are written by other systems.
 	Operators, Upstreams keyedlog.Topic
-	// Presence, Spend, Ledger and Grants are the fleet's own.
+	// Presence, Spend, Ledger and Grants are written by the fleet.
 	Presence, Spend, Ledger, Grants keyedlog.Topic
 }
 
-// Deps are what a node works with.
+// Deps are the dependencies of a node.
 type Deps struct {
 	Clock bootclock.Clock
-	// TimeOfDay is the instance's time of day.
-	TimeOfDay prepaid.WallClock
+	// WallClock is the instance's wall clock.
+	WallClock prepaid.WallClock
 	Topics    Topics
 	Upstreams gateway.Upstreams
-	// Lending carries asks to other nodes.
+	// Lending sends lending requests to other nodes.
 	Lending lending.Transport
-	// Peers carries asks for records to nodes of the data centre; nil lets the node read
+	// Peers fetches records from nodes of the same data centre; if it is nil, the node reads
 	// everything from the store.
 	Peers   peerfetch.Caller
 	Events  *event.Recorder
 	Metrics *gateway.Metrics
-	// DecodeConfig reads a configuration; false tells that the record is none.
+	// DecodeConfig decodes a configuration; it returns false if the record isn't one.
 	DecodeConfig func(key string, raw []byte) (*catalog.View, bool, error)
-	// DecodeUpstream reads an upstream's entry.
+	// DecodeUpstream decodes an upstream's entry.
 	DecodeUpstream func(id string, raw []byte) (directory.Entry, error)
 }
--- a/edgenode/doc.go
+++ b/edgenode/doc.go
@@ -1,5 +1,5 @@
-// Package edgenode assembles one node before the callers: it follows the configuration,
-// the upstreams and the other nodes in the store, reports and plans prepaid shares, and
-// serves requests through a gateway. It knows nothing of the platform's forms; they come
-// in as decoders and topics.
+// Package edgenode assembles a node that serves callers: it follows the configuration, the
+// upstreams and the other nodes in the store, reports and plans prepaid shares, and serves
+// requests through a gateway. It is independent of the platform's formats, which are supplied as
+// decoders and topics.
 package edgenode
--- a/edgenode/fleet.go
+++ b/edgenode/fleet.go
@@ -5,20 +5,20 @@
 	"lavenderpin.dev/lavenderpin/presence"
 )
 
-// fleet is what planning shares asks of the node.
+// fleet implements the planner's view of the fleet.
 type fleet Node
 
-// IsPlanner tells whether this node is the senior one of those that are active.
+// IsPlanner reports whether this node ranks first among the active nodes.
 //
-// What the node is counts by its own word, not by its record in the store. After a fault
-// that all nodes come back from at once the roster holds their earlier incarnations; a node
-// that waited to read its own record back planned nothing for a second, and all prompts were
-// refused meanwhile.
+// The node ranks itself by its current state, not by its record in the store. When all nodes
+// recover from a fault at once, the roster still holds their earlier incarnations; a node that
+// waited to read its own record back planned nothing for a second, and all prompts were refused
+// meanwhile.
 func (f *fleet) IsPlanner() bool {
 	if f.leaving.Load() || !f.roster.Read() {
 		return false
 	}
-	own := (*Node)(f).record()
+	own := (*Node)(f).presenceRecord()
 	for _, r := range f.roster.Active() {
 		if r.Node != own.Node && presence.Before(&r, &own) {
 			return false
@@ -27,10 +27,10 @@
 	return true
 }
 
-// IsLive tells whether an incarnation was heard of lately.
+// IsLive reports whether an incarnation was seen recently.
 func (f *fleet) IsLive(node, incarnation string) bool { return f.roster.IsLive(node, incarnation) }
 
-// Prepaid returns every limited account's total.
+// Prepaid returns the prepaid total of each limited account.
 func (f *fleet) Prepaid() (map[string]int64, bool) {
 	view := f.catalog.Current()
 	if view == nil {
--- a/edgenode/fulllink_test.go
+++ b/edgenode/fulllink_test.go
@@ -13,8 +13,8 @@
 	"lavenderpin.dev/lavenderpin/catalog"
 )
 
-// decodePadded reads a version that padding follows.
-func decodePadded(_ string, raw []byte) (*catalog.View, bool, error) {
+// decodePaddedConfig decodes a version that is followed by padding.
+func decodePaddedConfig(_ string, raw []byte) (*catalog.View, bool, error) {
 	digits, _, _ := strings.Cut(string(raw), " ")
 	version, err := strconv.ParseInt(digits, 10, 64)
 	if err != nil {
@@ -23,29 +23,29 @@
 	return catalog.NewView(version, catalog.Limits{}, nil, nil, nil, nil), true, nil
 }
 
-// padded is a configuration of a version and a size in bytes.
-func padded(version, bytes int) string {
+// paddedConfig returns a configuration with a version, padded with a number of bytes.
+func paddedConfig(version, bytes int) string {
 	return strconv.Itoa(version) + " " + strings.Repeat("x", bytes)
 }
 
-// mute lets nodes answer no other node.
-func (b *bubble) mute(nodes ...string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.dark = make(map[string]bool)
+// makeUnreachable makes exactly these nodes stop answering other nodes.
+func (f *testFleet) makeUnreachable(nodes ...string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.unreachable = make(map[string]bool)
 	for _, n := range nodes {
-		b.dark[n] = true
+		f.unreachable[n] = true
 	}
 }
 
-// farFleet starts a fleet of two regions; the nodes of one reach the store over a link.
-func (b *bubble) farFleet(l *link, dataCentres, nodes int) (far []*Node) {
+// startTwoRegions starts a fleet in two regions, one of which reaches the store over a link.
+func (f *testFleet) startTwoRegions(l *link, dataCentres, nodes int) (far []*Node) {
 	for i := range 4 {
-		b.startAt(site{dataCentre: "near", region: "near", capacity: 200, topics: b.topics}, fmt.Sprintf("near-%d", i), decodePadded)
+		f.startAt(site{dataCentre: "near", region: "near", capacity: 200, topics: f.topics}, fmt.Sprintf("near-%d", i), decodePaddedConfig)
 	}
 	for d := range dataCentres {
 		for i := range nodes {
-			far = append(far, b.startAt(farSite(d, i, beyond(b.topics, l)), farName(d, i), decodePadded))
+			far = append(far, f.startAt(farSite(d, i, throughLink(f.topics, l)), farName(d, i), decodePaddedConfig))
 		}
 	}
 	return far
@@ -53,7 +53,7 @@
 
 func farName(dataCentre, i int) string { return fmt.Sprintf("far-%d-%d", dataCentre, i) }
 
-// farSite is where a node of the far region stands; two of a data centre are large.
+// farSite is the site of a node in the far region; two nodes of each data centre are large.
 func farSite(dataCentre, i int, topics Topics) site {
 	s := site{dataCentre: fmt.Sprintf("far-%d", dataCentre), region: "far", capacity: 50, topics: topics}
 	if i < 2 {
@@ -62,8 +62,8 @@
 	return s
 }
 
-// inForceAt counts the nodes that have a version in force and know no upstream of a service.
-func inForceAt(nodes []*Node, version int64, service string) int {
+// countConverged counts the nodes that use a version and know no upstream of a service.
+func countConverged(nodes []*Node, version int64, service string) int {
 	n := 0
 	for _, node := range nodes {
 		view := node.catalog.Current()
@@ -74,75 +74,75 @@
 	return n
 }
 
-// configBytes is a configuration of some 2,800 routes.
+// configBytes is the size of a configuration of some 2,800 routes.
 const configBytes = 600 << 10
 
-// newsAim is within what time a change must be in force and a leaving upstream known.
-const newsAim = 4 * time.Second
+// maxPropagation is how soon a change must take effect and a leaving upstream be known.
+const maxPropagation = 4 * time.Second
 
-// tellAndWait writes two large configurations and the leaving of an upstream, and returns how
-// many nodes beyond a link know all of it in time.
-func tellAndWait(b *bubble, far []*Node) int {
-	b.put(b.topics.Operators, "config", padded(2, configBytes))
+// propagateChanges writes two large configurations and the draining of an upstream, and returns
+// how many of the nodes beyond a link know all of it in time.
+func propagateChanges(f *testFleet, far []*Node) int {
+	f.put(f.topics.Operators, "config", paddedConfig(2, configBytes))
 	time.Sleep(1400 * time.Millisecond)
-	b.put(b.topics.Operators, "config", padded(3, configBytes))
-	b.put(b.topics.Upstreams, "e1", leaves)
-	time.Sleep(newsAim)
-	return inForceAt(far, 3, "llm")
+	f.put(f.topics.Operators, "config", paddedConfig(3, configBytes))
+	f.put(f.topics.Upstreams, "e1", drainingValue)
+	time.Sleep(maxPropagation)
+	return countConverged(far, 3, "llm")
 }
 
-// regionLink is a narrow link between two regions.
-func regionLink() *link { return &link{perSecond: 60e6 / 8, delay: 60 * time.Millisecond} }
+// regionLink returns a narrow link between two regions.
+func regionLink() *link { return &link{bytesPerSecond: 60e6 / 8, delay: 60 * time.Millisecond} }
 
-// Every node of a region reads a large configuration over the same narrow link: it comes late,
-// and so does the news that an upstream leaves.
-func TestLargeConfigurationFillsTheLinkBetweenRegions(t *testing.T) {
+// Every node of a region reads a large configuration over the same narrow link, which delays the
+// configuration and the notice that an upstream is leaving.
+func TestLargeConfigurationsPropagateOverNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBubble(t)
-		defer b.stop()
-		b.put(b.topics.Upstreams, "e1", "llm")
-		far := b.farFleet(regionLink(), 3, 14)
+		f := newTestFleet(t)
+		defer f.stop()
+		f.put(f.topics.Upstreams, "e1", "llm")
+		far := f.startTwoRegions(regionLink(), 3, 14)
 		time.Sleep(10 * time.Second)
 		is.Equal(len(far[0].directory.Current().Upstreams("llm")), 1)
-		is.Equal(tellAndWait(b, far), len(far))
+		is.Equal(propagateChanges(f, far), len(far))
 	})
 }
 
-// The nodes that others fetch from look alive in the store and answer no node.
-func TestSilentPeersKeepNodesBehind(t *testing.T) {
+// The nodes that others fetch from look alive in the store but don't answer other nodes.
+func TestUnresponsivePeersDoNotDelayNodes(t *testing.T) {
 	for _, silent := range [][]string{{"far-0-0"}, {"far-0-0", "far-0-1"}} {
 		t.Run(fmt.Sprint(len(silent)), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBubble(t)
-				defer b.stop()
-				b.put(b.topics.Upstreams, "e1", "llm")
-				far := b.farFleet(regionLink(), 3, 8)
+				f := newTestFleet(t)
+				defer f.stop()
+				f.put(f.topics.Upstreams, "e1", "llm")
+				far := f.startTwoRegions(regionLink(), 3, 8)
 				time.Sleep(10 * time.Second)
-				b.mute(silent...)
-				is.Equal(tellAndWait(b, far), len(far))
+				f.makeUnreachable(silent...)
+				is.Equal(propagateChanges(f, far), len(far))
 			})
 		})
 	}
 }
 
-// All nodes lose power and come back at once: each reads the whole configuration, and the ones
-// beyond the link know none for seconds.
-func TestPowerLossFillsTheLinkWithConfigurations(t *testing.T) {
+// All nodes restart at once after a power loss. If each read the whole configuration, the nodes
+// beyond the link would have none for seconds.
+func TestConfigurationPropagatesAfterPowerLoss(t *testing.T) {
 	const dataCentres, nodes = 3, 14
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBubble(t)
-		defer b.stop()
-		b.put(b.topics.Operators, "config", padded(2, 3*configBytes/2))
+		f := newTestFleet(t)
+		defer f.stop()
+		f.put(f.topics.Operators, "config", paddedConfig(2, 3*configBytes/2))
 		for d := range dataCentres {
 			for i := range nodes {
-				b.lostIncarnation(farName(d, i), farSite(d, i, b.topics))
+				f.addCrashedIncarnation(farName(d, i), farSite(d, i, f.topics))
 			}
 		}
-		far := b.farFleet(regionLink(), dataCentres, nodes)
-		time.Sleep(newsAim)
-		is.Equal(inForceAt(far, 2, "llm"), len(far))
+		far := f.startTwoRegions(regionLink(), dataCentres, nodes)
+		time.Sleep(maxPropagation)
+		is.Equal(countConverged(far, 2, "llm"), len(far))
 	})
 }
--- a/edgenode/link_test.go
+++ b/edgenode/link_test.go
@@ -8,29 +8,29 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// link is a link between two regions, in one direction. Answers share it piece by piece; what
-// was handed to it is carried also when nobody waits for it any more.
+// link is one direction of a link between two regions. Responses share it piece by piece; queued
+// bytes are transferred even if nobody waits for them any more.
 type link struct {
-	// perSecond is how many bytes it carries.
-	perSecond int
-	// delay is how long a round trip takes while the link is idle.
+	// bytesPerSecond is the bandwidth.
+	bytesPerSecond int
+	// delay is the round-trip time while the link is idle.
 	delay time.Duration
 
 	mu      sync.Mutex
-	free    time.Time
+	freeAt  time.Time
 	carried int
 }
 
-// linkPiece is how many bytes of an answer are handed to a link at once.
-const linkPiece = 16 << 10
+// linkChunk is how many bytes of a response are queued at once.
+const linkChunk = 16 << 10
 
-// carry returns once so many bytes have crossed the link. progress is called for each piece.
-func (l *link) carry(ctx context.Context, bytes int, progress func()) error {
-	if err := pause(ctx, l.delay); err != nil {
+// transfer returns once that many bytes have crossed the link. It calls progress for each chunk.
+func (l *link) transfer(ctx context.Context, bytes int, progress func()) error {
+	if err := sleep(ctx, l.delay); err != nil {
 		return err
 	}
-	for ; bytes > 0; bytes -= linkPiece {
-		if err := pause(ctx, l.enqueue(min(bytes, linkPiece))); err != nil {
+	for ; bytes > 0; bytes -= linkChunk {
+		if err := sleep(ctx, l.enqueue(min(bytes, linkChunk))); err != nil {
 			return err
 		}
 		progress()
@@ -38,20 +38,20 @@
 	return nil
 }
 
-// enqueue returns how long a piece takes to cross the link.
+// enqueue queues a chunk and returns how long it takes to cross the link.
 func (l *link) enqueue(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * time.Second / time.Duration(l.perSecond))
+	l.freeAt = l.freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(l.bytesPerSecond))
 	l.carried += bytes
-	return l.free.Sub(now)
+	return l.freeAt.Sub(now)
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -62,70 +62,70 @@
 	}
 }
 
-// farTopic is a topic of a store beyond a link. A reading waits for a record.
-type farTopic struct {
+// linkedTopic is a topic of a store behind a link. A read waits for a record.
+type linkedTopic struct {
 	keyedlog.Topic
 	link *link
 }
 
-// beyond returns the topics of a store as they are seen over a link.
-func beyond(t Topics, l *link) Topics {
-	return Topics{Operators: &farTopic{t.Operators, l}, Upstreams: &farTopic{t.Upstreams, l}, Presence: &farTopic{t.Presence, l},
-		Spend: &farTopic{t.Spend, l}, Ledger: &farTopic{t.Ledger, l}, Grants: &farTopic{t.Grants, l}}
+// throughLink wraps the topics of a store so that all access crosses a link.
+func throughLink(t Topics, l *link) Topics {
+	return Topics{Operators: &linkedTopic{t.Operators, l}, Upstreams: &linkedTopic{t.Upstreams, l}, Presence: &linkedTopic{t.Presence, l},
+		Spend: &linkedTopic{t.Spend, l}, Ledger: &linkedTopic{t.Ledger, l}, Grants: &linkedTopic{t.Grants, l}}
 }
 
-// answerHead is the size of an answer without its records, in bytes.
-const answerHead = 200
+// responseOverhead is the size of a response without its records, in bytes.
+const responseOverhead = 200
 
-func size(records []keyedlog.Record) int {
-	bytes := answerHead
+func responseSize(records []keyedlog.Record) int {
+	bytes := responseOverhead
 	for i := range records {
 		bytes += len(records[i].Key) + len(records[i].Value)
 	}
 	return bytes
 }
 
-func (t *farTopic) Newest(ctx context.Context, progress func()) ([]keyedlog.Record, int64, error) {
+func (t *linkedTopic) Newest(ctx context.Context, progress func()) ([]keyedlog.Record, int64, error) {
 	records, next, err := t.Topic.Newest(ctx, func() {})
 	if err != nil {
 		return nil, 0, err
 	}
-	return records, next, t.link.carry(ctx, size(records), progress)
+	return records, next, t.link.transfer(ctx, responseSize(records), progress)
 }
 
-func (t *farTopic) Probe(ctx context.Context) error {
-	if err := t.link.carry(ctx, answerHead, func() {}); err != nil {
+func (t *linkedTopic) Probe(ctx context.Context) error {
+	if err := t.link.transfer(ctx, responseOverhead, func() {}); err != nil {
 		return err
 	}
 	return t.Topic.Probe(ctx)
 }
 
-func (t *farTopic) End(ctx context.Context) (int64, error) {
+func (t *linkedTopic) End(ctx context.Context) (int64, error) {
 	end, err := t.Topic.End(ctx)
 	if err != nil {
 		return 0, err
 	}
-	return end, t.link.carry(ctx, answerHead, func() {})
+	return end, t.link.transfer(ctx, responseOverhead, func() {})
 }
 
-func (t *farTopic) Read(ctx context.Context, from int64, wait time.Duration, progress func()) ([]keyedlog.Record, int64, error) {
-	const look = 20 * time.Millisecond
-	for waited := time.Duration(0); ; waited += look {
+func (t *linkedTopic) Read(ctx context.Context, from int64, wait time.Duration, progress func()) ([]keyedlog.Record, int64, error) {
+	const pollInterval = 20 * time.Millisecond
+	for waited := time.Duration(0); ; waited += pollInterval {
 		records, next, err := t.Topic.Read(ctx, from, 0, progress)
 		if err != nil {
 			return nil, 0, err
 		}
 		if len(records) > 0 || waited >= wait {
-			return records, next, t.link.carry(ctx, size(records), progress)
+			return records, next, t.link.transfer(ctx, responseSize(records), progress)
 		}
-		if err := pause(ctx, look); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return nil, 0, err
 		}
 	}
 }
 
-func (t *farTopic) Append(ctx context.Context, fence keyedlog.Fence, records ...keyedlog.Record) error {
-	if err := t.link.carry(ctx, answerHead, func() {}); err != nil {
+func (t *linkedTopic) Append(ctx context.Context, fence keyedlog.Fence, records ...keyedlog.Record) error {
+	if err := t.link.transfer(ctx, responseOverhead, func() {}); err != nil {
 		return err
 	}
 	return t.Topic.Append(ctx, fence, records...)
--- a/edgenode/loans.go
+++ b/edgenode/loans.go
@@ -10,24 +10,24 @@
 	"lavenderpin.dev/lavenderpin/lending"
 )
 
-// lenders returns the nodes that hold some of an account. While the store is out of
-// reach these are the ones known before.
+// lenders returns the nodes that hold an allocation of an account. While the store is
+// unreachable, these are the last known ones.
 func (n *Node) lenders(account string) []lending.Peer {
-	holdings := n.grants.Allocations(account)
+	allocations := n.grants.Allocations(account)
 	var peers []lending.Peer
 	for _, r := range n.roster.Live() {
-		holding := holdings[r.Node]
-		if r.Node == n.settings.Node || r.Peer == "" || holding.Ceiling == 0 {
+		allocation := allocations[r.Node]
+		if r.Node == n.settings.Node || r.Peer == "" || allocation.Ceiling == 0 {
 			continue
 		}
-		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Unused: holding.Unused})
+		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: allocation.Ceiling, Unused: allocation.Unused})
 	}
 	return peers
 }
 
-// expireEvery is how often open loans are looked at.
-const expireEvery = time.Second
+// loanExpiryInterval is how often open loans are checked for expiry.
+const loanExpiryInterval = time.Second
 
 func (n *Node) expireLoans(ctx context.Context) {
-	periodic.Run(ctx, clockwork.NewRealClock(), expireEvery, func(context.Context) { n.lender.Expire() })
+	periodic.Run(ctx, clockwork.NewRealClock(), loanExpiryInterval, func(context.Context) { n.lender.Expire() })
 }
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -22,7 +22,7 @@
 	"lavenderpin.dev/lavenderpin/presence"
 )
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	settings Settings
 	deps     Deps
@@ -31,51 +31,53 @@
 	directory *directory.Table
 	roster    *presence.Roster
 	share     *prepaid.Share
-	// reporter is nil until it is known what earlier incarnations left.
+	// reporter is nil until the records of earlier incarnations have been read.
 	reporter  atomic.Pointer[allotment.Reporter]
 	gateway   *gateway.Gateway
 	grants    *allotment.GrantHandler
 	lender    *lending.Lender
 	announcer *announcer
 
-	begun time.Duration
-	// fastestWrite is the shortest time that a record's writing took; zero before the first.
-	fastestWrite atomic.Int64
-	leaving      atomic.Bool
-	refusing     atomic.Bool
-	// quiet tells that nobody wants tokens of this node and that it holds none.
-	quiet atomic.Bool
-	// readings tells of each topic how it was last read.
-	readings []*readingLog
-	// rosterTried is closed once the first reading of the nodes' records has ended.
-	rosterTried chan struct{}
-	// copies holds the newest records of topics, by name, for nodes of the data centre.
+	startedAt time.Duration
+	// minWriteLatency is the lowest latency of writing a record; zero before the first write.
+	minWriteLatency atomic.Int64
+	leaving         atomic.Bool
+	refusing        atomic.Bool
+	// idle is true if the node is granted and its share isn't in use.
+	idle atomic.Bool
+	// readMonitors hold the read statistics of each topic.
+	readMonitors []*readMonitor
+	// firstRosterRead is closed once the first read of the nodes' records has succeeded or
+	// failed.
+	firstRosterRead chan struct{}
+	// copies hold the newest records of topics, by name, for other nodes of the data centre.
 	copies map[string]*peerfetch.Copy
 	loops  sync.WaitGroup
 	// stop ends the loops.
 	stop context.CancelFunc
 }
 
-// Start starts the node's loops. Nothing in it waits for the store, so that plain services,
-// which need no tokens, are served as soon as a configuration is known. On a small instance it
-// returns after a pause, until which callers are told at once to go elsewhere: nobody listens.
+// Start starts the node's loops. It doesn't wait for the store, so that plain services, which
+// need no tokens, are served as soon as a configuration is known. On a small instance it returns
+// after a pause; until then nothing listens, and callers' connections are refused at once so
+// that they try other nodes.
 func Start(ctx context.Context, settings Settings, deps Deps) (*Node, error) {
-	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, rosterTried: make(chan struct{}),
-		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), begun: deps.Clock.Now()}
+	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, firstRosterRead: make(chan struct{}),
+		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), startedAt: deps.Clock.Now()}
 	n.copies = map[string]*peerfetch.Copy{configTopic: peerfetch.NewCopy(deps.Clock), upstreamTopic: peerfetch.NewCopy(deps.Clock)}
 	if settings.Capacity < smallCapacity {
-		periodic.Pause(ctx, rand.N(smallStartDelay))
+		periodic.Pause(ctx, rand.N(maxSmallStartDelay))
 	}
-	loops, stop := context.WithCancel(context.WithoutCancel(ctx))
+	loopsCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	n.stop = stop
-	n.follow(loops, n.operators(), &configHandler{n, n.logReadings("config")}, configPace)
-	upstreams := upstreamPace
-	upstreams.ExtraPause = n.quietExtra
-	n.follow(loops, n.upstreams(), &upstreamHandler{n, n.logReadings("upstreams")}, upstreams)
-	nodes := presencePace
-	nodes.ExtraPause = n.presenceExtra
-	n.follow(loops, deps.Topics.Presence, &presenceHandler{node: n, readings: n.logReadings("presence")}, nodes)
-	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.TimeOfDay}
+	n.startFollower(loopsCtx, n.operatorsTopic(), &configHandler{n, n.newReadMonitor("config")}, configReadOptions)
+	upstreamOptions := upstreamReadOptions
+	upstreamOptions.ExtraPause = n.idleExtraPause
+	n.startFollower(loopsCtx, n.upstreamsTopic(), &upstreamHandler{n, n.newReadMonitor("upstreams")}, upstreamOptions)
+	presenceOptions := presenceReadOptions
+	presenceOptions.ExtraPause = n.presenceExtraPause
+	n.startFollower(loopsCtx, deps.Topics.Presence, &presenceHandler{node: n, monitor: n.newReadMonitor("presence")}, presenceOptions)
+	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.WallClock}
 	holder := prepaid.Holder{Node: settings.Node, Region: settings.Region, Capacity: settings.Capacity, Incarnation: settings.Incarnation, BootID: settings.Start.BootID}
 	n.share = prepaid.NewShare(prepaid.DefaultSettings(), clocks, holder)
 	n.announcer = &announcer{node: n}
@@ -86,35 +88,35 @@
 		Picker: placement.NewPicker(placement.DefaultSettings(), settings.Regions),
 		Share:  n.share, Upstreams: deps.Upstreams, Events: deps.Events, Metrics: deps.Metrics,
 		Borrower: lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
-		Report:   n.report, Nodes: n.nodes, Repeats: settings.Repeats,
+		Report:   n.report, Nodes: n.nodeCount, Repeats: settings.Repeats,
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
-	grants := grantPace
-	grants.ExtraPause = n.grantExtra
-	n.follow(loops, deps.Topics.Grants, n.grants, grants)
-	n.run(loops, n.expireLoans)
-	n.run(loops, n.reportOn)
-	n.run(loops, n.announcer.run)
+	grantOptions := grantReadOptions
+	grantOptions.ExtraPause = n.grantExtraPause
+	n.startFollower(loopsCtx, deps.Topics.Grants, n.grants, grantOptions)
+	n.startLoop(loopsCtx, n.expireLoans)
+	n.startLoop(loopsCtx, n.runReporter)
+	n.startLoop(loopsCtx, n.announcer.run)
 	topics := allotment.Topics{Spend: deps.Topics.Spend, Ledger: deps.Topics.Ledger, Grants: deps.Topics.Grants}
-	n.run(loops, allotment.NewPlanner(topics, (*fleet)(n), prepaid.DefaultSettings(), deps.Events).Run)
+	n.startLoop(loopsCtx, allotment.NewPlanner(topics, (*fleet)(n), prepaid.DefaultSettings(), deps.Events).Run)
 	return n, nil
 }
 
-// A small instance waits before it reads what it needs. After a fault that all nodes come
-// back from at once, those far from the store share one link for it, and the large ones,
-// which callers are sent to, must not wait behind many times as many small ones. The delay
-// is about what a region's nodes were seen to need for all of it.
+// A small instance waits before it reads its initial state. When all nodes recover from a fault
+// at once, those far from the store share one link for these reads, and the large nodes, which
+// callers are sent to, must not queue behind many times as many small ones. The delay is about
+// the measured time in which a region's nodes complete all of these reads.
 const (
-	// smallCapacity is below what counts as small, in hundredths of a usual instance.
-	smallCapacity   = 50
-	smallStartDelay = 2 * time.Second
+	// Instances below smallCapacity are small, in hundredths of a standard instance.
+	smallCapacity      = 50
+	maxSmallStartDelay = 2 * time.Second
 )
 
-func (n *Node) follow(ctx context.Context, topic keyedlog.Topic, handler keyedlog.Handler, pace keyedlog.Options) {
-	n.run(ctx, keyedlog.NewFollower(topic, handler, pace).Run)
+func (n *Node) startFollower(ctx context.Context, topic keyedlog.Topic, handler keyedlog.Handler, options keyedlog.Options) {
+	n.startLoop(ctx, keyedlog.NewFollower(topic, handler, options).Run)
 }
 
-func (n *Node) run(ctx context.Context, loop func(context.Context)) {
+func (n *Node) startLoop(ctx context.Context, loop func(context.Context)) {
 	n.loops.Add(1)
 	go func() {
 		defer n.loops.Done()
@@ -122,56 +124,56 @@
 	}()
 }
 
-// Gateway returns what serves requests.
+// Gateway returns the gateway that serves requests.
 func (n *Node) Gateway() *gateway.Gateway { return n.gateway }
 
-// Catalog returns the configuration in force.
+// Catalog returns the holder of the current configuration.
 func (n *Node) Catalog() *catalog.Holder { return n.catalog }
 
-// grantPatience is how long a new node waits for its first grant before it takes callers
-// all the same: plain services need none.
-const grantPatience = 4 * time.Second
+// firstGrantTimeout is how long a new node waits for its first grant before it accepts callers
+// anyway: plain services need no grant.
+const firstGrantTimeout = 4 * time.Second
 
-// Ready tells whether the node takes new callers.
+// Ready reports whether the node accepts new callers.
 func (n *Node) Ready() bool {
 	view := n.catalog.Current()
 	if view == nil || n.leaving.Load() {
 		return false
 	}
-	return n.share.Granted() || n.deps.Clock.Now()-n.begun > grantPatience
+	return n.share.Granted() || n.deps.Clock.Now()-n.startedAt > firstGrantTimeout
 }
 
-// Leaving tells that the node is about to end.
+// Leaving reports whether the node is about to stop.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Refusing tells that the node takes no request any more.
+// Refusing reports whether the node refuses all requests.
 func (n *Node) Refusing() bool { return n.refusing.Load() }
 
-// Addresses returns where callers of a place should connect. The node names itself while
-// it is ready, also when the store is out of reach.
+// Addresses returns the addresses that callers in a region should connect to. The node includes
+// itself while it is ready, even if the store is unreachable.
 func (n *Node) Addresses(region string) []string {
 	live := slices.Clone(n.roster.Live())
-	own := false
+	included := false
 	for i := range live {
 		if live[i].Node == n.settings.Node {
 			live[i].Ready = n.Ready()
-			own = true
+			included = true
 		}
 	}
-	if !own {
-		live = append(live, n.record())
+	if !included {
+		live = append(live, n.presenceRecord())
 	}
 	addresses := presence.Addresses(live, region)
 	n.deps.Events.Record(event.AddressesHandedOut, "region", region, "live", len(live), "named", len(addresses))
 	return addresses
 }
 
-// nodes is how many nodes serve now.
-func (n *Node) nodes() int { return max(1, len(n.roster.Live())) }
+// nodeCount returns how many nodes are serving.
+func (n *Node) nodeCount() int { return max(1, len(n.roster.Live())) }
 
-// record is what the node writes about itself.
-func (n *Node) record() presence.Record {
+// presenceRecord returns the node's own presence record.
+func (n *Node) presenceRecord() presence.Record {
 	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, Peer: n.settings.Peer,
-		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeMs(),
+		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeLatencyMs(),
 		Ready: n.Ready(), Leaving: n.leaving.Load()}
 }
--- a/edgenode/presencehandler.go
+++ b/edgenode/presencehandler.go
@@ -9,19 +9,19 @@
 	"lavenderpin.dev/lavenderpin/presence"
 )
 
-// presenceHandler keeps the roster of nodes.
+// presenceHandler maintains the roster of nodes.
 type presenceHandler struct {
-	node     *Node
-	readings *readingLog
-	first    sync.Once
-	// known holds the live nodes' incarnations as last logged.
-	known map[string]string
+	node      *Node
+	monitor   *readMonitor
+	firstRead sync.Once
+	// loggedIncarnations holds the live nodes' incarnations as last logged.
+	loggedIncarnations map[string]string
 }
 
-// Reset takes the newest records.
+// Reset applies the newest records.
 func (h *presenceHandler) Reset(records []keyedlog.Record) { h.Apply(records) }
 
-// Apply takes records in order.
+// Apply applies records in order.
 func (h *presenceHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
@@ -37,32 +37,32 @@
 	}
 }
 
-// tried tells those who wait for the first reading that it is over.
-func (h *presenceHandler) tried() { h.first.Do(func() { close(h.node.rosterTried) }) }
+// firstReadDone wakes those that wait for the first read.
+func (h *presenceHandler) firstReadDone() { h.firstRead.Do(func() { close(h.node.firstRosterRead) }) }
 
 // ReadFailed stops the clock by which silent nodes are dropped.
 func (h *presenceHandler) ReadFailed(err error) {
 	h.node.roster.Lost()
-	h.readings.lost(err)
-	h.tried()
+	h.monitor.failed(err)
+	h.firstReadDone()
 }
 
-// ReadSucceeded lets it run and logs which nodes came or went.
+// ReadSucceeded starts that clock again and logs which nodes joined or left.
 func (h *presenceHandler) ReadSucceeded(r keyedlog.ReadStats) {
-	h.readings.caught(r)
+	h.monitor.succeeded(r)
 	h.node.roster.Caught()
-	h.tried()
-	now := make(map[string]string)
+	h.firstReadDone()
+	live := make(map[string]string)
 	for _, r := range h.node.roster.Live() {
-		now[r.Node] = r.Incarnation
-		if h.known[r.Node] != r.Incarnation {
-			h.node.deps.Events.Record(event.PeerJoined, "member", r.Node, "incarnation", r.Incarnation, "ready", r.Ready, "live", len(now))
+		live[r.Node] = r.Incarnation
+		if h.loggedIncarnations[r.Node] != r.Incarnation {
+			h.node.deps.Events.Record(event.PeerJoined, "member", r.Node, "incarnation", r.Incarnation, "ready", r.Ready, "live", len(live))
 		}
 	}
-	for node, incarnation := range h.known {
-		if _, live := now[node]; !live {
-			h.node.deps.Events.Record(event.PeerGone, "member", node, "incarnation", incarnation, "live", len(now))
+	for node, incarnation := range h.loggedIncarnations {
+		if _, isLive := live[node]; !isLive {
+			h.node.deps.Events.Record(event.PeerGone, "member", node, "incarnation", incarnation, "live", len(live))
 		}
 	}
-	h.known = now
+	h.loggedIncarnations = live
 }
--- a/edgenode/readinglog_test.go
+++ b/edgenode/readmonitor_test.go
@@ -14,20 +14,19 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// A reading that failed or was late must leave a line, and a store that is away for long must
-// not fill the log with them.
-func TestLogsLossAndReturnOfReadings(t *testing.T) {
+// A failed or late read must be logged, and a long outage of the store must not flood the log.
+func TestLogsReadFailureAndRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		events := event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), "n", 64, log.NewNopLogger())
-		l := &readingLog{topic: "config", events: events, clock: bubbleClock{}}
-		l.caught(keyedlog.ReadStats{})
+		m := &readMonitor{topic: "config", events: events, clock: testClock{}}
+		m.succeeded(keyedlog.ReadStats{})
 		for range 5 {
-			l.lost(errors.New("away"))
+			m.failed(errors.New("away"))
 		}
-		l.caught(keyedlog.ReadStats{SinceLast: 6 * time.Second, Delay: 4 * time.Second, Bytes: 7})
-		l.caught(keyedlog.ReadStats{Delay: lateReading})
-		l.caught(keyedlog.ReadStats{Delay: lateReading + time.Millisecond, Duration: 2 * time.Second})
+		m.succeeded(keyedlog.ReadStats{SinceLast: 6 * time.Second, Delay: 4 * time.Second, Bytes: 7})
+		m.succeeded(keyedlog.ReadStats{Delay: lateReadThreshold})
+		m.succeeded(keyedlog.ReadStats{Delay: lateReadThreshold + time.Millisecond, Duration: 2 * time.Second})
 		var numbers []event.Number
 		recorded, _ := events.After(0, 64)
 		for _, e := range recorded {
@@ -38,8 +37,8 @@
 		is.Equal(recorded[1].Fields["bytes"], "7")
 		is.Equal(recorded[2].Fields["took_ms"], "2000")
 
-		n := &Node{readings: []*readingLog{l}, deps: Deps{Clock: bubbleClock{}}}
+		n := &Node{readMonitors: []*readMonitor{m}, deps: Deps{Clock: testClock{}}}
 		time.Sleep(time.Second)
-		is.Equal(n.Readings()["config"], ReadingStats{AgeMs: 1000, Failures: 5})
+		is.Equal(n.TopicStats()["config"], TopicStats{AgeMs: 1000, Failures: 5})
 	})
 }
--- a/edgenode/records.go
+++ b/edgenode/records.go
@@ -10,36 +10,36 @@
 	"lavenderpin.dev/lavenderpin/presence"
 )
 
-// Names of topics between nodes.
+// Names of the topics that nodes fetch from each other.
 const (
 	configTopic   = "config"
 	upstreamTopic = "upstreams"
 )
 
-// operators returns the operators' topic. Its records are the only large ones: a whole
-// configuration each.
-func (n *Node) operators() keyedlog.Topic {
-	return n.shared(configTopic, n.deps.Topics.Operators, false)
+// operatorsTopic returns the operators' topic. It is the only one with large records: each is a
+// whole configuration.
+func (n *Node) operatorsTopic() keyedlog.Topic {
+	return n.peerTopic(configTopic, n.deps.Topics.Operators, false)
 }
 
-// upstreams returns the topic of the upstreams' entries. Each is small, but a node that
-// starts reads all of them: at 3,000 upstreams the nodes of a region which start together
-// would fill the link to the store for half a minute.
-func (n *Node) upstreams() keyedlog.Topic {
-	return n.shared(upstreamTopic, n.deps.Topics.Upstreams, true)
+// upstreamsTopic returns the topic of the upstreams' entries. Each is small, but a starting node
+// reads all of them: at 3,000 upstreams the nodes of a region that start together would saturate
+// the link to the store for half a minute.
+func (n *Node) upstreamsTopic() keyedlog.Topic {
+	return n.peerTopic(upstreamTopic, n.deps.Topics.Upstreams, true)
 }
 
-// shared lets the nodes of a data centre fetch a topic's records from each other.
-func (n *Node) shared(name string, topic keyedlog.Topic, newestOnly bool) keyedlog.Topic {
+// peerTopic lets the nodes of a data centre fetch a topic's records from each other.
+func (n *Node) peerTopic(name string, topic keyedlog.Topic, newestOnly bool) keyedlog.Topic {
 	if n.deps.Peers == nil {
 		return topic
 	}
-	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.neighbours, Fleet: func() int { return len(n.roster.Live()) }, Known: n.rosterTried, NewestOnly: newestOnly,
+	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.dataCentrePeers, Fleet: func() int { return len(n.roster.Live()) }, Known: n.firstRosterRead, NewestOnly: newestOnly,
 		Caller: n.deps.Peers, Copy: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
 }
 
-// neighbours returns the nodes of this data centre, this one included.
-func (n *Node) neighbours() []peerfetch.Peer {
+// dataCentrePeers returns the nodes of this data centre, including this one.
+func (n *Node) dataCentrePeers() []peerfetch.Peer {
 	var peers []peerfetch.Peer
 	for _, r := range n.roster.Live() {
 		if r.DataCentre == n.settings.DataCentre && r.Peer != "" {
@@ -49,16 +49,16 @@
 	return peers
 }
 
-// PeerRoutes answers other nodes.
+// PeerRoutes returns the handler of requests from other nodes.
 func (n *Node) PeerRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", lending.Handler(n.lender))
-	mux.Handle(peerfetch.Path, peerfetch.Handler(n.copies, n.isNode))
+	mux.Handle(peerfetch.Path, peerfetch.Handler(n.copies, n.isNodeIP))
 	return mux
 }
 
-// isNode tells whether a live node has an IP address.
-func (n *Node) isNode(ip string) bool {
+// isNodeIP reports whether an IP address belongs to a live node.
+func (n *Node) isNodeIP(ip string) bool {
 	for _, r := range n.roster.Live() {
 		if hasIP(&r, ip) {
 			return true
--- a/edgenode/reports.go
+++ b/edgenode/reports.go
@@ -11,50 +11,50 @@
 	"lavenderpin.dev/lavenderpin/internal/periodic"
 )
 
-// errNotReporting tells that the node doesn't know yet what its earlier incarnations left.
-var errNotReporting = errors.New("what earlier incarnations left isn't known yet")
+// errPredecessorsUnknown is returned until the records of earlier incarnations have been read.
+var errPredecessorsUnknown = errors.New("the records of earlier incarnations have not been read yet")
 
-// report reports the share's use at once and returns when that is acknowledged.
+// report reports the share's usage immediately and returns once the report is acknowledged.
 func (n *Node) report(ctx context.Context) error {
 	reporter := n.reporter.Load()
 	if reporter == nil {
-		return errNotReporting
+		return errPredecessorsUnknown
 	}
 	return errors.Trace(reporter.Report(ctx))
 }
 
-// reportOn reads what earlier incarnations left and then reports at intervals. Without
-// what was left, spending could not be bounded: nothing is granted to a node before its
-// first report, which names its earlier incarnations.
-func (n *Node) reportOn(ctx context.Context) {
-	earlier, err := n.readEarlier(ctx)
+// runReporter reads the records of earlier incarnations and then reports at intervals. Without
+// these records spending could not be bounded: a node is granted nothing before its first
+// report, which names its earlier incarnations.
+func (n *Node) runReporter(ctx context.Context) {
+	predecessors, err := n.readPredecessors(ctx)
 	if err != nil {
-		return // the node has ended
+		return // the node has stopped
 	}
-	n.share.SetPredecessors(earlier.FinalUsages)
-	reporter := allotment.NewReporter(n.share, n.deps.Topics.Spend, n.settings.Node, n.settings.Incarnation, earlier.ReportKeys, n.deps.Events)
+	n.share.SetPredecessors(predecessors.FinalUsages)
+	reporter := allotment.NewReporter(n.share, n.deps.Topics.Spend, n.settings.Node, n.settings.Incarnation, predecessors.ReportKeys, n.deps.Events)
 	n.reporter.Store(reporter)
 	reporter.Run(ctx)
 }
 
 const (
-	// earlierTimeout bounds one attempt to read what earlier incarnations left, over a link
-	// that all nodes may share for it.
-	earlierTimeout = 5 * time.Second
-	// earlierRetry is the pause between attempts.
-	earlierRetry = 200 * time.Millisecond
+	// predecessorsTimeout bounds one attempt to read the records of earlier incarnations, over a
+	// link that all nodes may be sharing for the same purpose.
+	predecessorsTimeout = 5 * time.Second
+	// predecessorsRetryPause is the pause between attempts.
+	predecessorsRetryPause = 200 * time.Millisecond
 )
 
-func (n *Node) readEarlier(ctx context.Context) (allotment.PredecessorRecords, error) {
+func (n *Node) readPredecessors(ctx context.Context) (allotment.PredecessorRecords, error) {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, earlierTimeout)
-		earlier, err := allotment.ReadPredecessors(call, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.TimeOfDay)
+		callCtx, cancel := context.WithTimeout(ctx, predecessorsTimeout)
+		predecessors, err := allotment.ReadPredecessors(callCtx, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.WallClock)
 		cancel()
 		if err == nil {
-			return earlier, nil
+			return predecessors, nil
 		}
 		n.deps.Events.Record(event.LogUnreachable, "topic", "spend", "error", err)
-		periodic.Pause(ctx, earlierRetry)
+		periodic.Pause(ctx, predecessorsRetryPause)
 	}
 	return allotment.PredecessorRecords{}, errors.Trace(ctx.Err())
 }
--- a/edgenode/startlink_test.go
+++ b/edgenode/startlink_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// manyUpstreams are ten times as many as a large site has today.
-	manyUpstreams = 3000
-	// entryBytes is what an upstream's entry takes on its way from the store.
+	// upstreamCount is ten times as many as a large site has today.
+	upstreamCount = 3000
+	// entryBytes is the size of an upstream's entry in a response of the store.
 	entryBytes = 400
-	// dataCentreNodes is how many nodes each of three data centres beyond the link has.
+	// dataCentreNodes is the number of nodes in each of three data centres beyond the link.
 	dataCentreNodes = 50
 )
 
-// Guards against a start of a large fleet that fills the link between regions with copies of
-// the upstreams' entries: changes of the configuration waited behind them for seconds.
-func TestStartOfALargeFleetFillsTheLinkWithUpstreams(t *testing.T) {
+// Guards against a starting large fleet saturating the link between regions with copies of the
+// upstreams' entries: configuration changes queued behind them for seconds.
+func TestLargeFleetStartDoesNotSaturateLink(t *testing.T) {
 	for name, small := range map[string]int{"small nodes start one by one": smallCapacity / 2, "all at once": smallCapacity} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { startLargeFleet(t, small) })
@@ -29,37 +29,37 @@
 	}
 }
 
-// startLargeFleet starts a fleet whose small nodes have a capacity, and changes the
+// startLargeFleet starts a fleet whose small nodes have the given capacity, and changes the
 // configuration when callers come.
 func startLargeFleet(t *testing.T, small int) {
 	is := is.New(t)
-	b := newBubble(t)
-	defer b.stop()
-	for i := range manyUpstreams {
-		b.put(b.topics.Upstreams, fmt.Sprintf("%0*d", entryBytes, i), "llm")
+	f := newTestFleet(t)
+	defer f.stop()
+	for i := range upstreamCount {
+		f.put(f.topics.Upstreams, fmt.Sprintf("%0*d", entryBytes, i), "llm")
 	}
-	b.put(b.topics.Operators, "config", padded(1, 10<<10))
-	l := &link{perSecond: 60_000_000 / 8, delay: 60 * time.Millisecond}
-	far := b.startFar(l, 3, dataCentreNodes, small)
+	f.put(f.topics.Operators, "config", paddedConfig(1, 10<<10))
+	l := &link{bytesPerSecond: 60_000_000 / 8, delay: 60 * time.Millisecond}
+	far := f.startFarNodes(l, 3, dataCentreNodes, small)
 	time.Sleep(12 * time.Second)
-	b.put(b.topics.Operators, "config", padded(2, 10<<10))
-	time.Sleep(newsAim)
-	is.Equal(inForce(far, 2), len(far))
-	is.Equal(knowing(far, manyUpstreams), len(far))
+	f.put(f.topics.Operators, "config", paddedConfig(2, 10<<10))
+	time.Sleep(maxPropagation)
+	is.Equal(countWithVersion(far, 2), len(far))
+	is.Equal(countWithUpstreams(far, upstreamCount), len(far))
 }
 
-// startFar starts nodes beyond a link at the same time.
-func (b *bubble) startFar(l *link, dataCentres, nodes, small int) (far []*Node) {
+// startFarNodes starts nodes beyond a link at the same time.
+func (f *testFleet) startFarNodes(l *link, dataCentres, nodes, small int) (far []*Node) {
 	var mu sync.Mutex
 	var started sync.WaitGroup
 	for d := range dataCentres {
 		for i := range nodes {
 			started.Go(func() {
-				s := farSite(d, i, beyond(b.topics, l))
+				s := farSite(d, i, throughLink(f.topics, l))
 				if s.capacity < 200 {
 					s.capacity = small
 				}
-				n := b.startAt(s, farName(d, i), decodePadded)
+				n := f.startAt(s, farName(d, i), decodePaddedConfig)
 				mu.Lock()
 				defer mu.Unlock()
 				far = append(far, n)
@@ -70,8 +70,8 @@
 	return far
 }
 
-// inForce counts the nodes that have a version in force.
-func inForce(nodes []*Node, version int64) int {
+// countWithVersion counts the nodes that use a configuration version.
+func countWithVersion(nodes []*Node, version int64) int {
 	n := 0
 	for _, node := range nodes {
 		if v := node.catalog.Current(); v != nil && v.Version == version {
@@ -81,8 +81,8 @@
 	return n
 }
 
-// knowing counts the nodes that know so many upstreams.
-func knowing(nodes []*Node, upstreams int) int {
+// countWithUpstreams counts the nodes that know a number of upstreams.
+func countWithUpstreams(nodes []*Node, upstreams int) int {
 	n := 0
 	for _, node := range nodes {
 		if len(node.directory.Current().Upstreams("llm")) == upstreams {
--- a/edgenode/stop.go
+++ b/edgenode/stop.go
@@ -7,8 +7,8 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// Leave makes the node name other addresses to callers, while it serves what still
-// comes.
+// Leave makes the node give callers the addresses of other nodes, while it still serves incoming
+// requests.
 func (n *Node) Leave() {
 	if n.leaving.Swap(true) {
 		return
@@ -19,13 +19,13 @@
 // Refuse makes the node refuse every new request: by now callers know other addresses.
 func (n *Node) Refuse() { n.refusing.Store(true) }
 
-// finalReport bounds the last report; without it the node's drawn tokens are stranded.
-const finalReport = 800 * time.Millisecond
+// finalReportTimeout bounds the last report; without it the node's drawn tokens are stranded.
+const finalReportTimeout = 800 * time.Millisecond
 
-// Stop gives the node's share back and ends its loops. No request may be open.
+// Stop returns the node's share and ends its loops. No request may be open.
 func (n *Node) Stop(ctx context.Context) {
 	n.share.End()
-	ctx, cancel := context.WithTimeout(ctx, finalReport)
+	ctx, cancel := context.WithTimeout(ctx, finalReportTimeout)
 	defer cancel()
 	if err := n.report(ctx); err != nil {
 		n.deps.Events.Record(event.LogUnreachable, "topic", "spend", "error", err)
--- /dev/null
+++ b/edgenode/testfleet_test.go
@@ -0,0 +1,261 @@
+package edgenode
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/jonboulle/clockwork"
+
+	"lavenderpin.dev/lavenderpin/catalog"
+	"lavenderpin.dev/lavenderpin/directory"
+	"lavenderpin.dev/lavenderpin/event"
+	"lavenderpin.dev/lavenderpin/gateway"
+	"lavenderpin.dev/lavenderpin/internal/memtopic"
+	"lavenderpin.dev/lavenderpin/keyedlog"
+	"lavenderpin.dev/lavenderpin/lending"
+	"lavenderpin.dev/lavenderpin/peerfetch"
+	"lavenderpin.dev/lavenderpin/prepaid"
+	"lavenderpin.dev/lavenderpin/presence"
+	"lavenderpin.dev/lavenderpin/repeats"
+	"lavenderpin.dev/lavenderpin/result"
+)
+
+// testClock is a boot clock that follows a test's fake time.
+type testClock struct{}
+
+func (testClock) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+
+// storeOutage is an outage of a store; requests sent before its end are never answered.
+type storeOutage struct{ until atomic.Int64 }
+
+func (s *storeOutage) begin(d time.Duration) { s.until.Store(time.Now().Add(d).UnixNano()) }
+
+// wait blocks until ctx ends if the outage is in progress.
+func (s *storeOutage) wait(ctx context.Context) error {
+	if time.Now().UnixNano() >= s.until.Load() {
+		return nil
+	}
+	<-ctx.Done()
+	return ctx.Err()
+}
+
+// outageTopic is a topic of a store that may have an outage.
+type outageTopic struct {
+	*memtopic.Topic
+	outage *storeOutage
+	reads  atomic.Int64
+}
+
+func (q *outageTopic) Newest(ctx context.Context, progress func()) ([]keyedlog.Record, int64, error) {
+	if err := q.outage.wait(ctx); err != nil {
+		return nil, 0, err
+	}
+	return q.Topic.Newest(ctx, progress)
+}
+
+func (q *outageTopic) Probe(ctx context.Context) error { return q.outage.wait(ctx) }
+
+func (q *outageTopic) Read(ctx context.Context, from int64, wait time.Duration, progress func()) ([]keyedlog.Record, int64, error) {
+	q.reads.Add(1)
+	if err := q.outage.wait(ctx); err != nil {
+		return nil, 0, err
+	}
+	return q.Topic.Read(ctx, from, wait, progress)
+}
+
+func (q *outageTopic) Append(ctx context.Context, fence keyedlog.Fence, records ...keyedlog.Record) error {
+	if err := q.outage.wait(ctx); err != nil {
+		return err
+	}
+	return q.Topic.Append(ctx, fence, records...)
+}
+
+// testFleet is a fleet in a test's fake time, over in-memory topics.
+type testFleet struct {
+	t      *testing.T
+	topics Topics
+	outage storeOutage
+
+	mu sync.Mutex
+	// unreachable holds the nodes that don't answer other nodes.
+	unreachable map[string]bool
+	nodes       []*Node
+}
+
+// reachable returns the node at an address, or nil if it doesn't answer other nodes.
+func (f *testFleet) reachable(address string) *Node {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, n := range f.nodes {
+		if n.settings.Peer == address && !f.unreachable[address] {
+			return n
+		}
+	}
+	return nil
+}
+
+// Fetch requests records from a node of the fleet.
+func (f *testFleet) Fetch(ctx context.Context, address string, ask peerfetch.Ask, progress func()) (peerfetch.Reply, error) {
+	if n := f.reachable(address); n != nil {
+		progress()
+		return n.copies[ask.Topic].Answer(ctx, ask), nil
+	}
+	<-ctx.Done()
+	return peerfetch.Reply{}, ctx.Err()
+}
+
+const host, apiKey = "host", "key"
+
+func newTestFleet(t *testing.T) *testFleet {
+	f := &testFleet{t: t}
+	topic := func() keyedlog.Topic { return &outageTopic{Topic: memtopic.New(), outage: &f.outage} }
+	f.topics = Topics{Operators: topic(), Upstreams: topic(), Presence: topic(), Spend: topic(), Ledger: topic(), Grants: topic()}
+	f.put(f.topics.Operators, "config", "1")
+	return f
+}
+
+func (f *testFleet) put(topic keyedlog.Topic, key, value string) {
+	err := topic.Append(context.Background(), keyedlog.Fence{Producer: "test"}, keyedlog.Record{Key: key, Value: []byte(value)})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// addCrashedIncarnation adds the records that a node leaves in the store when it loses power.
+func (f *testFleet) addCrashedIncarnation(node string, s site) {
+	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, Peer: node, Capacity: s.capacity, StoreMs: 4, Ready: true})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.put(f.topics.Presence, node, string(record))
+	now := time.Now().UnixMilli()
+	report, err := json.Marshal(prepaid.Report{Node: node, Incarnation: "lost", Region: s.region, Capacity: s.capacity, SentTimeMs: now, StartBootMs: now, StartTimeMs: now, LimitTTLMs: 10_000, BootID: "earlier"})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.put(f.topics.Spend, node+"/lost", string(report))
+}
+
+func testConfig(string, []byte) (*catalog.View, bool, error) {
+	route := func(path, service string) *catalog.Route {
+		return &catalog.Route{Name: path, Host: host, PathPrefix: path, Kind: catalog.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 1,
+			Split: []catalog.Weight{{Service: service, Weight: 1}}}
+	}
+	return catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("/plain/", "app"), route("/prompt/", "llm")},
+		[]*catalog.Service{{Name: "app"}, {Name: "llm", Engine: &catalog.Engine{Slots: 8, TokensPerEvent: 6}}},
+		[]*catalog.Account{{Name: "one", Prepaid: 10_000_000, HasPrepaid: true}}, map[string]string{apiKey: "one"}), true, nil
+}
+
+// drainingValue is the entry of a draining upstream.
+const drainingValue = "leaves"
+
+func decodeEntry(id string, raw []byte) (directory.Entry, error) {
+	if string(raw) == drainingValue {
+		return directory.Entry{ID: id, Service: "llm", Address: id, DataCentre: "dc", Slots: 8, State: directory.Draining}, nil
+	}
+	return directory.Entry{ID: id, Service: string(raw), Address: id, DataCentre: "dc", Slots: 8, State: directory.Ready}, nil
+}
+
+// okUpstreams answers each request at once.
+type okUpstreams struct{}
+
+func (okUpstreams) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Answer, error) {
+	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
+}
+
+// unreachableLenders never reaches another node.
+type unreachableLenders struct{}
+
+func (unreachableLenders) Call(context.Context, string, lending.Request) (lending.Reply, error) {
+	return lending.Reply{}, context.DeadlineExceeded
+}
+
+func (f *testFleet) start(name string) *Node {
+	return f.startAt(f.defaultSite(), name, testConfig)
+}
+
+// defaultSite is a site with direct access to the store.
+func (f *testFleet) defaultSite() site {
+	return site{dataCentre: "dc", region: "region", capacity: 100, topics: f.topics}
+}
+
+// site is the location of a test node and how it accesses the store.
+type site struct {
+	dataCentre, region string
+	capacity           int
+	topics             Topics
+}
+
+// configDecoder decodes a configuration.
+type configDecoder func(key string, raw []byte) (*catalog.View, bool, error)
+
+func (f *testFleet) startAt(s site, name string, decode configDecoder) *Node {
+	clocks := prepaid.Clocks{Boot: testClock{}, Wall: clockwork.NewRealClock()}
+	n, err := Start(context.Background(), Settings{Node: name, Incarnation: "new-" + name, Start: prepaid.ProcessStart{ClockReading: clocks.Read(), BootID: "boot-" + name},
+		Address: name, Peer: name, Capacity: s.capacity, DataCentre: s.dataCentre, Region: s.region, Regions: map[string]string{s.dataCentre: s.region},
+		Repeats: repeats.Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}},
+		Deps{Clock: testClock{}, WallClock: clocks.Wall, Topics: s.topics, Upstreams: okUpstreams{}, Lending: unreachableLenders{}, Peers: f,
+			Events:  event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), name, 64, log.NewNopLogger()),
+			Metrics: gateway.NewMetrics(false), DecodeConfig: decode, DecodeUpstream: decodeEntry})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.nodes = append(f.nodes, n)
+	return n
+}
+
+func (f *testFleet) stop() {
+	for _, n := range f.nodes {
+		n.Stop(context.Background())
+	}
+}
+
+// restartAfterPowerLoss starts a fleet whose earlier incarnations lost power.
+func (f *testFleet) restartAfterPowerLoss(size int) {
+	for i := range size {
+		f.addCrashedIncarnation(fmt.Sprintf("n%02d", i), f.defaultSite())
+	}
+	for i := range size {
+		f.start(fmt.Sprintf("n%02d", i))
+	}
+}
+
+// countGranted returns how many nodes hold a grant.
+func (f *testFleet) countGranted() int {
+	granted := 0
+	for _, n := range f.nodes {
+		if n.share.Granted() {
+			granted++
+		}
+	}
+	return granted
+}
+
+// statusSink is a response sink that keeps only the status.
+type statusSink struct{ status int }
+
+func (d *statusSink) Refuse(*result.Error)                     { d.status = http.StatusTooManyRequests }
+func (d *statusSink) Start(status int, _ http.Header, _ int64) { d.status = status }
+func (d *statusSink) Write([]byte) error                       { return nil }
+func (d *statusSink) Flush() error                             { return nil }
+func (d *statusSink) Abort()                                   {}
+
+func (f *testFleet) request(n *Node, path string) int {
+	r := &gateway.Request{ID: "id", Method: http.MethodGet, Target: path, Path: path, Host: host, Key: apiKey, TimeLeft: 5 * time.Second, Arrived: testClock{}.Now()}
+	if path == "/prompt/" {
+		r.PromptTokens, r.MaxOutput = 1000, 100
+	}
+	sink := &statusSink{}
+	n.Gateway().Serve(context.Background(), r, sink)
+	return sink.status
+}
--- a/edgenode/upstreamhandler.go
+++ b/edgenode/upstreamhandler.go
@@ -6,13 +6,13 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// upstreamHandler keeps the table of upstreams.
+// upstreamHandler maintains the table of upstreams.
 type upstreamHandler struct {
-	node     *Node
-	readings *readingLog
+	node    *Node
+	monitor *readMonitor
 }
 
-// Reset replaces the table by the newest entries.
+// Reset replaces the table with the newest entries.
 func (h *upstreamHandler) Reset(records []keyedlog.Record) {
 	var entries []directory.Entry
 	for _, r := range records {
@@ -27,7 +27,7 @@
 	h.node.deps.Events.Record(event.UpstreamListed, "entries", len(entries))
 }
 
-// Apply takes entries in order. What can't be read names no upstream to use.
+// Apply applies entries in order. An entry that can't be decoded removes its upstream.
 func (h *upstreamHandler) Apply(records []keyedlog.Record) {
 	updates := make([]directory.Update, len(records))
 	for i, r := range records {
@@ -41,12 +41,12 @@
 	}
 	for i, change := range h.node.directory.Apply(updates) {
 		if change != directory.Unchanged {
-			h.log(updates[i], change)
+			h.logChange(updates[i], change)
 		}
 	}
 }
 
-func (h *upstreamHandler) log(u directory.Update, change directory.Change) {
+func (h *upstreamHandler) logChange(u directory.Update, change directory.Change) {
 	if u.Gone {
 		h.node.deps.Events.Record(event.UpstreamListed, "upstream", u.Entry.ID, "left", true)
 		return
@@ -64,15 +64,15 @@
 	return e, true
 }
 
-// ReadFailed keeps the entries and notes that they may lapse with the store.
+// ReadFailed keeps the entries; those that vanish now may have expired with the store.
 func (h *upstreamHandler) ReadFailed(err error) {
 	h.node.directory.StoreLost()
 	h.node.directory.Expire()
-	h.readings.lost(err)
+	h.monitor.failed(err)
 }
 
-// ReadSucceeded drops doubted upstreams whose time is over.
+// ReadSucceeded drops doubted upstreams whose grace period is over.
 func (h *upstreamHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.node.directory.Expire()
-	h.readings.caught(r)
+	h.monitor.succeeded(r)
 }
