--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// defaultKeep is how long a connection is kept whose peer doesn't say.
-	defaultKeep = 4 * time.Second
-	// keepMargin is by how much a connection is given up before its peer closes it, so
-	// that no request crosses the close: a round trip between regions and a late timer.
-	keepMargin = 400 * time.Millisecond
-	// maxIdlePerPeer bounds the connections kept to one peer.
+	// defaultKeepAlive is how long an idle connection is kept if the peer sends no timeout.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is how long before its peer closes it a connection is given up, so that no
+	// request races with the close. It covers a round trip between regions and a late timer.
+	keepAliveMargin = 400 * time.Millisecond
+	// maxIdlePerPeer bounds the idle connections to one peer.
 	maxIdlePerPeer = 64
 )
 
-// Options set a client up.
+// Options configure a Client.
 type Options struct {
 	Clock bootclock.Clock
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// OnDial is called for each connection made; nil does nothing.
+	// OnDial, if not nil, is called before each dial.
 	OnDial func()
 }
 
-// Client keeps connections to its peers. It is safe for concurrent use.
+// Client sends requests over pooled connections. It is safe for concurrent use.
 type Client struct {
 	options Options
 	dialer  net.Dialer
@@ -39,23 +39,23 @@
 	idle map[string][]*conn
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a Client without connections.
 func NewClient(options Options) *Client {
 	return &Client{options: options, idle: make(map[string][]*conn),
 		dialer: net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}}
 }
 
-// acquire returns a kept connection, the one used last first, or a new one.
-func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
-	for !fresh {
-		kept := c.pop(address)
-		if kept == nil {
+// acquire returns the most recently used idle connection, or a new one.
+func (c *Client) acquire(ctx context.Context, address string, newConn bool) (*conn, error) {
+	for !newConn {
+		idle := c.popIdle(address)
+		if idle == nil {
 			break
 		}
-		if c.options.Clock.Now() < kept.idleSince+kept.keepFor && kept.quiet() {
-			return kept, nil
+		if c.options.Clock.Now() < idle.idleSince+idle.reusableFor && idle.reusable() {
+			return idle, nil
 		}
-		_ = kept.Close() // nothing is open on it
+		_ = idle.Close() // no exchange is in progress on it
 	}
 	if c.options.OnDial != nil {
 		c.options.OnDial()
@@ -64,59 +64,59 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	return &conn{Conn: dialed, r: bufio.NewReaderSize(dialed, readBuffer)}, nil
+	return &conn{Conn: dialed, r: bufio.NewReaderSize(dialed, readBufferSize)}, nil
 }
 
-func (c *Client) pop(address string) *conn {
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.idle[address]
-	if len(list) == 0 {
+	conns := c.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	last := list[len(list)-1]
-	c.idle[address] = list[:len(list)-1]
+	last := conns[len(conns)-1]
+	c.idle[address] = conns[:len(conns)-1]
 	return last
 }
 
-// release keeps a connection for the next exchange.
-func (c *Client) release(address string, cn *conn, keep time.Duration) {
+// release returns a connection to the pool.
+func (c *Client) release(address string, cn *conn, keepAlive time.Duration) {
 	cn.idleSince = c.options.Clock.Now()
-	cn.keepFor = keep - keepMargin
+	cn.reusableFor = keepAlive - keepAliveMargin
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cn.keepFor <= 0 || len(c.idle[address]) >= maxIdlePerPeer {
-		_ = cn.Close() // nothing is open on it
+	if cn.reusableFor <= 0 || len(c.idle[address]) >= maxIdlePerPeer {
+		_ = cn.Close() // no exchange is in progress on it
 		return
 	}
 	c.idle[address] = append(c.idle[address], cn)
 }
 
-// Forget closes the kept connections to a peer that is gone.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to a peer that is gone.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cn := range c.idle[address] {
-		_ = cn.Close() // nothing is open on it
+		_ = cn.Close() // no exchange is in progress on it
 	}
 	delete(c.idle, address)
 }
 
-// Sweep closes the kept connections whose time is over.
+// Sweep closes the expired idle connections.
 func (c *Client) Sweep() {
 	now := c.options.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, list := range c.idle {
-		kept := list[:0]
-		for _, cn := range list {
-			if now < cn.idleSince+cn.keepFor {
+	for address, conns := range c.idle {
+		kept := conns[:0]
+		for _, cn := range conns {
+			if now < cn.idleSince+cn.reusableFor {
 				kept = append(kept, cn)
 				continue
 			}
-			_ = cn.Close() // nothing is open on it
+			_ = cn.Close() // no exchange is in progress on it
 		}
-		clear(list[len(kept):])
+		clear(conns[len(kept):])
 		c.idle[address] = kept
 		if len(kept) == 0 {
 			delete(c.idle, address)
--- a/httpwire/client_test.go
+++ b/httpwire/client_test.go
@@ -17,21 +17,21 @@
 	"lavenderpin.dev/lavenderpin/bootclock"
 )
 
-// peer is a server of which a test scripts each connection.
-type peer struct {
+// testPeer is a server whose responses a test scripts.
+type testPeer struct {
 	listener net.Listener
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// newPeer answers each request of a connection by script; an empty answer closes it.
-func newPeer(t *testing.T, script func(n int64, r *http.Request) string) *peer {
+// newPeer answers each request with the script's result; an empty one closes the connection.
+func newPeer(t *testing.T, script func(n int64, r *http.Request) string) *testPeer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{listener: listener}
+	p := &testPeer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -46,7 +46,7 @@
 	return p
 }
 
-func (p *peer) serve(c net.Conn, script func(int64, *http.Request) string) {
+func (p *testPeer) serve(c net.Conn, script func(int64, *http.Request) string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -55,41 +55,41 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		answer := script(p.requests.Add(1), req)
-		if answer == "" {
+		response := script(p.requests.Add(1), req)
+		if response == "" {
 			return
 		}
-		if _, err := io.WriteString(c, answer); err != nil {
+		if _, err := io.WriteString(c, response); err != nil {
 			return
 		}
 	}
 }
 
-func (p *peer) address() string { return p.listener.Addr().String() }
+func (p *testPeer) address() string { return p.listener.Addr().String() }
 
 func newTestClient() *Client {
 	return NewClient(Options{Clock: bootclock.System{}, DialTimeout: time.Second})
 }
 
 func get(c *Client, address string) (int, string, error) {
-	a, err := c.Do(context.Background(), address, &Request{Method: http.MethodGet, Target: "/", Host: "h"})
+	resp, err := c.Do(context.Background(), address, &Request{Method: http.MethodGet, Target: "/", Host: "h"})
 	if err != nil {
 		return 0, "", err
 	}
-	defer a.Close()
-	body, err := io.ReadAll(a)
-	return a.Status, string(body), err
+	defer resp.Close()
+	body, err := io.ReadAll(resp)
+	return resp.Status, string(body), err
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
 
-// An upstream closes a kept connection as the next request is on its way. Common clients
-// send such a request again by themselves; an order filed that way may run twice.
-func TestNeverSendsTwice(t *testing.T) {
+// An upstream closes an idle connection while the next request is on its way. Common clients
+// resend such a request on their own; an order placed that way may run twice.
+func TestNeverResendsRequest(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(n int64, _ *http.Request) string {
 		if n == 1 {
-			return okAnswer
+			return okResponse
 		}
 		return ""
 	})
@@ -104,9 +104,9 @@
 	is.Equal(p.requests.Load(), int64(2))
 }
 
-// Nothing listens at an address. The caller may be served elsewhere, also with a request
-// that must run at most once, since nothing was sent.
-func TestTellsThatNothingWasSent(t *testing.T) {
+// Nothing listens at an address. The caller may be served elsewhere, even for a request that
+// must run at most once, since nothing was sent.
+func TestReportsThatNothingWasSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -116,15 +116,15 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// A faulty upstream sends a second answer after a whole one. It belongs to no request;
-// taken for the next one's answer, it would reach another caller.
-func TestExtraBytesReachNobody(t *testing.T) {
+// A faulty upstream sends a second response after a complete one. It belongs to no request; if
+// it were taken for the next request's response, it would reach another caller.
+func TestSurplusBytesReachNoCaller(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(n int64, _ *http.Request) string {
 		if n == 1 {
-			return okAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
+			return okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
 		}
-		return okAnswer
+		return okResponse
 	})
 	c := newTestClient()
 	for range 2 {
@@ -136,26 +136,26 @@
 	is.Equal(p.conns.Load(), int64(2))
 }
 
-// The second answer arrives only when the next request has been sent, right where its
-// answer is expected. The mark in the answer tells them apart.
-func TestLateAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
+// The second response arrives only after the next request has been sent, where its response is
+// expected. A header of the response distinguishes them.
+func TestLateResponseOfAnotherRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(_ int64, _ *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nMark: old\r\nContent-Length: 5\r\n\r\nwrong" +
 			"HTTP/1.1 200 OK\r\nMark: new\r\nContent-Length: 5\r\n\r\nright"
 	})
-	a, err := newTestClient().Do(context.Background(), p.address(), &Request{Method: http.MethodGet, Target: "/", Host: "h",
-		Own: func(h http.Header) bool { return h.Get("Mark") == "new" }})
+	resp, err := newTestClient().Do(context.Background(), p.address(), &Request{Method: http.MethodGet, Target: "/", Host: "h",
+		Matches: func(h http.Header) bool { return h.Get("Mark") == "new" }})
 	is.NoErr(err)
-	defer a.Close()
-	body, err := io.ReadAll(a)
+	defer resp.Close()
+	body, err := io.ReadAll(resp)
 	is.NoErr(err)
 	is.Equal(string(body), "right")
 }
 
-// A caller leaves. Closing the connection is what stops the upstream's work, which would
-// otherwise go on for nobody.
-func TestLeavingClosesTheConnection(t *testing.T) {
+// A caller disconnects. Only closing the connection stops the upstream's work, which would
+// otherwise continue for nobody.
+func TestCancelClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -183,9 +183,9 @@
 	<-closed
 }
 
-// An upstream answers before it has read a long body and keeps the connection open. The
-// rest of the body would be taken for the next request.
-func TestAnswerBeforeTheBodyIsReadIsNotFollowed(t *testing.T) {
+// An upstream responds before it has read a long body and keeps the connection open. The rest of
+// the body would be taken for the next request.
+func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -200,23 +200,23 @@
 			}
 			go func() {
 				_, _ = bufio.NewReaderSize(c, 16).ReadByte()
-				_, _ = io.WriteString(c, okAnswer)
+				_, _ = io.WriteString(c, okResponse)
 				<-hold
 			}()
 		}
 	}()
 	c := newTestClient()
-	a, err := c.Do(context.Background(), listener.Addr().String(), &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)})
+	resp, err := c.Do(context.Background(), listener.Addr().String(), &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)})
 	is.NoErr(err)
-	_, err = io.ReadAll(a)
+	_, err = io.ReadAll(resp)
 	is.NoErr(err)
-	a.Close()
+	resp.Close()
 	is.Equal(len(c.idle[listener.Addr().String()]), 0)
 }
 
-// An answer without a length ends with its connection. One that is reset on the way must
-// not look whole.
-func TestUnframedAnswerEndsOnlyWithAnOrderlyClose(t *testing.T) {
+// A response without a length ends with its connection. If the connection is reset, the response
+// must not look complete.
+func TestUnframedResponseIsCompleteOnlyAfterOrderlyClose(t *testing.T) {
 	is := is.New(t)
 	for _, reset := range []bool{false, true} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -234,22 +234,22 @@
 			}
 			_ = c.Close()
 		}()
-		a, err := newTestClient().Do(context.Background(), listener.Addr().String(), &Request{Method: http.MethodGet, Target: "/", Host: "h"})
+		resp, err := newTestClient().Do(context.Background(), listener.Addr().String(), &Request{Method: http.MethodGet, Target: "/", Host: "h"})
 		is.NoErr(err)
-		is.True(!a.Framed)
-		_, err = io.ReadAll(a)
+		is.True(!resp.Framed)
+		_, err = io.ReadAll(resp)
 		is.Equal(err != nil, reset)
-		a.Close()
+		resp.Close()
 		_ = listener.Close()
 	}
 }
 
-// An upstream says for how long it keeps a connection. Using it longer would lose a
-// request in the close.
-func TestConnectionIsGivenUpBeforeItsPeerCloses(t *testing.T) {
+// An upstream announces how long it keeps a connection. Using it longer would lose a request to
+// the close.
+func TestConnectionIsDroppedBeforePeerClosesIt(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
-	p := newPeer(t, func(int64, *http.Request) string { return strings.Replace(okAnswer, "timeout=9", "timeout=1", 1) })
+	p := newPeer(t, func(int64, *http.Request) string { return strings.Replace(okResponse, "timeout=9", "timeout=1", 1) })
 	c := NewClient(Options{Clock: clock, DialTimeout: time.Second})
 	_, _, err := get(c, p.address())
 	is.NoErr(err)
@@ -266,11 +266,11 @@
 	is.Equal(len(c.idle), 0)
 }
 
-// A caller has left while its tokens were being looked for. Nothing may be sent any more,
-// also not over a connection that is ready.
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
+// A caller disconnects while tokens for its request are being reserved. Nothing may be sent any
+// more, even over an established connection.
+func TestNothingIsSentAfterCancel(t *testing.T) {
 	is := is.New(t)
-	p := newPeer(t, func(int64, *http.Request) string { return okAnswer })
+	p := newPeer(t, func(int64, *http.Request) string { return okResponse })
 	c := newTestClient()
 	_, _, err := get(c, p.address())
 	is.NoErr(err)
--- a/httpwire/conn.go
+++ b/httpwire/conn.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer in bytes: several events of
-	// a stream, and small enough for hundreds of connections.
-	readBuffer = 4 << 10
-	// inlineBody is up to how many bytes a request is written before its answer is
-	// read; a longer one is written meanwhile, since a peer that answers early may
-	// never read the rest.
-	inlineBody = 8 << 10
+	// readBufferSize is the size of a connection's read buffer in bytes: several events of a
+	// stream, and small enough for hundreds of connections.
+	readBufferSize = 4 << 10
+	// maxInlineBody is the largest body, in bytes, that is written before the response is read.
+	// A longer one is written concurrently, since a peer that responds early may never read the
+	// rest.
+	maxInlineBody = 8 << 10
 )
 
-// conn is one connection, used by one exchange at a time.
+// conn is a connection, used by one exchange at a time.
 type conn struct {
 	net.Conn
 	r *bufio.Reader
-	// idleSince and keepFor, by the boot clock, bound how long it may be used again.
-	idleSince, keepFor time.Duration
+	// idleSince and reusableFor, on the boot clock, bound how long it may be reused.
+	idleSince, reusableFor time.Duration
 }
 
-// quiet tells whether the connection is open with nothing waiting on it. Bytes that
-// wait belong to no request, and a close would lose the next one.
-func (c *conn) quiet() bool {
+// reusable reports whether the connection is open and has no unread bytes. Unread bytes belong
+// to no request, and a request sent on a closed connection would be lost.
+func (c *conn) reusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
--- a/httpwire/doc.go
+++ b/httpwire/doc.go
@@ -1,12 +1,11 @@
-// Package httpwire is an HTTP/1.1 client over kept connections that never sends a
-// request twice.
+// Package httpwire is an HTTP/1.1 client with pooled connections that never resends a request.
 //
-// The usual clients send some requests again when a kept connection turns out to be
-// broken. A call that must run at most once can't go through them, and neither can a
-// fleet-wide bound on repeats be kept. This client sends once, and tells in its error
-// whether anything was sent. Parsing and framing are net/http's.
+// Common clients resend some requests when a pooled connection turns out to be broken. Calls
+// that must run at most once can't use them, and neither could a fleet-wide limit on retries be
+// enforced. This client sends once, and its error tells whether anything was sent. Parsing and
+// framing are those of net/http.
 //
-// A kept connection may hold bytes that belong to no request: a second answer to the one
-// before. They are looked for before a connection is used again, and an answer that
-// doesn't carry the request's own mark is passed over.
+// A pooled connection may hold bytes that belong to no request: a second response to the
+// previous one. They are checked for before a connection is reused, and a response that doesn't
+// match the request is skipped.
 package httpwire
--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// Answer is a response whose body is still being read. Close must be called.
-type Answer struct {
+// Response is a response whose body is still being read. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes; negative if the peer doesn't say.
+	// Length is the body's length in bytes; negative if the peer doesn't state it.
 	Length int64
-	// Framed tells that the end of the body is marked. The end of an unframed body is
-	// the end of the connection, which a reset turns into an error.
+	// Framed is true if the end of the body is marked. An unframed body ends with the
+	// connection; a reset of the connection is returned as an error.
 	Framed bool
 
-	client  *Client
-	address string
-	conn    *conn
-	body    io.ReadCloser
-	stop    func() bool
-	written <-chan error
-	ended   bool
-	closed  bool
+	client     *Client
+	address    string
+	conn       *conn
+	body       io.ReadCloser
+	unregister func() bool
+	writeDone  <-chan error
+	complete   bool
+	closed     bool
 }
 
-// Do sends a request once and returns the start of its answer. The connection is closed
-// when ctx ends, which stops the peer's work. An error that doesn't wrap ErrNotSent
-// leaves open whether the request ran.
-func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
+// Do sends a request once and returns its response once the headers have arrived. The connection
+// is closed when ctx ends, which stops the peer's work. After an error that doesn't wrap
+// ErrNotSent the request may or may not have run.
+func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	return c.do(ctx, address, r, false)
 }
 
-// DoFresh is Do over a new connection.
-func (c *Client) DoFresh(ctx context.Context, address string, r *Request) (*Answer, error) {
+// DoFresh is like Do but uses a new connection.
+func (c *Client) DoFresh(ctx context.Context, address string, r *Request) (*Response, error) {
 	return c.do(ctx, address, r, true)
 }
 
-func (c *Client) do(ctx context.Context, address string, r *Request, fresh bool) (*Answer, error) {
-	cn, err := c.acquire(ctx, address, fresh)
+func (c *Client) do(ctx context.Context, address string, r *Request, newConn bool) (*Response, error) {
+	cn, err := c.acquire(ctx, address, newConn)
 	if err != nil {
 		return nil, err
 	}
@@ -53,107 +53,107 @@
 		_ = cn.Close() // nothing was sent on it
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, context.Cause(ctx))
 	}
-	a := &Answer{client: c, address: address, conn: cn}
-	a.stop = context.AfterFunc(ctx, func() { _ = cn.Close() })
-	if err := a.send(r); err != nil {
-		a.Close()
+	resp := &Response{client: c, address: address, conn: cn}
+	resp.unregister = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	if err := resp.send(r); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	if err := a.receive(r); err != nil {
-		a.Close()
+	if err := resp.receive(r); err != nil {
+		resp.Close()
 		return nil, errors.Join(err, context.Cause(ctx))
 	}
-	return a, nil
+	return resp, nil
 }
 
-func (a *Answer) send(r *Request) error {
-	wire := r.encode()
-	if len(r.Body) <= inlineBody {
-		_, err := a.conn.Write(wire)
+func (resp *Response) send(r *Request) error {
+	encoded := r.encode()
+	if len(r.Body) <= maxInlineBody {
+		_, err := resp.conn.Write(encoded)
 		return err
 	}
-	written := make(chan error, 1)
-	a.written = written
+	writeDone := make(chan error, 1)
+	resp.writeDone = writeDone
 	go func() {
-		_, err := a.conn.Write(wire)
-		written <- err
+		_, err := resp.conn.Write(encoded)
+		writeDone <- err
 	}()
 	return nil
 }
 
-// mostForeign is how many answers of other requests are passed over.
-const mostForeign = 2
+// maxUnmatchedResponses is how many responses to other requests are skipped.
+const maxUnmatchedResponses = 2
 
-func (a *Answer) receive(r *Request) error {
-	for range mostForeign + 1 {
-		resp, err := http.ReadResponse(a.conn.r, &http.Request{Method: r.Method})
+func (resp *Response) receive(r *Request) error {
+	for range maxUnmatchedResponses + 1 {
+		httpResp, err := http.ReadResponse(resp.conn.r, &http.Request{Method: r.Method})
 		if err != nil {
 			return err
 		}
-		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
+		if httpResp.StatusCode >= 100 && httpResp.StatusCode < 200 {
 			continue
 		}
-		if r.Own == nil || r.Own(resp.Header) {
-			a.take(resp)
+		if r.Matches == nil || r.Matches(httpResp.Header) {
+			resp.setResponse(httpResp)
 			return nil
 		}
-		if resp.ContentLength < 0 && !chunked(resp) {
-			return ErrForeignAnswers
+		if httpResp.ContentLength < 0 && !isChunked(httpResp) {
+			return ErrUnmatchedResponses
 		}
-		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		if _, err := io.Copy(io.Discard, httpResp.Body); err != nil {
 			return err
 		}
 	}
-	return ErrForeignAnswers
+	return ErrUnmatchedResponses
 }
 
-func (a *Answer) take(resp *http.Response) {
-	a.Status, a.Header, a.Length, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-	a.Framed = resp.ContentLength >= 0 || chunked(resp)
-	if resp.Close {
-		a.Header.Set("Connection", "close")
+func (resp *Response) setResponse(httpResp *http.Response) {
+	resp.Status, resp.Header, resp.Length, resp.body = httpResp.StatusCode, httpResp.Header, httpResp.ContentLength, httpResp.Body
+	resp.Framed = httpResp.ContentLength >= 0 || isChunked(httpResp)
+	if httpResp.Close {
+		resp.Header.Set("Connection", "close")
 	}
 }
 
-func chunked(resp *http.Response) bool {
-	return len(resp.TransferEncoding) > 0 && resp.TransferEncoding[len(resp.TransferEncoding)-1] == "chunked"
+func isChunked(httpResp *http.Response) bool {
+	return len(httpResp.TransferEncoding) > 0 && httpResp.TransferEncoding[len(httpResp.TransferEncoding)-1] == "chunked"
 }
 
-// Read reads the body. io.EOF means that it is whole.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.body.Read(p)
+// Read reads the body. io.EOF means that it is complete.
+func (resp *Response) Read(p []byte) (int, error) {
+	n, err := resp.body.Read(p)
 	if err == io.EOF {
-		a.ended = true
+		resp.complete = true
 	}
 	return n, err
 }
 
-// Buffered returns how many bytes can be read without waiting, at least.
-func (a *Answer) Buffered() int { return a.conn.r.Buffered() }
+// Buffered returns the minimum number of bytes that can be read without blocking.
+func (resp *Response) Buffered() int { return resp.conn.r.Buffered() }
 
-// Close ends the exchange. The connection is kept if the answer was read to its end and
-// nothing speaks against it; otherwise it is closed, which stops the peer's work.
-func (a *Answer) Close() {
-	if a.closed {
+// Close ends the exchange. The connection is pooled if the response was read to its end and the
+// connection is reusable; otherwise it is closed, which stops the peer's work.
+func (resp *Response) Close() {
+	if resp.closed {
 		return
 	}
-	a.closed = true
-	intact := a.stop()
-	if keep := a.keep(); intact && keep > 0 {
-		a.client.release(a.address, a.conn, keep)
+	resp.closed = true
+	contextActive := resp.unregister()
+	if keepAlive := resp.keepAliveTime(); contextActive && keepAlive > 0 {
+		resp.client.release(resp.address, resp.conn, keepAlive)
 		return
 	}
-	_ = a.conn.Close() // the peer may have closed it first
+	_ = resp.conn.Close() // the peer may have closed it first
 }
 
-// keep returns for how long the connection may be kept.
-func (a *Answer) keep() time.Duration {
-	if !a.ended || !a.Framed || a.conn.r.Buffered() > 0 || strings.EqualFold(a.Header.Get("Connection"), "close") {
+// keepAliveTime returns how long the connection may be pooled; zero if it may not.
+func (resp *Response) keepAliveTime() time.Duration {
+	if !resp.complete || !resp.Framed || resp.conn.r.Buffered() > 0 || strings.EqualFold(resp.Header.Get("Connection"), "close") {
 		return 0
 	}
-	if a.written != nil {
+	if resp.writeDone != nil {
 		select {
-		case err := <-a.written:
+		case err := <-resp.writeDone:
 			if err != nil {
 				return 0
 			}
@@ -161,11 +161,11 @@
 			return 0
 		}
 	}
-	return keepAlive(a.Header.Get("Keep-Alive"))
+	return parseKeepAlive(resp.Header.Get("Keep-Alive"))
 }
 
-// keepAlive reads the timeout of a Keep-Alive header.
-func keepAlive(header string) time.Duration {
+// parseKeepAlive returns the timeout of a Keep-Alive header, or defaultKeepAlive.
+func parseKeepAlive(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -175,5 +175,5 @@
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
--- a/httpwire/progressreader.go
+++ b/httpwire/progressreader.go
@@ -2,13 +2,13 @@
 
 import "io"
 
-// ProgressReader calls Progress for each part that it reads.
+// ProgressReader calls Progress after each read that returns data.
 type ProgressReader struct {
 	R        io.Reader
 	Progress func()
 }
 
-// Read reads a part.
+// Read reads from R.
 func (p *ProgressReader) Read(b []byte) (int, error) {
 	n, err := p.R.Read(b)
 	if n > 0 {
--- a/httpwire/request.go
+++ b/httpwire/request.go
@@ -7,26 +7,26 @@
 	"strconv"
 )
 
-// ErrNotSent wraps the errors after which the peer has certainly seen nothing of the
-// request.
+// ErrNotSent wraps errors after which the peer has certainly received nothing of the request.
 var ErrNotSent = errors.New("the request was not sent")
 
-// ErrForeignAnswers tells that the peer answered other requests only.
-var ErrForeignAnswers = errors.New("the connection carried answers of other requests")
+// ErrUnmatchedResponses is returned if all responses were to other requests.
+var ErrUnmatchedResponses = errors.New("the connection carried only responses to other requests")
 
-// Request is what is sent.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// Target is the request target as it stands in the request line.
+	// Target is the request target as it appears in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own tells by an answer's headers whether it answers this request; nil takes any.
-	Own func(http.Header) bool
+	// Matches reports from a response's headers whether it answers this request; nil accepts
+	// any.
+	Matches func(http.Header) bool
 }
 
-// encode returns the request as it goes over the wire.
+// encode returns the request in wire format.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
