--- a/logsink/doc.go
+++ b/logsink/doc.go
@@ -1,6 +1,6 @@
-// Package logsink writes log lines without ever making a request wait for them.
+// Package logsink writes log lines without ever blocking a request.
 //
-// Lines go into a buffer of a fixed size that one goroutine writes out. When the reader
-// of the output is too slow the buffer fills, and further lines are dropped and counted;
-// the count is written as soon as there is room again.
+// Lines go into a fixed-size buffer that one goroutine writes out. When the output is too slow,
+// the buffer fills up and further lines are dropped and counted; the count is written with the
+// next flush.
 package logsink
--- a/logsink/writer_test.go
+++ b/logsink/writer_test.go
@@ -9,40 +9,40 @@
 	"github.com/matryer/is"
 )
 
-// blocked is an output that takes nothing until it is opened.
-type blocked struct {
-	open chan struct{}
-	mu   sync.Mutex
-	out  bytes.Buffer
+// blockedOutput blocks writes until it is unblocked.
+type blockedOutput struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	out     bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
-	<-b.open
+func (b *blockedOutput) Write(p []byte) (int, error) {
+	<-b.unblock
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.out.Write(p)
 }
 
-// Whoever reads the logs hangs. No request may wait for it, memory must not grow, and
-// afterwards the log must say how much is missing.
-func TestSlowReaderCostsLinesAndNotTime(t *testing.T) {
+// The reader of the log hangs. No request may block, memory must not grow, and the log must
+// state afterwards how many lines are missing.
+func TestSlowOutputDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
-	out := &blocked{open: make(chan struct{})}
+	out := &blockedOutput{unblock: make(chan struct{})}
 	w := New(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	for range 4 * capacity / len(line) {
+	for range 4 * maxPending / len(line) {
 		_, err := w.Write(line)
 		is.NoErr(err)
 	}
-	close(out.open)
+	close(out.unblock)
 	is.NoErr(w.Close())
 	is.True(strings.Contains(out.out.String(), "name=LinesDropped count="))
-	is.True(out.out.Len() <= 3*capacity)
+	is.True(out.out.Len() <= 3*maxPending)
 }
 
-// BenchmarkWrite is what one line costs the request that writes it.
+// BenchmarkWrite measures the cost of one line to the request that writes it.
 func BenchmarkWrite(b *testing.B) {
-	w := New(discard{})
+	w := New(discardOutput{})
 	defer func() { _ = w.Close() }()
 	line := []byte(strings.Repeat("x", 250) + "\n")
 	b.ReportAllocs()
@@ -51,6 +51,6 @@
 	}
 }
 
-type discard struct{}
+type discardOutput struct{}
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardOutput) Write(p []byte) (int, error) { return len(p), nil }
