--- a/lossreport/cause.go
+++ b/lossreport/cause.go
@@ -7,49 +7,49 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Cause names why a request was lost.
+// Cause is the reason why a request was lost.
 type Cause string
 
-// Served is the cause of no loss.
+// Served is the cause of requests that were not lost.
 const Served Cause = "served"
 
-// Causes of refusals for want of tokens: see cause.
+// Causes of refusals for lack of tokens, see refusalCause.
 const (
-	// accountUsedUp: what is left of the account doesn't cover the request on any node.
-	accountUsedUp Cause = "tokens: account used up"
-	// partUsedUp: the node's ceiling is used up, and no other node could lend.
-	partUsedUp Cause = "tokens: node's part used up"
-	// limitBelowPart: the node's ceiling covers the request, its limits don't, since it
+	// accountExhausted: the account's remaining tokens don't cover the request on any node.
+	accountExhausted Cause = "tokens: account exhausted"
+	// allocationExhausted: the node's ceiling is exhausted, and no other node could lend.
+	allocationExhausted Cause = "tokens: node allocation exhausted"
+	// limitBelowAllocation: the node's ceiling covers the request but its limits don't, since it
 	// could not report.
-	limitBelowPart Cause = "tokens: limit of a node without the store"
+	limitBelowAllocation Cause = "tokens: limit of a node that can't report"
 )
 
-// cause reads the cause out of a line, and whether the line ends a request.
-func cause(l *event.Line) (Cause, bool) {
+// causeOf returns a line's cause and whether the line ends a request.
+func causeOf(l *event.Line) (Cause, bool) {
 	switch l.Number {
 	case event.RequestRefused:
-		return refusal(l), true
+		return refusalCause(l), true
 	case event.RequestEnded:
-		return ended(l.Fields["outcome"])
+		return endCause(l.Fields["outcome"])
 	}
 	return "", false
 }
 
-func refusal(l *event.Line) Cause {
-	code := result.Code(number(l, "code"))
+func refusalCause(l *event.Line) Cause {
+	resultCode := result.Code(intField(l, "code"))
 	switch {
-	case code == result.BudgetSpent:
-		return accountUsedUp
-	case code == result.BudgetReserved && number(l, "spent")+number(l, "held")+number(l, "tokens") <= number(l, "ceiling"):
-		return limitBelowPart
-	case code == result.BudgetReserved:
-		return partUsedUp
+	case resultCode == result.BudgetSpent:
+		return accountExhausted
+	case resultCode == result.BudgetReserved && intField(l, "spent")+intField(l, "held")+intField(l, "tokens") <= intField(l, "ceiling"):
+		return limitBelowAllocation
+	case resultCode == result.BudgetReserved:
+		return allocationExhausted
 	}
-	return Cause(code.String())
+	return Cause(resultCode.String())
 }
 
-// ended names the outcomes that no refusal was logged for.
-func ended(outcome string) (Cause, bool) {
+// endCause returns the cause of outcomes for which no refusal was logged.
+func endCause(outcome string) (Cause, bool) {
 	switch outcome {
 	case "served":
 		return Served, true
@@ -60,11 +60,11 @@
 	case "caller_left":
 		return "caller left", true
 	}
-	return "", false // a refusal tells it
+	return "", false // the refusal is counted
 }
 
-// number reads a field; absent or torn fields count as zero, as a cut line leaves them.
-func number(l *event.Line, field string) int64 {
+// intField parses a field. Absent or corrupt fields, as in truncated lines, count as zero.
+func intField(l *event.Line, field string) int64 {
 	n, _ := strconv.ParseInt(l.Fields[field], 10, 64)
 	return n
 }
--- a/lossreport/plot.go
+++ b/lossreport/plot.go
@@ -11,33 +11,33 @@
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 4 * vg.Inch
-	// mostPlotted is how many causes get a line of their own: more can't be told apart.
-	mostPlotted = 5
+	// maxPlottedCauses is how many causes get their own line; more could not be told apart.
+	maxPlottedCauses = 5
 )
 
-// Plot draws lost requests over time, a line for each of the most frequent causes. The
-// file's ending chooses its format.
+// Plot draws lost requests over time, with a line for each of the most frequent causes. The file
+// extension selects the format.
 func (r *Report) Plot(path string) error {
-	p := plot.New()
-	p.Title.Text = "requests that weren't served"
-	p.X.Label.Text = "seconds from the first line"
-	p.Y.Label.Text = "requests in " + r.Every.String()
-	p.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text = "requests not served"
+	chart.X.Label.Text = "seconds since the first interval"
+	chart.Y.Label.Text = "requests per " + r.IntervalLength.String()
+	chart.Legend.Top = true
 	causes := r.Causes()
 	var lines []any
-	for _, c := range causes[:min(mostPlotted, len(causes))] {
+	for _, c := range causes[:min(maxPlottedCauses, len(causes))] {
 		lines = append(lines, string(c), r.points(c))
 	}
-	if err := plotutil.AddLines(p, lines...); err != nil {
+	if err := plotutil.AddLines(chart, lines...); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(p.Save(plotWidth, plotHeight, path))
+	return errors.Trace(chart.Save(plotWidth, plotHeight, path))
 }
 
 func (r *Report) points(c Cause) plotter.XYs {
 	var points plotter.XYs
 	for _, i := range r.Intervals {
-		points = append(points, plotter.XY{X: i.Begin.Sub(r.Intervals[0].Begin).Seconds(), Y: float64(i.Ended[c])})
+		points = append(points, plotter.XY{X: i.Start.Sub(r.Intervals[0].Start).Seconds(), Y: float64(i.Requests[c])})
 	}
 	return points
 }
--- a/lossreport/report.go
+++ b/lossreport/report.go
@@ -9,17 +9,17 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// Interval counts what ended within one interval.
+// Interval counts the requests that ended within one time interval.
 type Interval struct {
-	Begin time.Time
-	// Ended counts the requests that ended, by cause.
-	Ended map[Cause]int
+	Start time.Time
+	// Requests counts the requests that ended, by cause.
+	Requests map[Cause]int
 }
 
 // Lost returns how many requests weren't served.
 func (i *Interval) Lost() int {
 	lost := 0
-	for cause, n := range i.Ended {
+	for cause, n := range i.Requests {
 		if cause != Served {
 			lost += n
 		}
@@ -27,50 +27,50 @@
 	return lost
 }
 
-// Share returns the part of the requests that was served; one if there were none.
-func (i *Interval) Share() float64 {
-	served, lost := i.Ended[Served], i.Lost()
+// ServedFraction returns the fraction of requests that were served; one if there were none.
+func (i *Interval) ServedFraction() float64 {
+	served, lost := i.Requests[Served], i.Lost()
 	if served+lost == 0 {
 		return 1
 	}
 	return float64(served) / float64(served+lost)
 }
 
-// Report is what the logs tell, by interval.
+// Report is the summary of the logs, by interval.
 type Report struct {
-	Every     time.Duration
-	Intervals []Interval
+	IntervalLength time.Duration
+	Intervals      []Interval
 }
 
-// New counts the lines of any number of nodes in intervals. Times are the nodes' own, which
+// New counts the lines of any number of nodes by interval. Timestamps are the nodes' own, which
 // may be wrong by seconds.
-func New(lines []event.Line, every time.Duration) *Report {
-	r := &Report{Every: every}
-	byBegin := make(map[time.Time]*Interval)
+func New(lines []event.Line, intervalLength time.Duration) *Report {
+	r := &Report{IntervalLength: intervalLength}
+	byStart := make(map[time.Time]*Interval)
 	for i := range lines {
-		why, ends := cause(&lines[i])
-		if !ends {
+		cause, isEnd := causeOf(&lines[i])
+		if !isEnd {
 			continue
 		}
-		begin := lines[i].At.Truncate(every)
-		in, known := byBegin[begin]
+		start := lines[i].At.Truncate(intervalLength)
+		interval, known := byStart[start]
 		if !known {
-			in = &Interval{Begin: begin, Ended: make(map[Cause]int)}
-			byBegin[begin] = in
+			interval = &Interval{Start: start, Requests: make(map[Cause]int)}
+			byStart[start] = interval
 		}
-		in.Ended[why]++
+		interval.Requests[cause]++
 	}
-	for _, begin := range slices.SortedFunc(maps.Keys(byBegin), time.Time.Compare) {
-		r.Intervals = append(r.Intervals, *byBegin[begin])
+	for _, start := range slices.SortedFunc(maps.Keys(byStart), time.Time.Compare) {
+		r.Intervals = append(r.Intervals, *byStart[start])
 	}
 	return r
 }
 
-// Causes returns the causes of all losses, the most frequent first.
+// Causes returns the causes of all losses, most frequent first.
 func (r *Report) Causes() []Cause {
 	total := make(map[Cause]int)
 	for _, i := range r.Intervals {
-		for cause, n := range i.Ended {
+		for cause, n := range i.Requests {
 			total[cause] += n
 		}
 	}
@@ -80,9 +80,9 @@
 	})
 }
 
-// Worst returns the intervals with the smallest part served, the worst first.
-func (r *Report) Worst(most int) []Interval {
+// Worst returns the n intervals with the smallest fraction served, worst first.
+func (r *Report) Worst(n int) []Interval {
 	sorted := slices.Clone(r.Intervals)
-	slices.SortStableFunc(sorted, func(a, b Interval) int { return cmp.Compare(a.Share(), b.Share()) })
-	return sorted[:min(most, len(sorted))]
+	slices.SortStableFunc(sorted, func(a, b Interval) int { return cmp.Compare(a.ServedFraction(), b.ServedFraction()) })
+	return sorted[:min(n, len(sorted))]
 }
--- a/lossreport/report_test.go
+++ b/lossreport/report_test.go
@@ -12,7 +12,7 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-const lines = `level=info ts=2026-01-02T03:04:00.1Z event=417 name=RequestEnded node=n1 request=a outcome=served
+const logLines = `level=info ts=2026-01-02T03:04:00.1Z event=417 name=RequestEnded node=n1 request=a outcome=served
 level=info ts=2026-01-02T03:04:00.2Z event=402 name=RequestRefused node=n1 request=b code=2002
 level=info ts=2026-01-02T03:04:02.1Z event=402 name=RequestRefused node=n2 request=c code=2010 tokens=10 spent=50 held=40 ceiling=90
 level=info ts=2026-01-02T03:04:02.2Z event=402 name=RequestRefused node=n2 request=d code=2010 tokens=10 spent=50 held=40 ceiling=100
@@ -21,32 +21,32 @@
 level=info ts=2026-01-02T03:04:02.5Z event=417 name=RequestEnded node=n2 request=g outcome=cut
 torn line`
 
-func read(t *testing.T) []event.Line {
+func readLog(t *testing.T) []event.Line {
 	t.Helper()
-	read, _, err := event.ReadLog(strings.NewReader(lines))
+	read, _, err := event.ReadLog(strings.NewReader(logLines))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return read
 }
 
-// Accounts were short of tokens at night. The operators must see which of three shortages
-// it was, since each has another remedy: a top-up, other parts, or the store.
-func TestTellsShortagesApart(t *testing.T) {
+// Accounts ran short of tokens. Operators must see which of three shortages it was, since each
+// has a different remedy: a top-up, other allocations, or the store.
+func TestDistinguishesTokenShortages(t *testing.T) {
 	is := is.New(t)
-	r := New(read(t), 2*time.Second)
+	r := New(readLog(t), 2*time.Second)
 	is.Equal(len(r.Intervals), 2)
-	is.Equal(r.Intervals[0].Ended, map[Cause]int{Served: 1, accountUsedUp: 1})
-	is.Equal(r.Intervals[1].Ended, map[Cause]int{partUsedUp: 1, limitBelowPart: 2, "cut midway": 1})
-	is.Equal(r.Causes()[0], limitBelowPart)
+	is.Equal(r.Intervals[0].Requests, map[Cause]int{Served: 1, accountExhausted: 1})
+	is.Equal(r.Intervals[1].Requests, map[Cause]int{allocationExhausted: 1, limitBelowAllocation: 2, "cut midway": 1})
+	is.Equal(r.Causes()[0], limitBelowAllocation)
 	worst := r.Worst(1)
-	is.Equal(worst[0].Share(), 0.0)
+	is.Equal(worst[0].ServedFraction(), 0.0)
 	is.Equal(worst[0].Lost(), 4)
 }
 
 func TestWritesTableAndPlot(t *testing.T) {
 	is := is.New(t)
-	r := New(read(t), 2*time.Second)
+	r := New(readLog(t), 2*time.Second)
 	var table strings.Builder
 	is.NoErr(r.WriteTable(&table))
 	is.True(strings.Contains(table.String(), "03:04:02"))
@@ -57,8 +57,8 @@
 	is.True(strings.Contains(string(svg), "<svg"))
 }
 
-// No line ends a request: an empty report is a table with a head alone.
-func TestEmptyLogIsNoFailure(t *testing.T) {
+// If no line ends a request, the report is a table with only a header.
+func TestEmptyLogGivesEmptyReport(t *testing.T) {
 	is := is.New(t)
 	r := New(nil, time.Second)
 	var table strings.Builder
--- a/lossreport/table.go
+++ b/lossreport/table.go
@@ -9,18 +9,18 @@
 	"github.com/juju/errors"
 )
 
-// WriteTable writes a line for each interval and a column for each cause.
+// WriteTable writes a row for each interval and a column for each cause.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	causes := r.Causes()
-	_, _ = fmt.Fprint(t, "from\tserved\tshare") // Flush tells of a failed write
+	_, _ = fmt.Fprint(t, "from\tserved\tshare") // Flush returns the write error
 	for _, c := range causes {
 		_, _ = fmt.Fprintf(t, "\t%s", c)
 	}
 	for _, i := range r.Intervals {
-		_, _ = fmt.Fprintf(t, "\n%s\t%d\t%.2f", i.Begin.UTC().Format(time.TimeOnly), i.Ended[Served], i.Share())
+		_, _ = fmt.Fprintf(t, "\n%s\t%d\t%.2f", i.Start.UTC().Format(time.TimeOnly), i.Requests[Served], i.ServedFraction())
 		for _, c := range causes {
-			_, _ = fmt.Fprintf(t, "\t%d", i.Ended[c])
+			_, _ = fmt.Fprintf(t, "\t%d", i.Requests[c])
 		}
 	}
 	_, _ = fmt.Fprintln(t)
