--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -27,31 +27,31 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// incarnationPoll is how soon after its end the next incarnation is looked for.
-const incarnationPoll = 50 * time.Millisecond
+// incarnationPollInterval is how long after an incarnation's end the next one is looked up.
+const incarnationPollInterval = 50 * time.Millisecond
 
-// Config is what a daemon needs beside the node's own settings.
+// Config is what a daemon needs in addition to the node's settings.
 type Config struct {
 	Settings  node.Settings
 	Log       ports.Log
 	Instances ports.Instances
 	Weights   ports.Weights
 	PeerTLS   *tls.Config
-	// OperatorTLS serves operators over TLS; nil serves them in the clear.
+	// OperatorTLS serves operators over TLS; if nil, they are served in plaintext.
 	OperatorTLS *tls.Config
 	Logger      log.Logger
-	// Admin is the address for figures (expvar); empty for none.
+	// Admin is the address that serves metrics (expvar); none if empty.
 	Admin string
-	// DrainTimeout bounds a graceful stop.
+	// DrainTimeout bounds a graceful shutdown.
 	DrainTimeout time.Duration
-	// WrapSocket may replace the peer socket, to count what passes; nil keeps it.
+	// WrapSocket, if not nil, wraps the peer socket, for example to count its traffic.
 	WrapSocket func(net.PacketConn) net.PacketConn
-	// Sockets are used where they are open already; others are opened at the
-	// addresses of the settings.
+	// Sockets that are already open are used; others are opened at the addresses in the
+	// settings.
 	Sockets Sockets
 }
 
-// Daemon is a running process's node with its listeners.
+// Daemon runs a process's node and its listeners.
 type Daemon struct {
 	config    Config
 	current   atomic.Pointer[node.Node]
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Run serves until ctx ends, then stops gracefully: it cuts off no request.
+// Run serves until ctx ends, then shuts down gracefully without aborting any request.
 func (d *Daemon) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -128,16 +128,16 @@
 	wait.Go(func() { _ = d.http.Run() })
 	wait.Go(func() { _ = d.grpc.Serve(d.operators) })
 	d.serveAdmin(&wait)
-	wait.Go(func() { d.incarnations(serving) })
-	d.untilLeaving(ctx)
+	wait.Go(func() { d.runIncarnations(serving) })
+	d.waitUntilLeaving(ctx)
 	d.stopping.Store(true)
 	d.shutdown()
 	return nil
 }
 
-// untilLeaving returns when ctx ends, or when the node has drained because operators
-// asked for it. A node that handed itself back isn't replaced by a new incarnation.
-func (d *Daemon) untilLeaving(ctx context.Context) {
+// waitUntilLeaving returns when ctx ends, or when the node has drained at the operators'
+// request. A node that drained isn't replaced by a new incarnation.
+func (d *Daemon) waitUntilLeaving(ctx context.Context) {
 	for {
 		n := d.Node()
 		select {
@@ -150,20 +150,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(incarnationPoll):
+		case <-time.After(incarnationPollInterval):
 		}
 	}
 }
 
-// incarnations runs nodes one after the other: when the fleet closes one, a new
-// one starts in its place, so that nobody has to be called for it.
-func (d *Daemon) incarnations(ctx context.Context) {
+// runIncarnations runs incarnations one after another: when the fleet closes one, a new one
+// replaces it without operator intervention.
+func (d *Daemon) runIncarnations(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := d.Node().Run(ctx); !errors.Is(err, node.ErrClosed) || d.stopping.Load() {
 			return
 		}
 		if err := d.newIncarnation(); err != nil {
-			_ = level.Error(d.config.Logger).Log("msg", "no new incarnation", "err", err)
+			_ = level.Error(d.config.Logger).Log("msg", "failed to create a new incarnation", "err", err)
 			return
 		}
 	}
@@ -177,21 +177,21 @@
 	if d.config.Admin == "" {
 		return
 	}
-	expvar.Publish("lavenderpin", expvar.Func(func() any { return metricsOf(d.Node()) }))
+	expvar.Publish("lavenderpin", expvar.Func(func() any { return metricValues(d.Node()) }))
 	mux := http.NewServeMux()
 	mux.Handle("/debug/vars", expvar.Handler())
 	d.admin = &http.Server{Addr: d.config.Admin, Handler: mux, ReadHeaderTimeout: time.Second}
 	wait.Go(func() { _ = d.admin.ListenAndServe() })
 }
 
-func metricsOf(n *node.Node) map[string]any {
-	figures := map[string]any{}
+func metricValues(n *node.Node) map[string]any {
+	values := map[string]any{}
 	n.Metrics().Do(func(kv expvar.KeyValue) {
 		if f, ok := kv.Value.(expvar.Func); ok {
-			figures[kv.Key] = f.Value()
+			values[kv.Key] = f.Value()
 		}
 	})
-	return figures
+	return values
 }
 
 func (d *Daemon) shutdown() {
--- a/daemon/sockets.go
+++ b/daemon/sockets.go
@@ -8,15 +8,15 @@
 	"lavenderpin.dev/lavenderpin/node"
 )
 
-// Sockets are what a daemon listens on.
+// Sockets are the sockets that a daemon serves on.
 type Sockets struct {
 	Callers   net.Listener
 	Operators net.Listener
 	Peers     net.PacketConn
 }
 
-// open returns the sockets with those that were missing opened at the settings'
-// addresses. After an error none that it opened is left open.
+// open returns the sockets, with missing ones opened at the addresses in the settings. After an
+// error, no socket that it opened is left open.
 func (s Sockets) open(settings node.Settings) (_ Sockets, err error) {
 	var opened []interface{ Close() error }
 	defer func() {
