--- a/edgenode/start_test.go
+++ b/edgenode/start_test.go
@@ -45,13 +45,13 @@
 		for i := range 6 {
 			f.addCrashedIncarnation(fmt.Sprintf("n%02d", i), f.defaultSite())
 		}
-		const away = 1400 * time.Millisecond
-		f.outage.begin(away)
+		const outageTime = 1400 * time.Millisecond
+		f.outage.begin(outageTime)
 		for i := range 6 {
 			f.start(fmt.Sprintf("n%02d", i))
 		}
 		defer f.stop()
-		time.Sleep(away + maxStartTime)
+		time.Sleep(outageTime + maxStartTime)
 		for _, n := range f.nodes {
 			is.Equal(f.request(n, "/prompt/"), http.StatusOK)
 		}
@@ -66,9 +66,9 @@
 		f := newTestFleet(t)
 		f.put(f.topics.Upstreams, "a1", "app")
 		f.put(f.topics.Upstreams, "e1", "llm")
-		away := &storeOutage{}
-		away.begin(time.Hour)
-		f.topics.Spend = &outageTopic{Topic: memtopic.New(), outage: away}
+		spendOutage := &storeOutage{}
+		spendOutage.begin(time.Hour)
+		f.topics.Spend = &outageTopic{Topic: memtopic.New(), outage: spendOutage}
 		n := f.start("n00")
 		defer f.stop()
 		time.Sleep(maxStartTime)
