--- a/edgenode/announcer.go
+++ b/edgenode/announcer.go
@@ -44,7 +44,7 @@
 		a.node.updateIdle()
 		if changed := a.node.Ready() != announcedReady; changed || lastAnnounced == 0 || now-lastAnnounced >= a.interval {
 			announcedReady, lastAnnounced = a.node.Ready(), now
-			_ = a.announce(ctx) // retried at the next interval, within half a second
+			_ = a.announce(ctx) // retried at the next interval, after 0.5 to 2 s
 		}
 		select {
 		case <-ctx.Done():
