--- a/edgenode/announcer.go
+++ b/edgenode/announcer.go
@@ -56,7 +56,7 @@
 
 func (a *announcer) awaitRoster(ctx context.Context) {
 	started := a.node.deps.Clock.Now()
-	for ctx.Err() == nil && !a.node.roster.Read() && a.node.deps.Clock.Now()-started < rosterReadTimeout {
+	for ctx.Err() == nil && !a.node.roster.HasRead() && a.node.deps.Clock.Now()-started < rosterReadTimeout {
 		periodic.Pause(ctx, rosterCheckInterval)
 	}
 }
@@ -66,8 +66,8 @@
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	rec := a.node.presenceRecord()
-	a.interval = presence.Every(a.node.roster.Live(), rec)
-	rec.EveryMs = a.interval.Milliseconds()
+	a.interval = presence.RecordInterval(a.node.roster.Live(), rec)
+	rec.IntervalMs = a.interval.Milliseconds()
 	value, err := json.Marshal(&rec)
 	if err != nil {
 		return errors.Trace(err)
@@ -96,6 +96,6 @@
 	if lowest := time.Duration(n.minWriteLatency.Load()); lowest > 0 {
 		return lowest.Milliseconds()
 	}
-	previous, _ := n.roster.Last(n.settings.Node)
-	return previous.StoreMs
+	previous, _ := n.roster.LastRecord(n.settings.Node)
+	return previous.StoreWriteMs
 }
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -50,7 +50,7 @@
 	Lending lending.Transport
 	// Peers fetches records from nodes of the same data centre; if it is nil, the node reads
 	// everything from the store.
-	Peers   peerfetch.Caller
+	Peers   peerfetch.Transport
 	Events  *event.Recorder
 	Metrics *gateway.Metrics
 	// DecodeConfig decodes a configuration; it returns false if the record isn't one.
--- a/edgenode/loans.go
+++ b/edgenode/loans.go
@@ -17,10 +17,10 @@
 	var peers []lending.Peer
 	for _, r := range n.roster.Live() {
 		allocation := allocations[r.Node]
-		if r.Node == n.settings.Node || r.Peer == "" || allocation.Ceiling == 0 {
+		if r.Node == n.settings.Node || r.PeerAddress == "" || allocation.Ceiling == 0 {
 			continue
 		}
-		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: allocation.Ceiling, Unused: allocation.Unused})
+		peers = append(peers, lending.Peer{Node: r.Node, Address: r.PeerAddress, SameRegion: r.Region == n.settings.Region, Ceiling: allocation.Ceiling, Unused: allocation.Unused})
 	}
 	return peers
 }
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -51,7 +51,7 @@
 	// failed.
 	firstRosterRead chan struct{}
 	// copies hold the newest records of topics, by name, for other nodes of the data centre.
-	copies map[string]*peerfetch.Copy
+	copies map[string]*peerfetch.Replica
 	loops  sync.WaitGroup
 	// stop ends the loops.
 	stop context.CancelFunc
@@ -64,7 +64,7 @@
 func Start(ctx context.Context, settings Settings, deps Deps) (*Node, error) {
 	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, firstRosterRead: make(chan struct{}),
 		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), startedAt: deps.Clock.Now()}
-	n.copies = map[string]*peerfetch.Copy{configTopic: peerfetch.NewCopy(deps.Clock), upstreamTopic: peerfetch.NewCopy(deps.Clock)}
+	n.copies = map[string]*peerfetch.Replica{configTopic: peerfetch.NewReplica(deps.Clock), upstreamTopic: peerfetch.NewReplica(deps.Clock)}
 	if settings.Capacity < smallCapacity {
 		periodic.Pause(ctx, rand.N(maxSmallStartDelay))
 	}
@@ -87,8 +87,8 @@
 		Clock: deps.Clock, Catalog: n.catalog, Directory: n.directory,
 		Picker: placement.NewPicker(placement.DefaultSettings(), settings.Regions),
 		Share:  n.share, Upstreams: deps.Upstreams, Events: deps.Events, Metrics: deps.Metrics,
-		Borrower: lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
-		Report:   n.report, Nodes: n.nodeCount, Repeats: settings.Repeats,
+		Borrower:    lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
+		ReportUsage: n.report, LiveNodes: n.nodeCount, RetryLimits: settings.Repeats,
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
 	grantOptions := grantReadOptions
@@ -173,7 +173,7 @@
 
 // presenceRecord returns the node's own presence record.
 func (n *Node) presenceRecord() presence.Record {
-	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, Peer: n.settings.Peer,
-		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeLatencyMs(),
+	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, PeerAddress: n.settings.Peer,
+		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreWriteMs: n.storeLatencyMs(),
 		Ready: n.Ready(), Leaving: n.leaving.Load()}
 }
--- a/edgenode/presencehandler.go
+++ b/edgenode/presencehandler.go
@@ -25,7 +25,7 @@
 func (h *presenceHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
-			h.node.roster.Forget(r.Key)
+			h.node.roster.Remove(r.Key)
 			continue
 		}
 		var rec presence.Record
@@ -33,7 +33,7 @@
 			h.node.deps.Events.Record(event.BatchVoid, "topic", "presence", "key", r.Key, "error", err)
 			continue
 		}
-		h.node.roster.Hear(rec)
+		h.node.roster.Update(rec)
 	}
 }
 
@@ -42,7 +42,7 @@
 
 // ReadFailed stops the clock by which silent nodes are dropped.
 func (h *presenceHandler) ReadFailed(err error) {
-	h.node.roster.Lost()
+	h.node.roster.ReadFailed()
 	h.monitor.failed(err)
 	h.firstReadDone()
 }
@@ -50,7 +50,7 @@
 // ReadSucceeded starts that clock again and logs which nodes joined or left.
 func (h *presenceHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.monitor.succeeded(r)
-	h.node.roster.Caught()
+	h.node.roster.ReadSucceeded()
 	h.firstReadDone()
 	live := make(map[string]string)
 	for _, r := range h.node.roster.Live() {
--- a/edgenode/records.go
+++ b/edgenode/records.go
@@ -34,16 +34,16 @@
 	if n.deps.Peers == nil {
 		return topic
 	}
-	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.dataCentrePeers, Fleet: func() int { return len(n.roster.Live()) }, Known: n.firstRosterRead, NewestOnly: newestOnly,
-		Caller: n.deps.Peers, Copy: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
+	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.dataCentrePeers, FleetSize: func() int { return len(n.roster.Live()) }, PeersKnown: n.firstRosterRead, NewestOnly: newestOnly,
+		Transport: n.deps.Peers, Replica: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
 }
 
 // dataCentrePeers returns the nodes of this data centre, including this one.
 func (n *Node) dataCentrePeers() []peerfetch.Peer {
 	var peers []peerfetch.Peer
 	for _, r := range n.roster.Live() {
-		if r.DataCentre == n.settings.DataCentre && r.Peer != "" {
-			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.Peer, Capacity: r.Capacity})
+		if r.DataCentre == n.settings.DataCentre && r.PeerAddress != "" {
+			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.PeerAddress, Capacity: r.Capacity})
 		}
 	}
 	return peers
@@ -68,6 +68,6 @@
 }
 
 func hasIP(r *presence.Record, ip string) bool {
-	host, _, err := net.SplitHostPort(r.Peer)
+	host, _, err := net.SplitHostPort(r.PeerAddress)
 	return err == nil && host == ip
 }
--- a/edgenode/testfleet_test.go
+++ b/edgenode/testfleet_test.go
@@ -103,10 +103,10 @@
 }
 
 // Fetch requests records from a node of the fleet.
-func (f *testFleet) Fetch(ctx context.Context, address string, ask peerfetch.Ask, progress func()) (peerfetch.Reply, error) {
+func (f *testFleet) Fetch(ctx context.Context, address string, ask peerfetch.Request, progress func()) (peerfetch.Reply, error) {
 	if n := f.reachable(address); n != nil {
 		progress()
-		return n.copies[ask.Topic].Answer(ctx, ask), nil
+		return n.copies[ask.Topic].Handle(ctx, ask), nil
 	}
 	<-ctx.Done()
 	return peerfetch.Reply{}, ctx.Err()
@@ -131,7 +131,7 @@
 
 // addCrashedIncarnation adds the records that a node leaves in the store when it loses power.
 func (f *testFleet) addCrashedIncarnation(node string, s site) {
-	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, Peer: node, Capacity: s.capacity, StoreMs: 4, Ready: true})
+	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, PeerAddress: node, Capacity: s.capacity, StoreWriteMs: 4, Ready: true})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 func testConfig(string, []byte) (*catalog.View, bool, error) {
 	route := func(path, service string) *catalog.Route {
 		return &catalog.Route{Name: path, Host: host, PathPrefix: path, Kind: catalog.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 1,
-			Split: []catalog.Weight{{Service: service, Weight: 1}}}
+			Split: []catalog.WeightedService{{Service: service, Weight: 1}}}
 	}
 	return catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("/plain/", "app"), route("/prompt/", "llm")},
 		[]*catalog.Service{{Name: "app"}, {Name: "llm", Engine: &catalog.Engine{Slots: 8, TokensPerEvent: 6}}},
@@ -167,8 +167,8 @@
 // okUpstreams answers each request at once.
 type okUpstreams struct{}
 
-func (okUpstreams) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Answer, error) {
-	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
+func (okUpstreams) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Response, error) {
+	return &gateway.Response{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
 }
 
 // unreachableLenders never reaches another node.
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -17,8 +17,8 @@
 	now := c.g.Clock.Now()
 	var waits []time.Duration
 	for _, u := range upstreams {
-		if !u.Dark(now) {
-			waits = append(waits, u.Wait(now))
+		if !u.InBackoff(now) {
+			waits = append(waits, u.EstimatedWait(now))
 		}
 	}
 	usual, policy := shedding.MedianWait(waits), c.g.settings.Shedding
--- a/internal/experiment/routing/attempts.go
+++ b/internal/experiment/routing/attempts.go
@@ -24,7 +24,7 @@
 	call    call
 	ask     routing.Request
 	arrived time.Time
-	item    *admission.Item
+	item    *admission.Request
 	tried   map[string]bool
 	made    int
 	first   time.Time
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -24,8 +24,8 @@
 	lender    *budget.Lender
 	borrower  *budget.Borrower
 	sizer     *budget.Sizer
-	memory    *witness.Memory
-	teller    *witness.Teller
+	memory    *witness.Store
+	teller    *witness.Replicator
 	watcher   *recovery.Watcher
 	recoverer *recovery.Recoverer
 	silent    *recovery.SilentSettler
@@ -38,7 +38,7 @@
 		lender:   budget.NewLender(n.holder, n.ledger, n.events),
 		borrower: budget.NewBorrower(n.Incarnation(), n.deps.Clock, n.deps.Peers, n.ledger, n.events),
 		stopped:  make(chan struct{}),
-		memory:   witness.NewMemory(),
+		memory:   witness.NewStore(),
 		teller:   n.newTeller(),
 		watcher:  recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
 	}
@@ -51,7 +51,7 @@
 	b.recoverer = n.newRecoverer(b)
 	b.silent = n.newSilentSettler(b)
 	b.copier = witness.NewCopier(witness.CopierConfig{
-		Clock: n.deps.Clock, Memory: b.memory, Candidates: n.witnesses, Suspect: n.isSuspect, Send: b.teller.PassTo,
+		Clock: n.deps.Clock, Store: b.memory, Candidates: n.witnesses, Suspect: n.isSuspect, Send: b.teller.SendRequests,
 	})
 	return b
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -36,7 +36,7 @@
 func (n *Node) drain(ctx context.Context) {
 	n.fire(triggerDrain)
 	kept := n.settings.AddressLifetime + keptMargin
-	if n.members.Announce(ctx) > 0 {
+	if n.members.AnnounceDrain(ctx) > 0 {
 		kept += unreachedMargin
 	}
 	n.wait(ctx, func() bool { return false }, kept)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -52,7 +52,7 @@
 func (n *Node) ready() {
 	if n.State() == StateStarting && !n.drainOrdered() {
 		n.fire(triggerReady)
-		n.members.Serves()
+		n.members.AnnounceServing()
 	}
 }
 
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -30,9 +30,9 @@
 func (n *Node) newRecoverer(b budgets) *recovery.Recoverer {
 	return recovery.New(recovery.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Journal: n.writer,
-		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Memory: b.memory, Teller: b.teller,
+		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Store: b.memory, Replicator: b.teller,
 		Engines: n.engines(), Suspect: n.isSuspect, LostAfter: n.settings.Policy.LostAfter,
-		Listed: n.instances.Entries, PeerAddress: n.settings.PeerAddress,
+		PlatformAddresses: n.instances.EntryAddresses, PeerAddress: n.settings.PeerAddress,
 	})
 }
 
@@ -40,7 +40,7 @@
 
 func (n *Node) newSilentSettler(b budgets) *recovery.SilentSettler {
 	return recovery.NewSilentSettler(recovery.SilentSettlerConfig{
-		Clock: n.deps.Clock, Ledger: n.ledger, Journal: n.writer, Memory: b.memory, Events: n.events,
+		Clock: n.deps.Clock, Ledger: n.ledger, Journal: n.writer, Store: b.memory, Events: n.events,
 		Suspect: n.isSuspect, MayWrite: func() bool { return n.logReachable() && n.allFoldWitnessed() },
 	})
 }
@@ -105,8 +105,8 @@
 	return e.node.Config().Upstream(name)
 }
 
-// Counts implements recovery.Engines.
-func (e namedEngines) Counts(name string) bool {
+// ReportsUsage implements recovery.Engines.
+func (e namedEngines) ReportsUsage(name string) bool {
 	found := e.find(name)
 	if found == nil {
 		return false
@@ -115,9 +115,9 @@
 	return service.GetKind() != operatorv1.ServiceKind_SERVICE_KIND_PLAIN
 }
 
-// InReach implements recovery.Engines. A region is cut off while nodes there are neither
+// Reachable implements recovery.Engines. A region is cut off while nodes there are neither
 // known to have ended nor answer.
-func (e namedEngines) InReach(name string) bool {
+func (e namedEngines) Reachable(name string) bool {
 	region := e.find(name).GetRegion()
 	if region == e.node.settings.Region {
 		return true
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -185,7 +185,7 @@
 	}}}})
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if !n.engines().Counts(testEngine) {
+			if !n.engines().ReportsUsage(testEngine) {
 				return false
 			}
 		}
--- a/placement/picker.go
+++ b/placement/picker.go
@@ -39,7 +39,7 @@
 	for _, lastResort := range []bool{false, true} {
 		affinity := p.affinityUpstream(r, upstreams)
 		for _, u := range upstreams {
-			if r.wasTried(u) || u.Dark(r.Now) != lastResort {
+			if r.wasTried(u) || u.InBackoff(r.Now) != lastResort {
 				continue
 			}
 			best.Candidates++
@@ -58,7 +58,7 @@
 
 // Observe records that an upstream has prefilled a request's prompt.
 func (p *Picker) Observe(r *Request, u *directory.Upstream) {
-	p.cache.Observe(u.ID, u.Born, r.shared(), r.Now)
+	p.cache.Observe(u.ID, u.StartedAt, r.shared(), r.Now)
 }
 
 // affinityUpstream returns the engine to which all nodes send a shared prompt, so that it is
@@ -75,7 +75,7 @@
 	var chosen *directory.Upstream
 	var topRank uint64
 	for _, u := range upstreams {
-		if !fleetWide && u.DataCentre != r.DataCentre || u.Dark(r.Now) || u.DoubtedUntil != 0 {
+		if !fleetWide && u.DataCentre != r.DataCentre || u.InBackoff(r.Now) || u.StaleUntil != 0 {
 			continue
 		}
 		if rank := xxhash.Sum64String(key + "\x00" + u.ID); chosen == nil || rank > topRank {
@@ -100,7 +100,7 @@
 
 func (p *Picker) score(r *Request, u *directory.Upstream, uncachedShared int) time.Duration {
 	s := &p.settings
-	score := time.Duration(u.Failure(r.Now) * float64(s.FailurePenalty))
+	score := time.Duration(u.FailureScore(r.Now) * float64(s.FailurePenalty))
 	switch {
 	case u.DataCentre == r.DataCentre:
 	case p.regions[u.DataCentre] == r.Region:
@@ -108,7 +108,7 @@
 	default:
 		score += s.OtherRegion
 	}
-	if u.DoubtedUntil != 0 {
+	if u.StaleUntil != 0 {
 		score += s.SuspectPenalty
 	}
 	score += u.Warmup / warmupDivisor
@@ -135,7 +135,7 @@
 	if affinity || r.PromptTokens == 0 {
 		return 0
 	}
-	return sharedTokens(r.shared()) - p.cache.Cached(u.ID, u.Born, r.shared(), r.Now)
+	return sharedTokens(r.shared()) - p.cache.Cached(u.ID, u.StartedAt, r.shared(), r.Now)
 }
 
 // promptDelay returns the time to prefill the prompts ahead and the uncached part of this one.
--- a/placement/picker_test.go
+++ b/placement/picker_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("bad", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
-	list[0].Fail(time.Hour)
+	list[0].RecordFailure(time.Hour)
 	is.Equal(mustPick(t, p, newRequest("a"), list).ID, "far")
 	later := newRequest("a")
 	later.Now = time.Hour + 30*time.Second
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("dark", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
-	list[0].Unreachable(time.Hour)
+	list[0].RecordUnreachable(time.Hour)
 	is.Equal(mustPick(t, p, newRequest("a"), list).ID, "far")
 	r := newRequest("a")
 	r.Tried = []*directory.Upstream{list[1]}
--- a/recovery/outcome.go
+++ b/recovery/outcome.go
@@ -44,7 +44,7 @@
 	if known := factOf(ctx, engines, open); known.from != undecided {
 		return known
 	}
-	if !engines.Counts(open.GetUpstream()) {
+	if !engines.ReportsUsage(open.GetUpstream()) {
 		return outcome{open.GetReserved(), worstCase}
 	}
 	report, err := engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
@@ -68,7 +68,7 @@
 	if open.GetFinished() {
 		return outcome{budget.BilledTokens(open, open.GetUsed()), fromNode}
 	}
-	if !engines.Counts(open.GetUpstream()) {
+	if !engines.ReportsUsage(open.GetUpstream()) {
 		return outcome{}
 	}
 	report, err := engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -47,7 +47,7 @@
 
 func newSite(t testing.TB, engines ...standin.EngineOptions) *site {
 	is := is.New(t)
-	client, err := upstream.NewHTTPClientWithSilence(testSilence)
+	client, err := upstream.NewHTTPClientWithReadTimeout(testSilence)
 	is.NoErr(err)
 	t.Cleanup(client.Close)
 	s := &site{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
--- a/request/call.go
+++ b/request/call.go
@@ -36,7 +36,7 @@
 // Call runs a call of a plain service. An idempotent call may be tried again at
 // another upstream; any other is sent once, and when its outcome is not known the
 // error says so. docs/design/03-at-most-once.md tells what each answer means.
-func (s *Server) Call(ctx context.Context, call ServiceCall) (upstream.CallAnswer, error) {
+func (s *Server) Call(ctx context.Context, call ServiceCall) (upstream.CallResponse, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	s.firstAttempt()
@@ -44,7 +44,7 @@
 	defer cancel()
 	prepared, err := s.checkCall(call)
 	if err != nil {
-		return upstream.CallAnswer{}, call.doubt(err)
+		return upstream.CallResponse{}, call.doubt(err)
 	}
 	if call.named() {
 		return s.callOnce(ctx, prepared, s.forwardTo(prepared))
@@ -95,16 +95,16 @@
 }
 
 // runCall admits, reserves, sends and settles a call.
-func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallAnswer, error) {
+func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallResponse, error) {
 	account := p.account.GetName()
 	release, err := s.admit(ctx, s.askOf(ctx, p.account, p.service))
 	if err != nil {
-		return upstream.CallAnswer{}, s.refused(account, err)
+		return upstream.CallResponse{}, s.refused(account, err)
 	}
 	defer release()
 	grant, err := s.reserve(ctx, s.Config(), account, p.service.GetName(), p.rule.GetTokens())
 	if err != nil {
-		return upstream.CallAnswer{}, s.refused(account, err)
+		return upstream.CallResponse{}, s.refused(account, err)
 	}
 	// Finishing twice is harmless: after a panic, this gives the tokens back.
 	defer grant.Finish(0)
@@ -119,7 +119,7 @@
 	return answer, nil
 }
 
-func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallAnswer, error) {
+func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallResponse, error) {
 	ask := s.askOf(ctx, p.account, p.service)
 	ask.Tried = map[string]bool{}
 	pause := newPause()
@@ -130,7 +130,7 @@
 		}
 		pick, err := s.Picker.Pick(ask, s.upstreams(p.service.GetName()))
 		if err != nil {
-			return upstream.CallAnswer{}, firstError(last, err)
+			return upstream.CallResponse{}, firstError(last, err)
 		}
 		answer, err := s.callAttempt(ctx, grant, p, pick.Upstream)
 		pick.Done(err)
@@ -143,19 +143,19 @@
 			break
 		}
 	}
-	return upstream.CallAnswer{}, last
+	return upstream.CallResponse{}, last
 }
 
 // callAttempt sends a call to one upstream.
-func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, to *operatorv1.Upstream) (upstream.CallAnswer, error) {
+func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, to *operatorv1.Upstream) (upstream.CallResponse, error) {
 	if err := grant.Dispatch(ctx, to.GetName()); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	id := grant.Request().String()
 	s.Events.Record(event.RequestDispatched, "request", id, "upstream", to.GetName())
 	answer, err := s.Client.Call(ctx, to, upstream.CallRequest{
 		ID: id, Method: p.call.Method, Path: p.call.Path, Headers: p.call.Headers, Body: p.call.Body,
-		Once: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
+		NoResend: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
 	})
 	switch {
 	case err == nil || refusedUnrun(err):
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -123,8 +123,8 @@
 }
 
 // forwardedChat runs a completion that another node passed on, or returns its answer.
-func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
+func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallResponse, error) {
 	call := ChatCall{Body: f.GetBody(), IdempotencyKey: f.GetKey()}
 	answer, err := s.doChat(ctx, account, call, newRecording(false), nil)
-	return upstream.CallAnswer(answer), err
+	return upstream.CallResponse(answer), err
 }
--- a/request/peers.go
+++ b/request/peers.go
@@ -11,7 +11,7 @@
 type Peers interface {
 	// Forward passes a call on to the incarnation that alone may run it. address is
 	// empty when the fold knows it.
-	Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallAnswer, error)
+	Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallResponse, error)
 	// MoveStream tells the node at a peer address that the caller of a completion
 	// reads on here.
 	MoveStream(ctx context.Context, address, request string)
