--- a/lossreport/report.go
+++ b/lossreport/report.go
@@ -9,7 +9,7 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// Interval counts what ended within one interval.
+// Interval counts the requests that ended within one time interval.
 type Interval struct {
 	Start time.Time
 	// Requests counts the requests that ended, by cause.
@@ -27,7 +27,7 @@
 	return lost
 }
 
-// ServedFraction returns the part of the requests that was served; one if there were none.
+// ServedFraction returns the fraction of requests that were served; one if there were none.
 func (i *Interval) ServedFraction() float64 {
 	served, lost := i.Requests[Served], i.Lost()
 	if served+lost == 0 {
@@ -36,37 +36,37 @@
 	return float64(served) / float64(served+lost)
 }
 
-// Report is what the logs tell, by interval.
+// Report is the summary of the logs, by interval.
 type Report struct {
 	IntervalLength time.Duration
 	Intervals      []Interval
 }
 
-// New counts the lines of any number of nodes in intervals. Times are the nodes' own, which
+// New counts the lines of any number of nodes by interval. Timestamps are the nodes' own, which
 // may be wrong by seconds.
-func New(lines []event.Line, every time.Duration) *Report {
-	r := &Report{IntervalLength: every}
-	byBegin := make(map[time.Time]*Interval)
+func New(lines []event.Line, intervalLength time.Duration) *Report {
+	r := &Report{IntervalLength: intervalLength}
+	byStart := make(map[time.Time]*Interval)
 	for i := range lines {
-		why, ends := cause(&lines[i])
-		if !ends {
+		cause, isEnd := causeOf(&lines[i])
+		if !isEnd {
 			continue
 		}
-		begin := lines[i].At.Truncate(every)
-		in, known := byBegin[begin]
+		start := lines[i].At.Truncate(intervalLength)
+		interval, known := byStart[start]
 		if !known {
-			in = &Interval{Start: begin, Requests: make(map[Cause]int)}
-			byBegin[begin] = in
+			interval = &Interval{Start: start, Requests: make(map[Cause]int)}
+			byStart[start] = interval
 		}
-		in.Requests[why]++
+		interval.Requests[cause]++
 	}
-	for _, begin := range slices.SortedFunc(maps.Keys(byBegin), time.Time.Compare) {
-		r.Intervals = append(r.Intervals, *byBegin[begin])
+	for _, start := range slices.SortedFunc(maps.Keys(byStart), time.Time.Compare) {
+		r.Intervals = append(r.Intervals, *byStart[start])
 	}
 	return r
 }
 
-// Causes returns the causes of all losses, the most frequent first.
+// Causes returns the causes of all losses, most frequent first.
 func (r *Report) Causes() []Cause {
 	total := make(map[Cause]int)
 	for _, i := range r.Intervals {
@@ -80,9 +80,9 @@
 	})
 }
 
-// Worst returns the intervals with the smallest part served, the worst first.
-func (r *Report) Worst(most int) []Interval {
+// Worst returns the n intervals with the smallest fraction served, worst first.
+func (r *Report) Worst(n int) []Interval {
 	sorted := slices.Clone(r.Intervals)
 	slices.SortStableFunc(sorted, func(a, b Interval) int { return cmp.Compare(a.ServedFraction(), b.ServedFraction()) })
-	return sorted[:min(most, len(sorted))]
+	return sorted[:min(n, len(sorted))]
 }
--- a/lossreport/table.go
+++ b/lossreport/table.go
@@ -9,11 +9,11 @@
 	"github.com/juju/errors"
 )
 
-// WriteTable writes a line for each interval and a column for each cause.
+// WriteTable writes a row for each interval and a column for each cause.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	causes := r.Causes()
-	_, _ = fmt.Fprint(t, "from\tserved\tshare") // Flush tells of a failed write
+	_, _ = fmt.Fprint(t, "from\tserved\tshare") // Flush returns the write error
 	for _, c := range causes {
 		_, _ = fmt.Fprintf(t, "\t%s", c)
 	}
