--- a/request/admission.go
+++ b/request/admission.go
@@ -6,22 +6,22 @@
 	"lavenderpin.dev/lavenderpin/routing"
 )
 
-// Admission decides whether and when a request runs; admission.Controller is one. It
-// fails with Overloaded and a time to come back, or with ctx's end.
+// Admission decides whether and when a request runs; admission.Controller implements it.
+// It fails with Overloaded and a retry delay, or when ctx ends.
 type Admission interface {
 	// Admit returns a function that must be called once when the request ends.
 	Admit(ctx context.Context, ask routing.Ask) (release func(), err error)
 }
 
-// admit asks the node's admission, if it has one. It comes before the reservation:
-// a request that queues must not hold tokens that another could use.
+// admit asks the node's admission controller, if there is one. It runs before the
+// reservation, so that a queued request holds no tokens that another could use.
 func (s *Server) admit(ctx context.Context, ask routing.Ask) (release func(), err error) {
 	if s.Admission == nil {
 		return func() {}, nil
 	}
 	release, err = s.Admission.Admit(ctx, ask)
 	if err != nil && ctx.Err() != nil {
-		return nil, leftError(ctx)
+		return nil, contextError(ctx)
 	}
 	return release, err
 }
--- a/request/ask.go
+++ b/request/ask.go
@@ -10,24 +10,24 @@
 	"lavenderpin.dev/lavenderpin/routing/prefix"
 )
 
-// ask describes the run to the picker.
-func (r *chatRun) ask(tried map[string]bool) routing.Ask {
+// routingAsk returns the routing input for the next attempt.
+func (r *chatRun) routingAsk(tried map[string]bool) routing.Ask {
 	ask := r.prompt
 	ask.Tried = tried
 	return ask
 }
 
-// askOf describes a request of an account to admission and routing.
-func (s *Server) askOf(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Ask {
+// newRoutingAsk returns the admission and routing input for a request of an account.
+func (s *Server) newRoutingAsk(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Ask {
 	ask := routing.Ask{Service: service.GetName(), Region: s.Region,
 		Account: account.GetName(), Team: account.GetTeam(), Weight: account.GetWeight(), Priority: int(account.GetPriority())}
 	ask.Deadline, _ = ctx.Deadline()
 	return ask
 }
 
-// describe fills in what the choice of an engine needs to know of a prompt. The
-// prompt's text is the contents of its messages, one after the other.
-func (b *chatBody) describe(ask *routing.Ask) {
+// describePrompt adds the prompt's prefix hashes and token estimate to ask. The prompt
+// text is the contents of all messages, concatenated.
+func (b *chatBody) describePrompt(ask *routing.Ask) {
 	var text prefix.Hasher
 	for _, raw := range b.messages {
 		text.Write(messageText(raw))
@@ -36,7 +36,7 @@
 	ask.PromptTokens = text.Tokens()
 }
 
-// messageText returns a message's content, the text parts of an array joined.
+// messageText returns a message's content; the text parts of an array are concatenated.
 func messageText(raw json.RawMessage) string {
 	var message struct {
 		Content json.RawMessage `json:"content"`
--- a/request/badinput_test.go
+++ b/request/badinput_test.go
@@ -12,11 +12,11 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func TestBodiesThatAreRefused(t *testing.T) {
-	// Callers send bodies that are broken, or that two readers understand in two
-	// ways. Each gets its number, nothing is sent, reserved or billed.
+func TestInvalidBodiesAreRejected(t *testing.T) {
+	// Bodies that are malformed, or that two parsers could read differently, get their result
+	// code, and nothing is sent, reserved or billed.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{})
 	n := s.newServer("a")
 	user := `"messages":[{"role":"user","content":"x"}]`
 	model := `"model":"` + testModel + `"`
@@ -57,11 +57,11 @@
 		}
 		is.Equal(sink.started, 0)
 	}
-	is.Equal(n.settled(t), uint64(0))
+	is.Equal(n.billedTokens(t), uint64(0))
 	is.Equal(len(s.engines[0].Served()), 0)
 }
 
-func TestBodiesThatAreTaken(t *testing.T) {
+func TestValidBodiesAreAccepted(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
 		`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a b"},{"type":"text","text":"c"}]}]}`,
@@ -75,15 +75,15 @@
 	}
 }
 
-// An engine that honours max_completion_tokens would answer beyond what is reserved,
-// and the account would spend what it hasn't prepaid.
-func TestEngineGetsOneLimit(t *testing.T) {
+// An engine that honours max_completion_tokens would answer beyond the reservation, and the
+// account would spend tokens that it hasn't prepaid.
+func TestEngineGetsSingleTokenLimit(t *testing.T) {
 	is := is.New(t)
 	parsed, err := parseChat([]byte(`{"model":"m","max_completion_tokens":7,"messages":[{"content":"x"}]}`))
 	is.NoErr(err)
 	limit, err := parsed.answerLimit(0)
 	is.NoErr(err)
-	body, err := parsed.forEngine(limit)
+	body, err := parsed.encodeForEngine(limit)
 	is.NoErr(err)
 	var fields map[string]json.RawMessage
 	is.NoErr(json.Unmarshal(body, &fields))
@@ -92,23 +92,23 @@
 	is.True(!left)
 }
 
-func TestPathsThatAreRefused(t *testing.T) {
-	// A path that an upstream resolves differently could be matched as a read that may
-	// be repeated and run as an order that may not.
+func TestInvalidPathsAreRejected(t *testing.T) {
+	// A path that an upstream resolves differently could match as a read that may be
+	// repeated and run as an order that may not.
 	is := is.New(t)
 	for _, path := range []string{
 		"", "x", "/a/../b", "/a/%2e%2e/b", "/./a", "/a%0d%0aX-Evil:1", "/a%", "/a%00", "//host/a", `/a\..\b`,
 	} {
-		_, err := cleanPath(path)
+		_, err := validatePath(path)
 		is.Equal(result.CodeOf(err), result.InvalidPath)
 	}
-	path, err := cleanPath("/a%20b/c?x=%2e%2e")
+	path, err := validatePath("/a%20b/c?x=%2e%2e")
 	is.NoErr(err)
 	is.Equal(path, "/a b/c")
 }
 
-// Whatever a caller sends, the parser must not panic, and what it takes must be
-// bounded: no text within the body may be longer than the tokens reserved for it.
+// The parser must not panic on any body, and an accepted body must be bounded: no text in it
+// may be longer than the number of tokens reserved for it.
 func FuzzChatBody(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`))
 	f.Add([]byte(`{"model":"m","max_tokens":5,"messages":[{"content":[{"type":"text","text":"\u00e9"}]}],"tools":[{"a":"b"}]}`))
@@ -125,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		toEngine, err := parsed.forEngine(limit)
+		toEngine, err := parsed.encodeForEngine(limit)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,13 +148,13 @@
 	})
 }
 
-// No text but an unaltered one of the same account opens as a cursor.
+// Only an unaltered cursor of the same account opens.
 func FuzzCursor(f *testing.F) {
-	s := newSite(f)
+	s := newFixture(f)
 	n := s.newServer("a")
-	maker := cursorMaker{signer: n.Cursors}
-	maker.cursor.Account, maker.cursor.Request = "account", "a.1"
-	good := maker.after(chunkNumber(3), n.Clock.Now())
+	issuer := cursorIssuer{signer: n.Cursors}
+	issuer.cursor.Account, issuer.cursor.Request = "account", "a.1"
+	good := issuer.issue(chunkNumber(3), n.Clock.Now())
 	f.Add(good, "account")
 	f.Add(good, "other")
 	f.Add("", "account")
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -30,13 +30,13 @@
 	testKey   = "key"
 	otherKey  = "other-key"
 	testModel = "model"
-	// testSilence is long beside what a busy machine delays a chunk by.
-	testSilence = 3 * time.Second
-	testTokens  = 1_000_000
+	// testSilenceTimeout is long compared with the delay of a chunk on a busy machine.
+	testSilenceTimeout = 3 * time.Second
+	testTokens         = 1_000_000
 )
 
-// site is engines and plain services with a configuration that declares them.
-type site struct {
+// fixture runs engines and plain services, with a configuration that declares them.
+type fixture struct {
 	t       testing.TB
 	config  *config.State
 	client  *upstream.HTTPClient
@@ -45,12 +45,12 @@
 	changes []*operatorv1.Change
 }
 
-func newSite(t testing.TB, engines ...standin.EngineOptions) *site {
+func newFixture(t testing.TB, engines ...standin.EngineOptions) *fixture {
 	is := is.New(t)
-	client, err := upstream.NewHTTPClientWithSilence(testSilence)
+	client, err := upstream.NewHTTPClientWithSilence(testSilenceTimeout)
 	is.NoErr(err)
 	t.Cleanup(client.Close)
-	s := &site{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
+	s := &fixture{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{Name: "account", KeySha256: []string{config.HashKey(testKey)}}}})
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{Name: "other", KeySha256: []string{config.HashKey(otherKey)}}}})
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{Name: "chat",
@@ -69,7 +69,7 @@
 	return s
 }
 
-func (s *site) startEngine(name string, options standin.EngineOptions) {
+func (s *fixture) startEngine(name string, options standin.EngineOptions) {
 	listener := s.listen()
 	engine := standin.NewEngine(listener, options)
 	s.engines = append(s.engines, engine)
@@ -78,38 +78,38 @@
 	s.declareUpstream(name, "chat", listener.Addr().String())
 }
 
-func (s *site) listen() net.Listener {
+func (s *fixture) listen() net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(s.t).NoErr(err)
 	return listener
 }
 
-func (s *site) declareUpstream(name, service, address string) {
+func (s *fixture) declareUpstream(name, service, address string) {
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Upstream{Upstream: &operatorv1.Upstream{Name: name, Service: service, Address: address, Region: "r"}}})
 }
 
-func (s *site) declare(r *operatorv1.Resource) {
+func (s *fixture) declare(r *operatorv1.Resource) {
 	s.changes = append(s.changes, &operatorv1.Change{AnyVersion: true, Resource: r})
 }
 
-func (s *site) apply() {
+func (s *fixture) apply() {
 	verdict, _ := s.config.Apply(fold.Position{Offset: 1}, &recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{Changes: s.changes}}})
 	is.New(s.t).NoErr(verdict.Err())
 }
 
-// testServer is one node's request server with its share of the budget.
+// testServer is the request server of one node with its share of the budget.
 type testServer struct {
 	*Server
 	holder *budget.Holder
 }
 
-func (s *site) newServer(name string) *testServer {
+func (s *fixture) newServer(name string) *testServer {
 	clock := clockwork.NewRealClock()
 	holder := budget.NewHolder(name, clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	holder.Credit("budget", testTokens)
 	return &testServer{holder: holder, Server: &Server{
-		Config: s.config.View, Reserver: holderReserver{holder}, Picker: inOrder{}, Client: s.client, Resumer: s.client,
+		Config: s.config.View, Reserver: holderReserver{holder}, Picker: firstUntriedPicker{}, Client: s.client, Resumer: s.client,
 		Events: event.NewRecorder(event.NewHLC(clock), name, 1000, log.NewNopLogger()), Clock: clock, Region: "r",
 		PeerAddress: name, Cursors: signed.NewSigner(s.secret, CursorPurpose),
 	}}
@@ -125,7 +125,7 @@
 	return holderGrant{reservation, h.holder}, nil
 }
 
-// holderGrant is a grant out of the node's own share, without a witness.
+// holderGrant is a grant from the node's own share, without a witness.
 type holderGrant struct {
 	*budget.Reservation
 	holder *budget.Holder
@@ -144,10 +144,10 @@
 
 func (g holderGrant) Progress(uint64) {}
 
-// inOrder picks the first upstream by name that wasn't tried.
-type inOrder struct{}
+// firstUntriedPicker picks the first upstream by name that has not been tried.
+type firstUntriedPicker struct{}
 
-func (inOrder) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
+func (firstUntriedPicker) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
 	for _, c := range candidates {
 		if !ask.Tried[c.GetName()] {
 			return routing.Pick{Upstream: c, Done: func(error) {}}, nil
@@ -156,18 +156,18 @@
 	return routing.Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
 }
 
-// settled returns what was billed, in tokens, and checks that nothing stays reserved.
-func (s *testServer) settled(t testing.TB) uint64 {
+// billedTokens returns the number of billed tokens and checks that nothing stays reserved.
+func (s *testServer) billedTokens(t testing.TB) uint64 {
 	is := is.New(t)
-	is.Equal(s.holder.Open(), 0)                                               // nothing reserved left behind
-	is.Equal(s.holder.Available("budget"), testTokens-s.holder.Used("budget")) // the rest is given back
+	is.Equal(s.holder.Open(), 0)                                               // no reservation is open
+	is.Equal(s.holder.Available("budget"), testTokens-s.holder.Used("budget")) // all other tokens are available again
 	return s.holder.Used("budget")
 }
 
-// testSink is a caller.
+// testSink is a Sink that collects the answer.
 type testSink struct {
 	stream bool
-	// atChunk, when set, is called with each chunk's number before it is taken.
+	// atChunk, if set, is called with each chunk's number before the chunk is stored.
 	atChunk func(n int) error
 
 	mu      sync.Mutex
@@ -205,7 +205,7 @@
 	return strings.Join(s.words, " ")
 }
 
-// prompt returns a chat request whose answer are n different words.
+// prompt returns a chat request whose answer is n different words.
 func prompt(n int) (body []byte, answer string) {
 	var words []string
 	for i := range n {
@@ -219,10 +219,10 @@
 
 func chunkNumber(n uint64) upstream.Chunk { return upstream.Chunk{Number: n} }
 
-// idSink is a caller that keeps its request's id.
-type idSink struct {
+// requestIDSink is a testSink that stores its request's id.
+type requestIDSink struct {
 	testSink
 	id string
 }
 
-func (s *idSink) Start(id budget.RequestID, _ string) { s.id = id.String() }
+func (s *requestIDSink) Start(id budget.RequestID, _ string) { s.id = id.String() }
--- a/request/call.go
+++ b/request/call.go
@@ -12,69 +12,70 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// ServiceCall is a caller's call of a plain service.
+// ServiceCall is a caller's request to a plain service.
 type ServiceCall struct {
 	Key     string
 	Service string
 	Method  string
-	// Path below the service as the caller sent it, escaped, from its first slash
-	// on; a query may follow.
+	// Path is the path below the service name as the caller sent it: escaped, starting
+	// with a slash, with an optional query.
 	Path    string
 	Headers map[string]string
 	Body    []byte
-	// IdempotencyKey or Ticket makes the call run at most once however often the
-	// caller sends it. Only one of them may be given.
+	// IdempotencyKey or Ticket makes the call run at most once, however often the caller
+	// sends it. Only one of them may be set.
 	IdempotencyKey string
 	Ticket         string
-	// Timeout is the caller's deadline from now; 0 for none.
+	// Timeout is the caller's timeout, relative to now; 0 for none.
 	Timeout time.Duration
 }
 
-// named tells that the caller can send the call again without a second run.
-func (c ServiceCall) named() bool { return c.IdempotencyKey != "" || c.Ticket != "" }
+// atMostOnce reports whether the call carries an idempotency key or a ticket, so that the
+// caller can resend it without a second run.
+func (c ServiceCall) atMostOnce() bool { return c.IdempotencyKey != "" || c.Ticket != "" }
 
-// Call runs a call of a plain service. An idempotent call may be tried again at
-// another upstream; any other is sent once, and when its outcome is not known the
-// error says so. docs/design/03-at-most-once.md tells what each answer means.
+// Call runs a call of a plain service. An idempotent call may be retried at another
+// upstream. Any other call is sent once, and if its outcome is unknown, the error says so.
+// docs/design/03-at-most-once.md describes each answer.
 func (s *Server) Call(ctx context.Context, call ServiceCall) (upstream.CallAnswer, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	s.firstAttempt()
+	s.countFirstAttempt()
 	ctx, cancel := s.withTimeout(ctx, call.Timeout)
 	defer cancel()
-	prepared, err := s.checkCall(call)
+	prepared, err := s.authenticateCall(call)
 	if err != nil {
-		return upstream.CallAnswer{}, call.doubt(err)
+		return upstream.CallAnswer{}, call.clearNotRun(err)
 	}
-	if call.named() {
-		return s.callOnce(ctx, prepared, s.forwardTo(prepared))
+	if call.atMostOnce() {
+		return s.callOnce(ctx, prepared, s.callForwarder(prepared))
 	}
 	return s.runCall(ctx, prepared)
 }
 
-// doubt takes the "not run" out of a refusal that looked at this try alone: an
-// earlier try under the same name may have run.
-func (c ServiceCall) doubt(err error) error {
-	if !c.named() {
+// clearNotRun removes the "not run" claim from an error that covers only this try: an
+// earlier try with the same key or ticket may have run.
+func (c ServiceCall) clearNotRun(err error) error {
+	if !c.atMostOnce() {
 		return err
 	}
 	return result.From(err).Doubt()
 }
 
-func (s *Server) checkCall(call ServiceCall) (*preparedCall, error) {
+func (s *Server) authenticateCall(call ServiceCall) (*preparedCall, error) {
 	view := s.Config()
 	account, err := s.authenticate(view, call.Key)
 	if err != nil {
-		return nil, s.refused("", err)
+		return nil, s.recordRefusal("", err)
 	}
 	prepared, err := prepareCall(view, account, call)
 	if err != nil {
-		return nil, s.refused(account.GetName(), err)
+		return nil, s.recordRefusal(account.GetName(), err)
 	}
 	return prepared, nil
 }
 
-// preparedCall is a call that was checked.
+// preparedCall is a call of an authenticated account with its service and matching rule.
 type preparedCall struct {
 	call    ServiceCall
 	account *operatorv1.Account
@@ -87,32 +88,32 @@
 	if service == nil || service.GetKind() != operatorv1.ServiceKind_SERVICE_KIND_PLAIN {
 		return nil, result.New(result.UnknownService, "no plain service %q", call.Service)
 	}
-	path, err := cleanPath(call.Path)
+	path, err := validatePath(call.Path)
 	if err != nil {
 		return nil, err
 	}
-	return &preparedCall{call: call, account: account, service: service, rule: matchCall(service, call.Method, path)}, nil
+	return &preparedCall{call: call, account: account, service: service, rule: matchRule(service, call.Method, path)}, nil
 }
 
-// runCall admits, reserves, sends and settles a call.
+// runCall admits a call, reserves its tokens, sends it and settles it.
 func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallAnswer, error) {
 	account := p.account.GetName()
-	release, err := s.admit(ctx, s.askOf(ctx, p.account, p.service))
+	release, err := s.admit(ctx, s.newRoutingAsk(ctx, p.account, p.service))
 	if err != nil {
-		return upstream.CallAnswer{}, s.refused(account, err)
+		return upstream.CallAnswer{}, s.recordRefusal(account, err)
 	}
 	defer release()
 	grant, err := s.reserve(ctx, s.Config(), account, p.service.GetName(), p.rule.GetTokens())
 	if err != nil {
-		return upstream.CallAnswer{}, s.refused(account, err)
+		return upstream.CallAnswer{}, s.recordRefusal(account, err)
 	}
-	// Finishing twice is harmless: after a panic, this gives the tokens back.
+	// Releases the tokens after a panic; a second Finish has no effect.
 	defer grant.Finish(0)
 	answer, err := s.callAttempts(ctx, grant, p)
 	if err != nil {
 		grant.Finish(0)
 		s.Events.Record(event.RequestFailed, "request", grant.Request(), "code", uint32(result.CodeOf(err)), "why", err)
-		return answer, named(grant.Request().String(), err)
+		return answer, withRequestID(grant.Request().String(), err)
 	}
 	grant.Finish(p.rule.GetTokens())
 	s.Events.Record(event.RequestFinished, "request", grant.Request(), "tokens", p.rule.GetTokens())
@@ -120,15 +121,15 @@
 }
 
 func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallAnswer, error) {
-	ask := s.askOf(ctx, p.account, p.service)
+	ask := s.newRoutingAsk(ctx, p.account, p.service)
 	ask.Tried = map[string]bool{}
-	pause := newPause()
+	retryBackoff := newRetryBackoff()
 	var last error
 	for n := range maxAttempts {
-		if n > 0 && !s.mayRetry(ctx, grant.Request().String(), pause) {
+		if n > 0 && !s.acquireRetry(ctx, grant.Request().String(), retryBackoff) {
 			break
 		}
-		pick, err := s.Picker.Pick(ask, s.upstreams(p.service.GetName()))
+		pick, err := s.Picker.Pick(ask, s.candidateUpstreams(p.service.GetName()))
 		if err != nil {
 			return upstream.CallAnswer{}, firstError(last, err)
 		}
@@ -137,9 +138,9 @@
 		if err == nil {
 			return answer, nil
 		}
-		last = ofBoth(last, err)
+		last = mergeAttemptErrors(last, err)
 		ask.Tried[pick.Upstream.GetName()] = true
-		if !mayCallAgain(err, p.rule) {
+		if !canRetryCall(err, p.rule) {
 			break
 		}
 	}
@@ -147,39 +148,40 @@
 }
 
 // callAttempt sends a call to one upstream.
-func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, to *operatorv1.Upstream) (upstream.CallAnswer, error) {
-	if err := grant.Dispatch(ctx, to.GetName()); err != nil {
+func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, target *operatorv1.Upstream) (upstream.CallAnswer, error) {
+	if err := grant.Dispatch(ctx, target.GetName()); err != nil {
 		return upstream.CallAnswer{}, err
 	}
 	id := grant.Request().String()
-	s.Events.Record(event.RequestDispatched, "request", id, "upstream", to.GetName())
-	answer, err := s.Client.Call(ctx, to, upstream.CallRequest{
+	s.Events.Record(event.RequestDispatched, "request", id, "upstream", target.GetName())
+	answer, err := s.Client.Call(ctx, target, upstream.CallRequest{
 		ID: id, Method: p.call.Method, Path: p.call.Path, Headers: p.call.Headers, Body: p.call.Body,
 		Once: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
 	})
 	switch {
-	case err == nil || refusedUnrun(err):
+	case err == nil || rejectedBeforeExecution(err):
 		return answer, err
 	case !p.rule.GetIdempotent():
-		// It may have run: a caller that takes this for a refusal would file the
+		// The call may have run. A caller that took this for a refusal would submit the
 		// work order again.
 		return answer, result.New(result.OutcomeUnknown, "%s", result.From(err).Message)
 	case ctx.Err() != nil:
-		return answer, leftError(ctx)
+		return answer, contextError(ctx)
 	}
 	return answer, err
 }
 
-// refusedUnrun tells that nothing was sent, or that the upstream refused it unread.
-func refusedUnrun(err error) bool {
+// rejectedBeforeExecution reports whether nothing was sent, or the upstream refused the
+// request without reading it.
+func rejectedBeforeExecution(err error) bool {
 	code := result.CodeOf(err)
 	return code == result.NoUpstream || code == result.RequestExpired
 }
 
-// mayCallAgain tells that a call may be sent to another upstream: when it surely
-// hasn't run, or when it is declared idempotent.
-func mayCallAgain(err error, rule *operatorv1.Call) bool {
-	if refusedUnrun(err) {
+// canRetryCall reports whether a call may be sent to another upstream: either it certainly
+// did not run, or it is declared idempotent.
+func canRetryCall(err error, rule *operatorv1.Call) bool {
+	if rejectedBeforeExecution(err) {
 		return true
 	}
 	switch result.CodeOf(err) {
--- a/request/call_test.go
+++ b/request/call_test.go
@@ -14,9 +14,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// newPlainSite is a site with so many instances of the plain service.
-func newPlainSite(t *testing.T, instances int) (*site, []*standin.Service) {
-	s := newSite(t)
+// newPlainFixture returns a fixture with the given number of plain service instances.
+func newPlainFixture(t *testing.T, instances int) (*fixture, []*standin.Service) {
+	s := newFixture(t)
 	var services []*standin.Service
 	for i := range instances {
 		listener := s.listen()
@@ -34,11 +34,11 @@
 	return ServiceCall{Key: testKey, Service: "orders", Method: method, Path: "/work", Body: []byte(body)}
 }
 
-func TestLostAnswerIsNotRunAgain(t *testing.T) {
-	// A service files a work order and its answer is lost. Sent to the next instance,
-	// the order would be filed twice; called "not run", the caller would file it again.
+func TestLostAnswerIsNotRetried(t *testing.T) {
+	// A service files a work order and its answer is lost. A retry at the next instance would
+	// file the order twice; if reported as "not run", the caller would file it again.
 	is := is.New(t)
-	s, services := newPlainSite(t, 2)
+	s, services := newPlainFixture(t, 2)
 	n := s.newServer("a")
 	services[0].LoseAnswers(1)
 	_, err := n.Call(context.Background(), order("POST", "order"))
@@ -46,47 +46,47 @@
 	is.True(!result.From(err).NotRun())
 	is.Equal(services[0].Runs()["order"], 1)
 	is.Equal(services[1].Runs()["order"], 0)
-	is.Equal(n.settled(t), uint64(0)) // no answer, nothing billed
+	is.Equal(n.billedTokens(t), uint64(0)) // no answer, nothing billed
 }
 
-func TestIdempotentCallIsTriedElsewhere(t *testing.T) {
-	// The same loss within a read: the next instance answers, and it is billed once.
+func TestIdempotentCallIsRetriedOnAnotherInstance(t *testing.T) {
+	// The same loss during a read: the next instance answers, and the call is billed once.
 	is := is.New(t)
-	s, services := newPlainSite(t, 2)
+	s, services := newPlainFixture(t, 2)
 	n := s.newServer("a")
 	services[0].LoseAnswers(1)
 	answer, err := n.Call(context.Background(), order("GET", "quote"))
 	is.NoErr(err)
 	is.Equal(string(answer.Body), "quote")
-	is.Equal(n.settled(t), uint64(1))
+	is.Equal(n.billedTokens(t), uint64(1))
 }
 
-func TestUnreachedInstanceIsNoRun(t *testing.T) {
-	// An instance is gone and its port is closed, which proves that nothing ran there:
-	// the order goes to the next one, or is truly "not run" when there is none.
+func TestUnreachableInstanceCountsAsNotRun(t *testing.T) {
+	// A closed port proves that nothing ran on the instance: the order goes to the next
+	// instance, or is reported as "not run" if there is none.
 	is := is.New(t)
-	closed := newSite(t).listen()
+	closed := newFixture(t).listen()
 	is.NoErr(closed.Close())
-	s, _ := newPlainSite(t, 1)
+	s, _ := newPlainFixture(t, 1)
 	s.declareUpstream("a-closed", "orders", closed.Addr().String()) // tried first
 	s.apply()
 	n := s.newServer("a")
 	answer, err := n.Call(context.Background(), order("POST", "order"))
 	is.NoErr(err)
 	is.Equal(string(answer.Body), "order")
-	is.Equal(n.settled(t), uint64(5))
+	is.Equal(n.billedTokens(t), uint64(5))
 	s.declareUpstream("plain-0", "orders", closed.Addr().String())
 	s.apply()
 	_, err = n.Call(context.Background(), order("POST", "other"))
 	is.Equal(result.CodeOf(err), result.NoUpstream)
 	is.True(result.From(err).NotRun())
-	is.Equal(n.settled(t), uint64(5))
+	is.Equal(n.billedTokens(t), uint64(5))
 }
 
-func TestClosedConnectionDoesNotRepeatAPut(t *testing.T) {
-	// A service takes a PUT over a kept connection, files the order and closes the
-	// connection without an answer. The HTTP library would send the PUT again by
-	// itself, and the order would be filed twice.
+func TestClosedConnectionDoesNotRepeatPut(t *testing.T) {
+	// A service receives a PUT over a keep-alive connection, files the order and closes the
+	// connection without an answer. If the HTTP library retried the PUT by itself, the order
+	// would be filed twice.
 	is := is.New(t)
 	var runs atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +102,7 @@
 	})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	s := newSite(t)
+	s := newFixture(t)
 	s.declareUpstream("plain", "orders", listener.Addr().String())
 	s.apply()
 	n := s.newServer("a")
@@ -118,23 +118,23 @@
 func (noRetries) FirstAttempt()  {}
 func (noRetries) TryRetry() bool { return false }
 
-func TestSpentRetryBudgetEndsAtTheFirstFailure(t *testing.T) {
-	// A service is sick and every request fails. Retried without a bound, its load
-	// would triple just when it can bear least.
+func TestExhaustedRetryBudgetStopsRetries(t *testing.T) {
+	// Every request to a service fails. Unbounded retries would triple its load while it is
+	// least able to take it.
 	is := is.New(t)
-	s, services := newPlainSite(t, 2)
+	s, services := newPlainFixture(t, 2)
 	n := s.newServer("a")
 	n.Retries = noRetries{}
 	services[0].LoseAnswers(1)
 	_, err := n.Call(context.Background(), order("GET", "quote"))
 	is.Equal(result.CodeOf(err), result.UpstreamFailed)
 	is.Equal(services[1].Runs()["quote"], 0)
-	n.settled(t)
+	n.billedTokens(t)
 }
 
-func TestDotSegmentsNeverReachAService(t *testing.T) {
+func TestDotSegmentsAreRejected(t *testing.T) {
 	is := is.New(t)
-	s, services := newPlainSite(t, 1)
+	s, services := newPlainFixture(t, 1)
 	n := s.newServer("a")
 	call := order("GET", "x")
 	call.Path = "/quotes/%2e%2e/work"
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// TicketPurpose is what tickets are signed for.
+	// TicketPurpose is the signing purpose of tickets.
 	TicketPurpose = "call-ticket"
-	// maxKey bounds an idempotency key, in bytes.
-	maxKey = 255
+	// maxKeyLength is the maximum length of an idempotency key, in bytes.
+	maxKeyLength = 255
 )
 
-// NewTicket hands a ticket out to a caller.
+// NewTicket issues a signed ticket to the account of key.
 func (s *Server) NewTicket(key string) (text string, ticket *fleetv1.CallTicket, err error) {
 	account, err := s.authenticate(s.Config(), key)
 	if err != nil {
-		return "", nil, s.refused("", err)
+		return "", nil, s.recordRefusal("", err)
 	}
 	if s.Tickets == nil || s.Runner == nil {
 		return "", nil, result.New(result.InternalError, "this node hands out no tickets")
@@ -32,13 +32,13 @@
 	return s.Tickets.Seal(ticket), ticket, nil
 }
 
-// forwardFunc passes a call on to the incarnation that alone may run it.
+// forwardFunc forwards a call to the only incarnation that may run it.
 type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Answer, error)
 
-// callOnce runs a call that its caller named by a key or a ticket.
+// callOnce runs a call that carries an idempotency key or a ticket.
 func (s *Server) callOnce(ctx context.Context, p *preparedCall, forward forwardFunc) (upstream.CallAnswer, error) {
-	if err := s.checkName(p.call); err != nil {
-		return upstream.CallAnswer{}, s.refused(p.account.GetName(), err)
+	if err := s.validateKeyOrTicket(p.call); err != nil {
+		return upstream.CallAnswer{}, s.recordRefusal(p.account.GetName(), err)
 	}
 	run := func(ctx context.Context) (idempotency.Answer, error) {
 		answer, err := s.runCall(ctx, p)
@@ -47,21 +47,21 @@
 	var answer idempotency.Answer
 	var err error
 	if p.call.Ticket != "" {
-		answer, err = s.onTicket(ctx, p, run, forward)
+		answer, err = s.runWithTicket(ctx, p, run, forward)
 	} else {
-		answer, err = s.underKey(ctx, p, run, forward)
+		answer, err = s.runWithKey(ctx, p, run, forward)
 	}
 	return upstream.CallAnswer(answer), err
 }
 
-func (s *Server) checkName(call ServiceCall) error {
+func (s *Server) validateKeyOrTicket(call ServiceCall) error {
 	switch {
 	case s.Runner == nil:
 		return result.New(result.InternalError, "this node runs no named calls")
 	case call.Ticket != "" && call.IdempotencyKey != "":
 		return result.New(result.InvalidKey, "a call has a key or a ticket, not both")
-	case len(call.IdempotencyKey) > maxKey:
-		return result.New(result.InvalidKey, "the key is longer than %d bytes", maxKey)
+	case len(call.IdempotencyKey) > maxKeyLength:
+		return result.New(result.InvalidKey, "the key is longer than %d bytes", maxKeyLength)
 	}
 	for _, c := range []byte(call.IdempotencyKey) {
 		if c < ' ' || c > '~' {
@@ -71,35 +71,35 @@
 	return nil
 }
 
-func (s *Server) underKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
-	named := idempotency.Call{
+func (s *Server) runWithKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+	keyedCall := idempotency.Call{
 		ID:     idempotency.ID{Account: p.account.GetName(), Key: p.call.IdempotencyKey},
-		Digest: digestOf(p.call),
+		Digest: callDigest(p.call),
 	}
 	if forward == nil {
-		return s.Runner.Do(ctx, named, run, nil)
+		return s.Runner.Do(ctx, keyedCall, run, nil)
 	}
-	return s.Runner.Do(ctx, named, run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, keyedCall, run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
 		return forward(ctx, owner, "")
 	})
 }
 
-func (s *Server) onTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+func (s *Server) runWithTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
 	ticket := &fleetv1.CallTicket{}
 	if s.Tickets == nil || s.Tickets.Open(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
 		return idempotency.Answer{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
 	}
 	if forward == nil {
-		return s.Runner.DoTicket(ctx, ticket, digestOf(p.call), run, nil)
+		return s.Runner.DoTicket(ctx, ticket, callDigest(p.call), run, nil)
 	}
-	return s.Runner.DoTicket(ctx, ticket, digestOf(p.call), run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.DoTicket(ctx, ticket, callDigest(p.call), run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
 		return forward(ctx, owner, ticket.GetPeerAddress())
 	})
 }
 
-// digestOf returns the digest of what a call asks for. Each part is preceded by its
-// length, so that no two calls read alike.
-func digestOf(call ServiceCall) idempotency.Digest {
+// callDigest returns the digest of a call's content. Each part is prefixed with its length,
+// so that different calls never hash the same input.
+func callDigest(call ServiceCall) idempotency.Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(call.Method), []byte(call.Service), []byte(call.Path), call.Body} {
 		var length [8]byte
@@ -110,8 +110,8 @@
 	return idempotency.Digest(hash.Sum(nil))
 }
 
-// forwardTo returns the function that passes a call on; nil without peers.
-func (s *Server) forwardTo(p *preparedCall) forwardFunc {
+// callForwarder returns the function that forwards a call to its owner; nil without peers.
+func (s *Server) callForwarder(p *preparedCall) forwardFunc {
 	if s.Peers == nil {
 		return nil
 	}
@@ -125,9 +125,9 @@
 	}
 }
 
-// Forwarded runs a call that another node passed on; that node has authenticated
-// the caller.
-func (s *Server) Forwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
+// HandleForwarded runs a call that another node forwarded. That node has authenticated the
+// caller.
+func (s *Server) HandleForwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	view := s.Config()
--- a/request/callpath.go
+++ b/request/callpath.go
@@ -8,11 +8,11 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// cleanPath checks the path of a call and returns it unescaped, without its query.
-// An upstream resolves dot segments: "/quotes/../orders" would be matched as an
-// idempotent read here and run as a work order there, perhaps twice. A control
-// character could end the request line and smuggle a header in.
-func cleanPath(escaped string) (string, error) {
+// validatePath checks the path of a call and returns it unescaped, without its query.
+// An upstream resolves dot segments: "/quotes/../orders" would match as an idempotent
+// read here and run as a work order there, perhaps twice. A control character could end
+// the request line and inject a header.
+func validatePath(escaped string) (string, error) {
 	escaped, _, _ = strings.Cut(escaped, "?")
 	path, err := url.PathUnescape(escaped)
 	if err != nil || !strings.HasPrefix(path, "/") {
@@ -34,9 +34,9 @@
 	return path, nil
 }
 
-// matchCall returns the declaration with the longest matching path. A call that
-// none matches is taken as not idempotent and free.
-func matchCall(service *operatorv1.Service, method, path string) *operatorv1.Call {
+// matchRule returns the declared call with the longest matching path prefix. A call that
+// matches none counts as not idempotent and costs no tokens.
+func matchRule(service *operatorv1.Service, method, path string) *operatorv1.Call {
 	best := &operatorv1.Call{}
 	for _, rule := range service.GetCalls() {
 		if rule.GetMethod() != "" && rule.GetMethod() != method {
--- a/request/chat.go
+++ b/request/chat.go
@@ -10,7 +10,8 @@
 
 const (
 	maxAttempts = 3
-	// maxResumes bounds how often one attempt reads on from a stream that broke off.
+	// maxResumes bounds how often one attempt resumes an interrupted stream; progress resets
+	// the count.
 	maxResumes    = 3
 	cancelTimeout = 2 * time.Second
 )
@@ -20,20 +21,19 @@
 	// Key authenticates the client account.
 	Key  string
 	Body []byte
-	// Timeout is the caller's deadline from now; 0 for none.
+	// Timeout is the caller's timeout, relative to now; 0 for none.
 	Timeout time.Duration
-	// IdempotencyKey, when given, makes the completion run and be billed once however
-	// often the caller sends it.
+	// IdempotencyKey, if set, makes the completion run and be billed once, however often
+	// the caller sends it.
 	IdempotencyKey string
 }
 
-// Chat runs a completion and passes the answer to the sink. A nil error means
-// that the sink got the whole answer. docs/operators/billing-rules.md tells what is
-// billed.
+// Chat runs a completion and writes the answer to the sink. A nil error means that the
+// sink got the complete answer. docs/operators/billing-rules.md describes what is billed.
 func (s *Server) Chat(ctx context.Context, call ChatCall, sink Sink) error {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	s.firstAttempt()
+	s.countFirstAttempt()
 	ctx, cancel := s.withTimeout(ctx, call.Timeout)
 	defer cancel()
 	if call.IdempotencyKey != "" {
@@ -41,22 +41,22 @@
 	}
 	account, err := s.authenticate(s.Config(), call.Key)
 	if err != nil {
-		return s.refused("", err)
+		return s.recordRefusal("", err)
 	}
 	return s.runChat(ctx, account, call.Body, sink)
 }
 
-// runChat admits, covers, sends and settles a completion.
+// runChat admits a completion, reserves its tokens, sends it and settles it.
 func (s *Server) runChat(ctx context.Context, account *operatorv1.Account, body []byte, sink Sink) error {
-	run, release, err := s.admitChat(ctx, account, body, sink)
+	run, release, err := s.prepareChat(ctx, account, body, sink)
 	if err != nil {
-		return s.refused(account.GetName(), err)
+		return s.recordRefusal(account.GetName(), err)
 	}
 	defer release()
-	return named(run.grant.Request().String(), run.run(ctx))
+	return withRequestID(run.grant.Request().String(), run.run(ctx))
 }
 
-func (s *Server) admitChat(ctx context.Context, account *operatorv1.Account, raw []byte, sink Sink) (*chatRun, func(), error) {
+func (s *Server) prepareChat(ctx context.Context, account *operatorv1.Account, raw []byte, sink Sink) (*chatRun, func(), error) {
 	body, err := parseChat(raw)
 	if err != nil {
 		return nil, nil, err
@@ -66,26 +66,26 @@
 		return nil, nil, result.New(result.UnknownService, "no service has model %q", body.Model)
 	}
 	run := &chatRun{server: s, account: account, service: service, model: body.Model, sink: sink}
-	release, err := s.coverChat(ctx, run, body)
+	release, err := s.admitAndReserve(ctx, run, body)
 	return run, release, err
 }
 
-// coverChat admits a run and reserves its worst case.
-func (s *Server) coverChat(ctx context.Context, run *chatRun, body *chatBody) (func(), error) {
+// admitAndReserve prepares a run's body, admits it and reserves its worst case in tokens.
+func (s *Server) admitAndReserve(ctx context.Context, run *chatRun, body *chatBody) (func(), error) {
 	limit, err := body.answerLimit(run.service.GetMaxAnswerTokens())
 	if err != nil {
 		return nil, err
 	}
-	priority := body.priorityWithin(run.account)
+	priority := body.effectivePriority(run.account)
 	body.setPriority(run.service.GetPriorityOrder(), priority)
-	if run.body, err = body.forEngine(limit); err != nil {
+	if run.body, err = body.encodeForEngine(limit); err != nil {
 		return nil, result.New(result.MalformedRequest, "%v", err)
 	}
-	run.bound = body.tokenBound(limitsOf(run.service), limit)
-	run.prompt = s.askOf(ctx, run.account, run.service)
+	run.bound = body.tokenBound(declaredLimits(run.service), limit)
+	run.prompt = s.newRoutingAsk(ctx, run.account, run.service)
 	run.prompt.Priority = priority
 	run.prompt.Model, run.prompt.AnswerTokens = run.model, int(limit)
-	body.describe(&run.prompt)
+	body.describePrompt(&run.prompt)
 	release, err := s.admit(ctx, run.prompt)
 	if err != nil {
 		return nil, err
@@ -98,12 +98,12 @@
 	return release, nil
 }
 
-// ofBoth returns the error that is true of an earlier attempt and of the last one.
-// Without it a request whose first attempt may have run, and whose second reached
-// nobody, would be refused as "not run", and a caller would believe it.
-func ofBoth(before, last error) error {
-	if before != nil && last != nil && result.CodeOf(last).Info().NotRun && !result.CodeOf(before).Info().NotRun {
-		return before
+// mergeAttemptErrors returns the error that holds for both an earlier attempt and the last
+// one. Otherwise a request whose first attempt may have run, and whose second reached no
+// upstream, would be reported as "not run", and the caller would believe it.
+func mergeAttemptErrors(earlier, last error) error {
+	if earlier != nil && last != nil && result.CodeOf(last).Info().NotRun && !result.CodeOf(earlier).Info().NotRun {
+		return earlier
 	}
 	return last
 }
--- a/request/chatbody.go
+++ b/request/chatbody.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// MaxBody bounds a caller's request body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody = 4 << 20
-	// defaultAnswerTokens is the limit of an answer whose caller names none.
+	// defaultAnswerTokens is the answer limit if the caller sets none.
 	defaultAnswerTokens = 512
-	// serviceAnswerTokens is the limit of a service that declares none.
-	serviceAnswerTokens = 4096
+	// defaultServiceAnswerLimit is the answer limit of a service that declares none.
+	defaultServiceAnswerLimit = 4096
 )
 
 // The fields of a completion request that the router reads or sets.
 const (
-	fieldModel         = "model"
-	fieldMessages      = "messages"
-	fieldStream        = "stream"
-	fieldMaxTokens     = "max_tokens"
-	fieldMaxCompletion = "max_completion_tokens"
-	fieldChoices       = "n"
-	fieldBestOf        = "best_of"
-	fieldStreamOptions = "stream_options"
-	fieldPriority      = "priority"
+	fieldModel               = "model"
+	fieldMessages            = "messages"
+	fieldStream              = "stream"
+	fieldMaxTokens           = "max_tokens"
+	fieldMaxCompletionTokens = "max_completion_tokens"
+	fieldChoices             = "n"
+	fieldBestOf              = "best_of"
+	fieldStreamOptions       = "stream_options"
+	fieldPriority            = "priority"
 )
 
-// chatBody is a completion request as the router understands it.
+// chatBody is a parsed completion request.
 type chatBody struct {
 	Model string
-	// Stream is set when the caller wants events.
+	// Stream is set if the caller wants an event stream.
 	Stream bool
 
-	// fields are passed on as they came. Names are matched exactly: the JSON package
-	// would also match "Max_Tokens", which an engine doesn't.
-	fields   map[string]json.RawMessage
-	messages []json.RawMessage
-	bound    uint64
-	// priority is what the caller asks for; nil when it names none.
+	// fields are forwarded unchanged. Names are matched exactly: encoding/json would also
+	// match "Max_Tokens", which an engine does not.
+	fields       map[string]json.RawMessage
+	messages     []json.RawMessage
+	promptTokens uint64
+	// priority is the requested priority; nil if the caller sets none.
 	priority *int64
 }
 
-// parseChat reads a body. It refuses what it can't bound in tokens.
+// parseChat parses a body. It rejects a body whose tokens can't be bounded.
 func parseChat(body []byte) (*chatBody, error) {
-	if err := checkJSON(body); err != nil {
+	if err := validateJSON(body); err != nil {
 		return nil, err
 	}
 	b := &chatBody{}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// readChoices refuses several answers to one request: each would cost max_tokens,
-// and only one is reserved and passed on.
+// readChoices rejects requests for several answers: each would cost max_tokens, and only
+// one is reserved and delivered.
 func (b *chatBody) readChoices() error {
 	for _, name := range []string{fieldChoices, fieldBestOf} {
 		raw, given := b.fields[name]
@@ -109,49 +109,49 @@
 		if err != nil {
 			return err
 		}
-		b.bound += bound
+		b.promptTokens += bound
 	}
-	b.boundOtherFields()
+	b.addOtherFieldsBound()
 	return nil
 }
 
-// boundOtherFields adds what else an engine may put into the prompt: tools, response
-// formats, and whatever a later engine reads. Plain numbers and switches are not
-// worth counting.
-func (b *chatBody) boundOtherFields() {
+// addOtherFieldsBound counts the other fields that an engine may put into the prompt: tools,
+// response formats, and anything a later engine reads. Plain numbers and booleans are too
+// small to count.
+func (b *chatBody) addOtherFieldsBound() {
 	for name, value := range b.fields {
 		isText := len(value) > 0 && bytes.IndexByte([]byte(`{["`), value[0]) >= 0
 		if isText && name != fieldMessages && name != fieldModel && name != fieldStreamOptions {
-			b.bound += uint64(len(value))
+			b.promptTokens += uint64(len(value))
 		}
 	}
 }
 
 func isNull(raw json.RawMessage) bool { return string(raw) == "null" }
 
-// answerLimit returns the most tokens that the answer may have.
+// answerLimit returns the maximum number of answer tokens.
 func (b *chatBody) answerLimit(serviceLimit uint32) (uint64, error) {
 	limit := uint64(serviceLimit)
 	if limit == 0 {
-		limit = serviceAnswerTokens
+		limit = defaultServiceAnswerLimit
 	}
-	asked, err := b.askedTokens()
+	requested, err := b.requestedTokens()
 	if err != nil {
 		return 0, err
 	}
-	if asked == nil {
+	if requested == nil {
 		return min(defaultAnswerTokens, limit), nil
 	}
-	if *asked < 1 || uint64(*asked) > limit {
-		return 0, result.New(result.TokensOutOfRange, "max_tokens is %d; this service takes 1 to %d", *asked, limit)
+	if *requested < 1 || uint64(*requested) > limit {
+		return 0, result.New(result.TokensOutOfRange, "max_tokens is %d; this service takes 1 to %d", *requested, limit)
 	}
-	return uint64(*asked), nil
+	return uint64(*requested), nil
 }
 
-// askedTokens reads the limit under either of its names; nil when none is given.
-func (b *chatBody) askedTokens() (*int64, error) {
-	var asked *int64
-	for _, name := range []string{fieldMaxTokens, fieldMaxCompletion} {
+// requestedTokens reads the answer limit under either of its names; nil if neither is set.
+func (b *chatBody) requestedTokens() (*int64, error) {
+	var requested *int64
+	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		raw, given := b.fields[name]
 		if !given || isNull(raw) {
 			continue
@@ -160,20 +160,20 @@
 		if json.Unmarshal(raw, &tokens) != nil {
 			return nil, result.New(result.TokensOutOfRange, "%s isn't a whole number", name)
 		}
-		if asked != nil && *asked != tokens {
+		if requested != nil && *requested != tokens {
 			return nil, result.New(result.TokensOutOfRange, "max_tokens and max_completion_tokens differ")
 		}
-		asked = &tokens
+		requested = &tokens
 	}
-	return asked, nil
+	return requested, nil
 }
 
-// promptBound returns a number of tokens that the prompt can't exceed.
-func (b *chatBody) promptBound() uint64 { return b.bound }
+// promptBound returns an upper bound on the prompt's tokens.
+func (b *chatBody) promptBound() uint64 { return b.promptTokens }
 
-// forEngine returns the body for the engine: always streamed, with usage, and with
-// the answer's limit named once.
-func (b *chatBody) forEngine(limit uint64) ([]byte, error) {
+// encodeForEngine returns the body for the engine: always streamed, with usage, and with
+// the answer limit set under one name only.
+func (b *chatBody) encodeForEngine(limit uint64) ([]byte, error) {
 	b.fields[fieldStream] = json.RawMessage("true")
 	b.fields[fieldStreamOptions] = json.RawMessage(`{"include_usage":true}`)
 	encoded, err := json.Marshal(limit)
@@ -181,6 +181,6 @@
 		return nil, err
 	}
 	b.fields[fieldMaxTokens] = encoded
-	delete(b.fields, fieldMaxCompletion)
+	delete(b.fields, fieldMaxCompletionTokens)
 	return json.Marshal(b.fields)
 }
--- a/request/chatmessage.go
+++ b/request/chatmessage.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// tokensPerMessage covers what an engine's template adds to each message.
+	// tokensPerMessage covers what an engine's chat template adds to each message.
 	tokensPerMessage = 8
-	textPart         = "text"
+	textPartType     = "text"
 )
 
-// messageBound returns a number of tokens that one message can't exceed: every token
-// stands for at least one byte of its text, or of any other field it has.
-func messageBound(raw json.RawMessage, at int) (uint64, error) {
+// messageBound returns an upper bound on one message's tokens: every token stands for at
+// least one byte of the message's text or of its other fields.
+func messageBound(raw json.RawMessage, index int) (uint64, error) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(raw, &fields) != nil || fields == nil {
-		return 0, result.New(result.MalformedRequest, "messages[%d] isn't an object", at)
+		return 0, result.New(result.MalformedRequest, "messages[%d] isn't an object", index)
 	}
 	bound := uint64(tokensPerMessage)
 	for name, value := range fields {
@@ -25,7 +25,7 @@
 			bound += uint64(len(value))
 			continue
 		}
-		content, err := contentBound(value, at)
+		content, err := contentBound(value, index)
 		if err != nil {
 			return 0, err
 		}
@@ -40,9 +40,9 @@
 	Text *string `json:"text"`
 }
 
-// contentBound reads a content: a string, an array of text parts, or null beside
-// tool calls.
-func contentBound(raw json.RawMessage, at int) (uint64, error) {
+// contentBound returns the bound of a content: a string, an array of text parts, or null
+// beside tool calls.
+func contentBound(raw json.RawMessage, index int) (uint64, error) {
 	var text *string
 	if json.Unmarshal(raw, &text) == nil {
 		if text == nil {
@@ -52,12 +52,12 @@
 	}
 	var parts []contentPart
 	if json.Unmarshal(raw, &parts) != nil {
-		return 0, result.New(result.MalformedRequest, "messages[%d].content is neither a string nor an array of parts", at)
+		return 0, result.New(result.MalformedRequest, "messages[%d].content is neither a string nor an array of parts", index)
 	}
 	for i, part := range parts {
-		// A picture's tokens have no bound in bytes, so it can't be covered.
-		if part.Type != textPart || part.Text == nil {
-			return 0, result.New(result.MalformedRequest, "messages[%d].content[%d] isn't a text part", at, i)
+		// The tokens of an image have no bound in bytes, so they can't be reserved.
+		if part.Type != textPartType || part.Text == nil {
+			return 0, result.New(result.MalformedRequest, "messages[%d].content[%d] isn't a text part", index, i)
 		}
 	}
 	return uint64(len(raw)), nil
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -17,72 +17,72 @@
 	statusOK   = 200
 )
 
-// chatOnce runs a completion that its caller named by a key: sent again, to any node,
-// it is neither run nor billed a second time. It goes on when its caller leaves, since
-// a caller with a key comes back for the answer.
+// chatOnce runs a completion with an idempotency key: sent again, to any node, it is neither
+// run nor billed a second time. It continues when its caller disconnects, since a caller
+// with a key comes back for the answer.
 func (s *Server) chatOnce(ctx context.Context, call ChatCall, sink Sink) error {
 	account, err := s.authenticate(s.Config(), call.Key)
 	if err != nil {
-		return result.From(s.refused("", err)).Doubt()
+		return result.From(s.recordRefusal("", err)).Doubt()
 	}
-	if err := s.checkName(call.named()); err != nil {
-		return s.refused(account.GetName(), err)
+	if err := s.validateKeyOrTicket(call.asServiceCall()); err != nil {
+		return s.recordRefusal(account.GetName(), err)
 	}
-	recorded := newRecording(sink.Streams())
-	ended := make(chan chatEnd, 1)
+	rec := newRecording(sink.Streams())
+	outcome := make(chan chatOutcome, 1)
 	go func() {
-		answer, err := s.doChat(ctx, account, call, recorded, s.forwardChat(account, call))
-		ended <- chatEnd{answer, err}
+		answer, err := s.runKeyedChat(ctx, account, call, rec, s.chatForwarder(account, call))
+		outcome <- chatOutcome{answer, err}
 	}()
-	return follow(recorded, ended, sink)
+	return followRecording(rec, outcome, sink)
 }
 
-// chatEnd is how a named completion ended.
-type chatEnd struct {
+// chatOutcome is the result of a completion with an idempotency key.
+type chatOutcome struct {
 	answer idempotency.Answer
 	err    error
 }
 
-// named returns the completion as a call of a service without a name.
-func (c ChatCall) named() ServiceCall {
+// asServiceCall returns the completion as a call with an empty service name.
+func (c ChatCall) asServiceCall() ServiceCall {
 	return ServiceCall{Method: chatMethod, Path: chatPath, Body: c.Body, IdempotencyKey: c.IdempotencyKey}
 }
 
-func (s *Server) doChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Answer, error) {
-	named := idempotency.Call{
+func (s *Server) runKeyedChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Answer, error) {
+	keyedCall := idempotency.Call{
 		ID:     idempotency.ID{Account: account.GetName(), Key: call.IdempotencyKey},
-		Digest: digestOf(call.named()),
+		Digest: callDigest(call.asServiceCall()),
 	}
-	return s.Runner.Do(ctx, named, func(ctx context.Context) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, keyedCall, func(ctx context.Context) (idempotency.Answer, error) {
 		if err := s.runChat(ctx, account, call.Body, recorded); err != nil {
 			return idempotency.Answer{}, err
 		}
-		body, err := recorded.save()
+		body, err := recorded.encode()
 		return idempotency.Answer{Status: statusOK, Body: body}, err
 	}, forward)
 }
 
-// follow passes a recording on while it grows. An answer that another try recorded is
-// passed on when it has ended.
-func follow(recorded *recording, ended <-chan chatEnd, sink Sink) error {
-	passed := 0
+// followRecording writes a recording to the sink while it grows. An answer that another try
+// recorded is written when it is complete.
+func followRecording(recorded *recording, outcome <-chan chatOutcome, sink Sink) error {
+	delivered := 0
 	for {
-		chunks, changed := recorded.from(passed)
+		chunks, changed := recorded.chunksFrom(delivered)
 		if sink.Streams() {
-			if err := passOn(recorded, chunks, passed == 0, sink); err != nil {
+			if err := deliverChunks(recorded, chunks, delivered == 0, sink); err != nil {
 				return err
 			}
-			passed += len(chunks)
+			delivered += len(chunks)
 		}
 		select {
 		case <-changed:
-		case end := <-ended:
-			return finishFollowing(recorded, passed, end, sink)
+		case end := <-outcome:
+			return finishFollowing(recorded, delivered, end, sink)
 		}
 	}
 }
 
-func passOn(recorded *recording, chunks []recordedChunk, first bool, sink Sink) error {
+func deliverChunks(recorded *recording, chunks []recordedChunk, first bool, sink Sink) error {
 	if first && len(chunks) > 0 {
 		sink.Start(recorded.id, recorded.model)
 	}
@@ -94,22 +94,23 @@
 	return nil
 }
 
-func finishFollowing(recorded *recording, passed int, end chatEnd, sink Sink) error {
-	chunks, _ := recorded.from(passed)
-	if passed > 0 {
-		if err := passOn(recorded, chunks, false, sink); err != nil {
+func finishFollowing(recorded *recording, delivered int, outcome chatOutcome, sink Sink) error {
+	chunks, _ := recorded.chunksFrom(delivered)
+	if delivered > 0 {
+		if err := deliverChunks(recorded, chunks, false, sink); err != nil {
 			return err
 		}
-		return end.err
+		return outcome.err
 	}
-	if end.err != nil {
-		return end.err
+	if outcome.err != nil {
+		return outcome.err
 	}
-	return replay(end.answer.Body, sink)
+	return replay(outcome.answer.Body, sink)
 }
 
-// forwardChat returns the function that passes a completion on; nil without peers.
-func (s *Server) forwardChat(account *operatorv1.Account, call ChatCall) idempotency.ForwardFunc {
+// chatForwarder returns the function that forwards a completion to its owner; nil without
+// peers.
+func (s *Server) chatForwarder(account *operatorv1.Account, call ChatCall) idempotency.ForwardFunc {
 	if s.Peers == nil {
 		return nil
 	}
@@ -122,9 +123,9 @@
 	}
 }
 
-// forwardedChat runs a completion that another node passed on, or returns its answer.
+// forwardedChat runs a completion that another node forwarded, or returns its saved answer.
 func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
 	call := ChatCall{Body: f.GetBody(), IdempotencyKey: f.GetKey()}
-	answer, err := s.doChat(ctx, account, call, newRecording(false), nil)
+	answer, err := s.runKeyedChat(ctx, account, call, newRecording(false), nil)
 	return upstream.CallAnswer(answer), err
 }
--- a/request/chatrun.go
+++ b/request/chatrun.go
@@ -16,7 +16,7 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// chatRun is one completion on its way.
+// chatRun is a completion in progress.
 type chatRun struct {
 	server  *Server
 	account *operatorv1.Account
@@ -28,74 +28,75 @@
 	// reserved is how many tokens the grant covers.
 	reserved uint64
 	sink     Sink
-	reader   reader
+	caller   callerTracker
 
 	started bool
 	usage   upstream.Usage
-	// prompt is what the picker needs to know of the prompt.
+	// prompt is the routing input of the request.
 	prompt routing.Ask
 	pick   routing.Pick
-	// to is the upstream that runs the completion now; nil before the first.
-	to *operatorv1.Upstream
-	// passed holds a hash of each chunk that reached the caller, by its number.
-	passed []uint64
-	// delivered counts the chunks with content among them.
-	delivered uint64
-	cursors   cursorMaker
+	// target is the upstream that runs the completion now; nil before the first attempt.
+	target *operatorv1.Upstream
+	// deliveredHashes holds the hash of each delivered chunk, indexed by chunk number.
+	deliveredHashes []uint64
+	// contentChunks is how many delivered chunks have content.
+	contentChunks uint64
+	cursors       cursorIssuer
 }
 
-// run sends the completion, passes the answer on and settles.
-func (r *chatRun) run(caller context.Context) error {
+// run sends the completion, delivers the answer and settles the request.
+func (r *chatRun) run(callerCtx context.Context) error {
 	id := r.grant.Request().String()
-	if !r.kept() {
+	if !r.isRecorded() {
 		r.server.streams.Store(id, r)
 		defer r.server.streams.Delete(id)
 	}
-	ctx, stop := context.WithCancel(context.WithoutCancel(caller))
+	ctx, stop := context.WithCancel(context.WithoutCancel(callerCtx))
 	defer stop()
-	defer context.AfterFunc(caller, func() {
-		if r.reader.leave() {
+	defer context.AfterFunc(callerCtx, func() {
+		if r.caller.markLeft() {
 			stop()
 		}
 	})()
 	settled := false
 	defer func() {
-		// A panic passes through here. Unsettled, the reservation would stay open
-		// and keep its tokens from the account until this node ends.
+		// Reached without settling only on a panic. The reservation would stay open and
+		// keep its tokens from the account until this node ends.
 		if !settled {
 			r.settle(result.New(result.InternalError, "a defect in this node"))
 		}
 	}()
 	err := r.attempts(ctx)
 	if err != nil && ctx.Err() != nil {
-		err = leftError(caller)
+		err = contextError(callerCtx)
 	}
 	settled = true
 	r.settle(err)
-	if err == nil && r.reader.hasMoved() {
-		// The old connection lacks the chunks that went elsewhere: ended as whole,
-		// it would show a caller an answer with a hole.
+	if err == nil && r.caller.hasMoved() {
+		// The old connection lacks the chunks that were read through the other node. If it
+		// ended as complete, the caller would see an answer with a gap.
 		return result.New(result.CallerGone, "the caller reads on at another node")
 	}
 	return err
 }
 
-// kept tells that the answer is recorded for retries by key: it goes on whoever reads.
-func (r *chatRun) kept() bool {
+// isRecorded reports whether the answer is recorded for retries with its key. Such a
+// completion continues even if nobody reads it.
+func (r *chatRun) isRecorded() bool {
 	_, kept := r.sink.(*recording)
 	return kept
 }
 
-// attempts tries engines until one answers whole.
+// attempts tries engines until one gives a complete answer.
 func (r *chatRun) attempts(ctx context.Context) error {
 	tried := map[string]bool{}
-	pause := newPause()
+	retryBackoff := newRetryBackoff()
 	var last error
 	for n := range maxAttempts {
-		if n > 0 && !r.server.mayRetry(ctx, r.grant.Request().String(), pause) {
+		if n > 0 && !r.server.acquireRetry(ctx, r.grant.Request().String(), retryBackoff) {
 			return last
 		}
-		pick, err := r.server.Picker.Pick(r.ask(tried), r.server.upstreams(r.service.GetName()))
+		pick, err := r.server.Picker.Pick(r.routingAsk(tried), r.server.candidateUpstreams(r.service.GetName()))
 		if err != nil {
 			return firstError(last, err)
 		}
@@ -108,8 +109,8 @@
 		if err == nil {
 			return nil
 		}
-		last = ofBoth(last, err)
-		if !worthAnother(err) {
+		last = mergeAttemptErrors(last, err)
+		if !canRetryElsewhere(err) {
 			return last
 		}
 		tried[pick.Upstream.GetName()] = true
@@ -118,8 +119,8 @@
 	return last
 }
 
-// worthAnother tells that another engine may answer.
-func worthAnother(err error) bool {
+// canRetryElsewhere reports whether another engine may answer.
+func canRetryElsewhere(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NoUpstream, result.UpstreamFailed, result.AnswerCut, result.AnswerCrossed, result.StreamLost,
 		result.UpstreamSilent, result.RequestExpired:
@@ -128,37 +129,37 @@
 	return false
 }
 
-// attempt lets one engine answer. When its stream breaks off, the engine is asked
-// for the rest first: that costs it nothing, while another would start anew.
-func (r *chatRun) attempt(ctx context.Context, to *operatorv1.Upstream) error {
+// attempt runs the completion on one engine. If its stream breaks off, it first asks the
+// same engine for the rest: that costs no new tokens, while another engine would start over.
+func (r *chatRun) attempt(ctx context.Context, target *operatorv1.Upstream) error {
 	id := r.grant.Request()
-	if err := r.grant.Dispatch(ctx, to.GetName()); err != nil {
+	if err := r.grant.Dispatch(ctx, target.GetName()); err != nil {
 		return err
 	}
-	r.server.Events.Record(event.RequestDispatched, "request", id, "upstream", to.GetName())
-	r.begin(to)
-	stream, err := r.server.Client.Chat(ctx, to, upstream.ChatRequest{ID: id.String(), Body: r.body, NotAfter: r.grant.NotAfter()})
+	r.server.Events.Record(event.RequestDispatched, "request", id, "upstream", target.GetName())
+	r.beginAnswer(target)
+	stream, err := r.server.Client.Chat(ctx, target, upstream.ChatRequest{ID: id.String(), Body: r.body, NotAfter: r.grant.NotAfter()})
 	if err != nil {
 		return err
 	}
 	position, err := r.consume(ctx, stream, 0)
-	return r.readOn(ctx, position, err)
+	return r.resumeAnswer(ctx, position, err)
 }
 
-// readOn asks the engine for the rest of a stream that broke off, as long as that
-// brings the answer on.
-func (r *chatRun) readOn(ctx context.Context, position uint64, err error) error {
-	pause := newPause()
-	for tries := 0; err != nil && tries < maxResumes && position > 0 && r.mayResume(err); tries++ {
-		if !r.server.sleep(ctx, pause.NextBackOff()) {
+// resumeAnswer asks the engine for the rest of an interrupted stream, as long as that makes
+// progress.
+func (r *chatRun) resumeAnswer(ctx context.Context, position uint64, err error) error {
+	retryBackoff := newRetryBackoff()
+	for tries := 0; err != nil && tries < maxResumes && position > 0 && r.canResume(err); tries++ {
+		if !r.server.sleep(ctx, retryBackoff.NextBackOff()) {
 			return err
 		}
-		stream, failed := r.server.Resumer.Resume(ctx, r.to, r.grant.Request().String(), position)
-		if failed != nil {
-			// An engine out of reach by now proves nothing of what it ran before.
-			// Passed on alone, that error would tell the caller "not run".
-			err = ofBoth(err, failed)
-			if result.CodeOf(failed) == result.NoUpstream {
+		stream, resumeErr := r.server.Resumer.Resume(ctx, r.target, r.grant.Request().String(), position)
+		if resumeErr != nil {
+			// That the engine is unreachable now says nothing about what it ran before. On
+			// its own, this error would tell the caller "not run".
+			err = mergeAttemptErrors(err, resumeErr)
+			if result.CodeOf(resumeErr) == result.NoUpstream {
 				return err
 			}
 			continue
@@ -167,13 +168,13 @@
 		position, err = r.consume(ctx, stream, position)
 		if position > before {
 			tries = 0
-			pause.Reset()
+			retryBackoff.Reset()
 		}
 	}
 	return err
 }
 
-func (r *chatRun) mayResume(err error) bool {
+func (r *chatRun) canResume(err error) bool {
 	if r.server.Resumer == nil {
 		return false
 	}
@@ -181,60 +182,59 @@
 	return code == result.AnswerCut || code == result.AnswerCrossed || code == result.UpstreamFailed
 }
 
-// begin prepares for the answer of an engine. An answer that hasn't reached the
-// caller yet begins anew; one that has is matched against what it got.
-func (r *chatRun) begin(to *operatorv1.Upstream) {
+// beginAnswer prepares for the answer of an engine. An answer of which the caller has seen
+// nothing starts over; otherwise the new answer is compared with what was delivered.
+func (r *chatRun) beginAnswer(target *operatorv1.Upstream) {
 	if r.started && !r.sink.Streams() {
 		r.sink.Restart()
-		r.passed = r.passed[:0]
-		r.delivered = 0
+		r.deliveredHashes = r.deliveredHashes[:0]
+		r.contentChunks = 0
 	}
-	if len(r.passed) > 0 {
-		r.server.Events.Record(event.AnswerRerun, "request", r.grant.Request(), "upstream", to.GetName(), "matched", len(r.passed))
+	if len(r.deliveredHashes) > 0 {
+		r.server.Events.Record(event.AnswerRerun, "request", r.grant.Request(), "upstream", target.GetName(), "matched", len(r.deliveredHashes))
 	}
-	r.to = to
-	r.cursors = cursorMaker{signer: r.server.Cursors, cursor: fleetv1.StreamCursor{
+	r.target = target
+	r.cursors = cursorIssuer{signer: r.server.Cursors, cursor: fleetv1.StreamCursor{
 		Request: r.grant.Request().String(), PeerAddress: r.server.PeerAddress,
-		Service: r.service.GetName(), Upstream: to.GetName(), Account: r.account.GetName(), Kept: r.kept(),
+		Service: r.service.GetName(), Upstream: target.GetName(), Account: r.account.GetName(), Kept: r.isRecorded(),
 	}}
 }
 
-// consume takes a stream's chunks; it returns the number of the chunk that should
-// come next.
+// consume reads a stream's chunks and returns the number of the next expected chunk.
 func (r *chatRun) consume(ctx context.Context, stream upstream.ChatStream, position uint64) (uint64, error) {
 	defer stream.Close()
 	for {
 		chunk, err := stream.Next()
 		if err == io.EOF {
-			return position, r.whole(position)
+			return position, r.checkComplete(position)
 		}
 		if err != nil {
-			r.server.Events.Record(event.AnswerRejected, "request", r.grant.Request(), "upstream", r.to.GetName(), "why", err)
+			r.server.Events.Record(event.AnswerRejected, "request", r.grant.Request(), "upstream", r.target.GetName(), "why", err)
 			return position, err
 		}
 		r.pick.FirstToken()
 		chunk.Number = position
-		if err := r.take(ctx, chunk); err != nil {
+		if err := r.handleChunk(ctx, chunk); err != nil {
 			return position, err
 		}
 		position++
 	}
 }
 
-// whole checks the end of an answer that another engine began: one that ends before
-// the delivered part does isn't the same answer.
-func (r *chatRun) whole(position uint64) error {
-	if position < uint64(len(r.passed)) {
-		return r.differs(position)
+// checkComplete checks the end of an answer that another engine began. An answer shorter
+// than the delivered part is a different answer.
+func (r *chatRun) checkComplete(position uint64) error {
+	if position < uint64(len(r.deliveredHashes)) {
+		return r.mismatchError(position)
 	}
 	return nil
 }
 
-func (r *chatRun) differs(at uint64) error {
-	return result.New(result.AnswerDiffers, "%s differs at chunk %d from what was delivered", r.to.GetName(), at)
+func (r *chatRun) mismatchError(number uint64) error {
+	return result.New(result.AnswerDiffers, "%s differs at chunk %d from what was delivered", r.target.GetName(), number)
 }
 
-func (r *chatRun) take(ctx context.Context, chunk upstream.Chunk) error {
+func (r *chatRun) handleChunk(ctx context.Context, chunk upstream.Chunk) error {
 	if ctx.Err() != nil {
 		return result.New(result.CallerGone, "the request was given up")
 	}
@@ -242,47 +242,47 @@
 		r.usage = *chunk.Usage
 	}
 	sum := xxhash.Sum64String(chunk.Content) ^ xxhash.Sum64String(chunk.FinishReason)
-	if chunk.Number < uint64(len(r.passed)) {
-		if r.passed[chunk.Number] != sum {
-			return r.differs(chunk.Number)
+	if chunk.Number < uint64(len(r.deliveredHashes)) {
+		if r.deliveredHashes[chunk.Number] != sum {
+			return r.mismatchError(chunk.Number)
 		}
 		return nil
 	}
-	if err := r.pass(chunk); err != nil {
+	if err := r.deliver(chunk); err != nil {
 		return err
 	}
-	r.passed = append(r.passed, sum)
+	r.deliveredHashes = append(r.deliveredHashes, sum)
 	if chunk.Content != "" {
-		r.delivered++
-		r.grant.Progress(r.delivered)
+		r.contentChunks++
+		r.grant.Progress(r.contentChunks)
 	}
 	return nil
 }
 
-func (r *chatRun) pass(chunk upstream.Chunk) error {
+func (r *chatRun) deliver(chunk upstream.Chunk) error {
 	if !r.started {
 		r.started = true
 		r.sink.Start(r.grant.Request(), r.model)
 	}
-	if r.reader.hasMoved() {
+	if r.caller.hasMoved() {
 		return nil
 	}
 	cursor := ""
 	if r.sink.Streams() {
-		cursor = r.cursors.after(chunk, r.server.Clock.Now())
+		cursor = r.cursors.issue(chunk, r.server.Clock.Now())
 	}
-	if err := r.sink.Chunk(cursor, chunk); err != nil && r.reader.leave() {
+	if err := r.sink.Chunk(cursor, chunk); err != nil && r.caller.markLeft() {
 		return result.New(result.CallerGone, "the caller left: %v", err)
 	}
 	return nil
 }
 
-// cancel stops an engine's work on the request. Without it an engine would go on
-// generating for nobody, which shows as slots in use without answers.
-func (r *chatRun) cancel(to *operatorv1.Upstream) {
+// cancel stops the engine's work on the request. Otherwise the engine would keep generating
+// for nobody, which shows as occupied slots without answers.
+func (r *chatRun) cancel(target *operatorv1.Upstream) {
 	ctx, done := clockwork.WithTimeout(context.Background(), r.server.Clock, cancelTimeout)
 	defer done()
-	_ = r.server.Client.Cancel(ctx, to, r.grant.Request().String())
+	_ = r.server.Client.Cancel(ctx, target, r.grant.Request().String())
 }
 
 // settle bills the request once, by the rules in docs/operators/billing-rules.md.
@@ -291,44 +291,44 @@
 	switch {
 	case err == nil:
 		r.grant.Finish(r.usage.Total())
-		r.checkBound(r.usage)
+		r.checkTokenBound(r.usage)
 		r.server.Events.Record(event.RequestFinished, "request", id, "tokens", r.usage.Total())
-	case isLeft(err) || r.reader.hasMoved():
-		used := r.stopAndCount()
+	case isAbandoned(err) || r.caller.hasMoved():
+		used := r.cancelAndCount()
 		tokens := used.Total()
 		r.grant.Finish(tokens)
-		r.checkBound(used)
+		r.checkTokenBound(used)
 		r.server.Events.Record(event.CallerLeft, "request", id, "tokens", tokens)
 	default:
-		if r.to != nil {
-			go r.cancel(r.to)
+		if r.target != nil {
+			go r.cancel(r.target)
 		}
 		r.grant.Finish(0)
 		r.server.Events.Record(event.RequestFailed, "request", id, "code", uint32(result.CodeOf(err)), "why", err)
 	}
 }
 
-// stopAndCount cancels the completion and returns what the engine had counted by
-// then, or what was delivered when the engine doesn't tell.
-func (r *chatRun) stopAndCount() upstream.Usage {
-	if r.to == nil {
+// cancelAndCount cancels the completion and returns the engine's token count, or the number
+// of delivered content chunks if the engine reports none.
+func (r *chatRun) cancelAndCount() upstream.Usage {
+	if r.target == nil {
 		return upstream.Usage{}
 	}
-	r.cancel(r.to)
+	r.cancel(r.target)
 	ctx, done := clockwork.WithTimeout(context.Background(), r.server.Clock, cancelTimeout)
 	defer done()
-	report, err := r.server.Client.Usage(ctx, r.to, r.grant.Request().String())
+	report, err := r.server.Client.Usage(ctx, r.target, r.grant.Request().String())
 	if err != nil || report.State == upstream.UsageUnknown {
-		return upstream.Usage{CompletionTokens: r.delivered}
+		return upstream.Usage{CompletionTokens: r.contentChunks}
 	}
 	return report.Usage
 }
 
-// MoveStream notes that the caller of a completion on this node reads on at another
-// one; false when the completion isn't here or its caller had left before.
+// MoveStream records that the caller of a completion on this node now reads it through
+// another node. It returns false if the completion isn't here or its caller already left.
 func (s *Server) MoveStream(request string) bool {
-	held, here := s.streams.Load(request)
-	if !here || !held.(*chatRun).reader.move() {
+	value, found := s.streams.Load(request)
+	if !found || !value.(*chatRun).caller.markMoved() {
 		return false
 	}
 	s.Events.Record(event.StreamMoved, "request", request)
--- a/request/manystreams_test.go
+++ b/request/concurrentstreams_test.go
@@ -15,39 +15,39 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// manyCall is one caller with a prompt that no other has.
-type manyCall struct {
+// streamCall is a call with a prompt that no other call has.
+type streamCall struct {
 	body   []byte
 	answer string
-	// leaveAt is the chunk before which it hangs up; -1 never.
-	leaveAt int
+	// disconnectAt is the chunk before which the caller disconnects; -1 for never.
+	disconnectAt int
 }
 
-func newManyCall(i int, random *rand.Rand) manyCall {
+func newStreamCall(i int, random *rand.Rand) streamCall {
 	var words []string
 	for k := range 1 + random.IntN(30) {
 		words = append(words, fmt.Sprintf("caller%d-word%d", i, k))
 	}
 	answer := strings.Join(words, " ")
-	call := manyCall{answer: answer, leaveAt: -1,
+	call := streamCall{answer: answer, disconnectAt: -1,
 		body: fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"content":%q}]}`, testModel, len(words), answer)}
 	if random.IntN(3) == 0 {
-		call.leaveAt = random.IntN(len(words) + 1)
+		call.disconnectAt = random.IntN(len(words) + 1)
 	}
 	return call
 }
 
-// run sends the call, and reads on at the next node after hanging up.
-func (c manyCall) run(first, next *testServer) (text string, err error) {
+// run sends the call and, after disconnecting, resumes it at the next node.
+func (c streamCall) run(first, next *testServer) (text string, err error) {
 	sink := &testSink{stream: true}
 	sink.atChunk = func(n int) error {
-		if n == c.leaveAt {
-			return errGone
+		if n == c.disconnectAt {
+			return errConnectionClosed
 		}
 		return nil
 	}
 	err = first.Chat(context.Background(), chatCall(c.body), sink)
-	if c.leaveAt <= 0 || len(sink.cursors) == 0 {
+	if c.disconnectAt <= 0 || len(sink.cursors) == 0 {
 		return sink.text(), err
 	}
 	rest := &testSink{stream: true}
@@ -55,20 +55,20 @@
 	return strings.TrimSpace(sink.text() + " " + rest.text()), err
 }
 
-func TestManyStreamsAtOnce(t *testing.T) {
-	// Many callers stream at once over engines that cut, double, swap and cross their
-	// answers, and a third of them hang up and read on at another node. Whatever a
-	// caller has at the end must be a part of its own answer, the whole of it when the
-	// end says so, and no token may stay reserved.
+func TestConcurrentStreams(t *testing.T) {
+	// Many callers stream at once from engines that cut, duplicate, swap and cross their
+	// answers, and a third of them disconnect and resume at another node. What a caller got
+	// must be a prefix of its own answer, all of it if the stream ended without an error, and
+	// no token may stay reserved.
 	const callers = 300
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{CutAfter: 3, Swap: 4, Duplicate: 5, Cross: 4}, standin.EngineOptions{CutAfter: 7}, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{CutAfter: 3, Swap: 4, Duplicate: 5, Cross: 4}, standin.EngineOptions{CutAfter: 7}, standin.EngineOptions{})
 	nodes := []*testServer{s.newServer("a"), s.newServer("b")}
 	random := rand.New(rand.NewPCG(6, 6))
 	var wait sync.WaitGroup
 	var whole atomic.Int64
 	for i := range callers {
-		call := newManyCall(i, random)
+		call := newStreamCall(i, random)
 		first := random.IntN(len(nodes))
 		wait.Go(func() {
 			text, err := call.run(nodes[first], nodes[1-first])
@@ -87,9 +87,9 @@
 		})
 	}
 	wait.Wait()
-	is.True(whole.Load() > callers/2) // the others hung up
+	is.True(whole.Load() > callers/2) // the others disconnected
 	for _, n := range nodes {
-		n.settled(t)
+		n.billedTokens(t)
 	}
 	is.Equal(nodes[0].InFlight()+nodes[1].InFlight(), int64(0))
 }
--- a/request/cursor.go
+++ b/request/cursor.go
@@ -9,23 +9,21 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// CursorPurpose is what stream cursors are signed for.
+// CursorPurpose is the signing purpose of stream cursors.
 const CursorPurpose = "stream-cursor"
 
-// cursorLifetime is how long after its chunk a cursor may be used. Engines keep a
-// stream's output for less.
+// cursorLifetime is how long a cursor is valid after its chunk. Engines keep a stream's
+// output for less time.
 const cursorLifetime = 10 * time.Minute
 
-// cursorMaker makes the cursor of each chunk of one stream. It isn't safe for
-// concurrent use.
-type cursorMaker struct {
+// cursorIssuer issues the cursors of one stream's chunks. It isn't safe for concurrent use.
+type cursorIssuer struct {
 	signer *signed.Signer
 	cursor fleetv1.StreamCursor
 }
 
-// after returns the cursor of a caller that got the chunk; empty when the node signs
-// none.
-func (m *cursorMaker) after(chunk upstream.Chunk, now time.Time) string {
+// issue returns the cursor that points past the chunk; empty if the node signs none.
+func (m *cursorIssuer) issue(chunk upstream.Chunk, now time.Time) string {
 	if m.signer == nil {
 		return ""
 	}
@@ -35,8 +33,8 @@
 	return m.signer.Seal(&m.cursor)
 }
 
-// openCursor reads a caller's cursor. One of another account is as invalid as a
-// forged one: it would show a caller somebody else's answer.
+// openCursor verifies a caller's cursor. A cursor of another account is rejected like a
+// forged one: it would give a caller somebody else's answer.
 func (s *Server) openCursor(account, text string) (*fleetv1.StreamCursor, error) {
 	cursor := &fleetv1.StreamCursor{}
 	switch {
--- a/request/doc.go
+++ b/request/doc.go
@@ -1,3 +1,3 @@
-// Package request runs the life of one request: authenticate, reserve, pick,
-// dispatch, pass the answer on whole, settle.
+// Package request handles a request from authentication to settlement: it reserves the
+// budget, picks an upstream, dispatches, delivers the complete answer and settles.
 package request
--- a/request/jsonguard.go
+++ b/request/jsonvalidator.go
@@ -8,31 +8,31 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// maxDepth bounds how deep a caller's JSON may nest.
-const maxDepth = 64
+// maxJSONDepth is the maximum nesting depth of a caller's JSON.
+const maxJSONDepth = 64
 
-// checkJSON refuses a body that two readers could take for two things: one with a
-// key twice in an object, with bytes that aren't UTF-8, or with something behind its
-// end. An engine that reads the other one of two equal keys would get a longer prompt
-// than was reserved, and the account would spend beyond its budget.
-func checkJSON(body []byte) error {
+// validateJSON rejects a body that two parsers could read differently: one with a duplicate
+// key in an object, with invalid UTF-8, or with data after its end. An engine that uses the
+// other one of two equal keys would get a longer prompt than was reserved, and the account
+// would overspend its budget.
+func validateJSON(body []byte) error {
 	if !utf8.Valid(body) {
 		return result.New(result.MalformedRequest, "the body isn't UTF-8")
 	}
 	if !json.Valid(body) {
 		return result.New(result.MalformedRequest, "the body isn't JSON")
 	}
-	guard := jsonGuard{decoder: json.NewDecoder(bytes.NewReader(body))}
-	guard.decoder.UseNumber()
-	return guard.value(0)
+	validator := jsonValidator{decoder: json.NewDecoder(bytes.NewReader(body))}
+	validator.decoder.UseNumber()
+	return validator.value(0)
 }
 
-// jsonGuard walks one valid JSON value.
-type jsonGuard struct{ decoder *json.Decoder }
+// jsonValidator walks one JSON value that is known to be syntactically valid.
+type jsonValidator struct{ decoder *json.Decoder }
 
-func (g *jsonGuard) value(depth int) error {
-	if depth > maxDepth {
-		return result.New(result.MalformedRequest, "the body nests deeper than %d", maxDepth)
+func (g *jsonValidator) value(depth int) error {
+	if depth > maxJSONDepth {
+		return result.New(result.MalformedRequest, "the body nests deeper than %d", maxJSONDepth)
 	}
 	token, err := g.decoder.Token()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (g *jsonGuard) object(depth int) error {
+func (g *jsonValidator) object(depth int) error {
 	seen := map[string]bool{}
 	for g.decoder.More() {
 		token, err := g.decoder.Token()
@@ -67,7 +67,7 @@
 	return err
 }
 
-func (g *jsonGuard) array(depth int) error {
+func (g *jsonValidator) array(depth int) error {
 	for g.decoder.More() {
 		if err := g.value(depth + 1); err != nil {
 			return err
--- a/request/peers.go
+++ b/request/peers.go
@@ -7,12 +7,12 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Peers asks other nodes on behalf of requests.
+// Peers sends requests to other nodes.
 type Peers interface {
-	// Forward passes a call on to the incarnation that alone may run it. address is
-	// empty when the fold knows it.
+	// Forward sends a call to the only incarnation that may run it. address is empty if
+	// the state replicated from the log has it.
 	Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallAnswer, error)
-	// MoveStream tells the node at a peer address that the caller of a completion
-	// reads on here.
+	// MoveStream tells the node at a peer address that the caller of a completion now
+	// reads it through this node.
 	MoveStream(ctx context.Context, address, request string)
 }
--- a/request/priority.go
+++ b/request/priority.go
@@ -9,34 +9,34 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// readPriority takes the caller's wish out of the body. Left there it would reach the
-// engine as it came: any caller could put its bulk work before everybody's, which would
-// show as urgent requests that wait behind it.
+// readPriority removes the requested priority from the body. If it reached the engine
+// unchanged, any caller could put its bulk work before everybody else's, and urgent
+// requests would wait behind it.
 func (b *chatBody) readPriority() error {
 	raw, given := b.fields[fieldPriority]
 	delete(b.fields, fieldPriority)
 	if !given || isNull(raw) {
 		return nil
 	}
-	var wish int64
-	if json.Unmarshal(raw, &wish) != nil {
+	var requested int64
+	if json.Unmarshal(raw, &requested) != nil {
 		return result.New(result.MalformedRequest, "priority isn't a whole number")
 	}
-	b.priority = &wish
+	b.priority = &requested
 	return nil
 }
 
-// priorityWithin returns the request's priority: what its caller asked for, at most
-// that of its account. Higher goes first.
-func (b *chatBody) priorityWithin(account *operatorv1.Account) int {
-	most := int64(account.GetPriority())
+// effectivePriority returns the priority that the caller requested, capped at the account's.
+// Higher values go first.
+func (b *chatBody) effectivePriority(account *operatorv1.Account) int {
+	limit := int64(account.GetPriority())
 	if b.priority == nil {
-		return int(most)
+		return int(limit)
 	}
-	return int(max(config.LeastPriority, min(*b.priority, most)))
+	return int(max(config.LeastPriority, min(*b.priority, limit)))
 }
 
-// setPriority writes the priority as the service's engines read it.
+// setPriority writes the priority in the order that the service's engines use.
 func (b *chatBody) setPriority(order operatorv1.PriorityOrder, priority int) {
 	switch order {
 	case operatorv1.PriorityOrder_PRIORITY_ORDER_LOWER_FIRST:
--- a/request/priority_test.go
+++ b/request/priority_test.go
@@ -16,24 +16,25 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// priorityBody is a request with the field given, and what the engine gets of it.
+// priorityBody parses a request with the given field and returns its effective priority and
+// the one sent to the engine.
 func priorityBody(t *testing.T, field string, account int32, order operatorv1.PriorityOrder) (int, string) {
 	t.Helper()
 	is := is.New(t)
 	body, err := parseChat([]byte(`{"model":"m","messages":[{"content":"x"}]` + field + `}`))
 	is.NoErr(err)
-	priority := body.priorityWithin(&operatorv1.Account{Priority: account})
+	priority := body.effectivePriority(&operatorv1.Account{Priority: account})
 	body.setPriority(order, priority)
-	sent, err := body.forEngine(1)
+	sent, err := body.encodeForEngine(1)
 	is.NoErr(err)
 	var fields map[string]json.RawMessage
 	is.NoErr(json.Unmarshal(sent, &fields))
 	return priority, string(fields["priority"])
 }
 
-// A caller names a priority above its account's, in the body that goes to the engine.
-// Were it passed on as it came, its bulk work would run before everybody's.
-func TestACallerCantRaiseItsPriority(t *testing.T) {
+// A caller sets a priority above its account's in the body for the engine. If it were
+// forwarded unchanged, the caller's bulk work would run before everybody else's.
+func TestCallerCannotRaiseItsPriority(t *testing.T) {
 	is := is.New(t)
 	none, lower, higher := operatorv1.PriorityOrder_PRIORITY_ORDER_UNSPECIFIED,
 		operatorv1.PriorityOrder_PRIORITY_ORDER_LOWER_FIRST, operatorv1.PriorityOrder_PRIORITY_ORDER_HIGHER_FIRST
@@ -65,12 +66,12 @@
 	}
 }
 
-// An account floods an engine with bulk work of low priority. A request of an urgent
-// account that comes last would wait for the whole flood if the engine weren't told.
-func TestALowPriorityFloodDoesNotDelayAnUrgentRequest(t *testing.T) {
+// An account floods an engine with low-priority bulk work. If the engine weren't told the
+// priorities, a later request of an urgent account would wait for the whole flood.
+func TestLowPriorityFloodDoesNotDelayUrgentRequest(t *testing.T) {
 	const flood = 20
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{Slots: 1, TokenTime: time.Millisecond})
+	s := newFixture(t, standin.EngineOptions{Slots: 1, TokenTime: time.Millisecond})
 	s.changes = nil
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{
 		Name: "account", KeySha256: []string{config.HashKey(testKey)}, Priority: 5}}})
@@ -96,11 +97,11 @@
 		requests.Go(func() { _ = n.Chat(context.Background(), chatCall(low), &testSink{}) })
 	}
 	wait(flood, 1)
-	urgent := &idSink{testSink: testSink{stream: true}}
+	urgent := &requestIDSink{testSink: testSink{stream: true}}
 	requests.Go(func() { _ = n.Chat(context.Background(), chatCall(body), urgent) })
 	wait(flood+1, 1)
 	stop()
 	requests.Wait()
 	is.Equal(urgent.text(), answer)
-	is.Equal(engine.Begun()[1], urgent.id) // right after the one that held the slot
+	is.Equal(engine.Begun()[1], urgent.id) // directly after the request that held the slot
 }
--- a/request/recording.go
+++ b/request/recording.go
@@ -9,9 +9,9 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// recording is a Sink that keeps an answer for its caller's retries. The caller that
-// started it reads along in a goroutine of its own; should it leave, nothing is
-// written to a connection that the server has given to another request.
+// recording is a Sink that stores an answer for its caller's retries. The caller that started
+// it reads it from a goroutine of its own, so that after the caller left, nothing is written
+// to a connection that the server has reused for another request.
 type recording struct {
 	stream bool
 
@@ -59,22 +59,22 @@
 	return nil
 }
 
-// from returns the chunks from a number on, and a channel that is closed when there
-// are more.
-func (r *recording) from(n int) ([]recordedChunk, <-chan struct{}) {
+// chunksFrom returns the chunks from index n on, and a channel that is closed when a chunk
+// is added.
+func (r *recording) chunksFrom(n int) ([]recordedChunk, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chunks[min(n, len(r.chunks)):], r.changed
 }
 
-// savedAnswer is a recorded answer as it is held and passed between nodes.
+// savedAnswer is the encoding of a recorded answer for storage and for other nodes.
 type savedAnswer struct {
 	Request string       `json:"request"`
 	Model   string       `json:"model"`
 	Chunks  []savedChunk `json:"chunks"`
 }
 
-// savedChunk is an upstream.Chunk without what its place tells.
+// savedChunk is an upstream.Chunk without its number, which its position gives.
 type savedChunk struct {
 	Data         []byte          `json:"data"`
 	Content      string          `json:"content,omitempty"`
@@ -82,7 +82,7 @@
 	Usage        *upstream.Usage `json:"usage,omitempty"`
 }
 
-func (r *recording) save() ([]byte, error) {
+func (r *recording) encode() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	saved := savedAnswer{Request: r.id.String(), Model: r.model}
@@ -92,8 +92,8 @@
 	return json.Marshal(saved)
 }
 
-// replay passes a saved answer to a sink. Its chunks carry no cursor: the caller has
-// the answer whole in a moment, and asks again with its key if not.
+// replay writes a saved answer to a sink. Its chunks carry no cursor: the complete answer
+// arrives at once, and if it doesn't, the caller retries with its key.
 func replay(data []byte, sink Sink) error {
 	var saved savedAnswer
 	if err := json.Unmarshal(data, &saved); err != nil {
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -7,32 +7,31 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// refusalMark stands before the number in the id of a request that was refused, so
-// that it is never taken for the id of one that was admitted.
-const refusalMark = ".r"
+// refusalIDSeparator precedes the number in the id of a refused request, so that it can't be
+// confused with the id of an admitted one.
+const refusalIDSeparator = ".r"
 
-// refused records a refusal and passes it on under an id of its own. Nothing was
-// reserved, so the request has no id yet; without one nobody could ask afterwards why
-// it was refused.
-func (s *Server) refused(account string, err error) error {
+// recordRefusal records a refusal and returns the error with a new id. Nothing was reserved,
+// so the request has no id yet, and without one nobody could look up why it was refused.
+func (s *Server) recordRefusal(account string, err error) error {
 	if err == nil {
 		return nil
 	}
-	known := result.From(err)
-	if known.Request != "" {
-		return known
+	refusal := result.From(err)
+	if refusal.Request != "" {
+		return refusal
 	}
-	known = known.Of(s.Events.Node() + refusalMark + strconv.FormatUint(s.refusals.Add(1), 10))
-	fields := []any{"request", known.Request, "account", account, "code", uint32(known.Code), "why", known.Message}
-	if known.RetryAfter > 0 {
-		fields = append(fields, event.RetryAfterField, known.RetryAfter)
+	refusal = refusal.Of(s.Events.Node() + refusalIDSeparator + strconv.FormatUint(s.refusals.Add(1), 10))
+	fields := []any{"request", refusal.Request, "account", account, "code", uint32(refusal.Code), "why", refusal.Message}
+	if refusal.RetryAfter > 0 {
+		fields = append(fields, event.RetryAfterField, refusal.RetryAfter)
 	}
 	s.Events.Record(event.RequestRefused, fields...)
-	return known
+	return refusal
 }
 
-// named returns the error of an admitted request with its id; nil stays nil.
-func named(request string, err error) error {
+// withRequestID adds the id of an admitted request to its error; nil stays nil.
+func withRequestID(request string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/request/resume.go
+++ b/request/resume.go
@@ -15,51 +15,50 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// ResumeCall is a caller that brings back the last event id it got.
+// ResumeCall is a request to resume a stream after the last event id that the caller got.
 type ResumeCall struct {
 	Key    string
 	Cursor string
 }
 
-// resumeRun reads on from a stream that another node began. It holds no
-// reservation and settles nothing: the node that began the request stays
-// accountable, or whoever recovers for it, from the engine's own count. Were this
-// node to bill too, the request would be billed twice.
+// resumeRun resumes a stream that another node began. It holds no reservation and settles
+// nothing: the node that began the request, or the one that recovers it, settles it from the
+// engine's own count. If this node billed too, the request would be billed twice.
 type resumeRun struct {
 	server *Server
 	cursor *fleetv1.StreamCursor
-	to     *operatorv1.Upstream
+	target *operatorv1.Upstream
 	id     budget.RequestID
 	sink   Sink
 
 	started  bool
 	position uint64
-	cursors  cursorMaker
+	cursors  cursorIssuer
 }
 
-// ResumeChat passes the missing chunks of a stream to the sink. A nil error means
-// that the answer ended whole.
+// ResumeChat writes the missing chunks of a stream to the sink. A nil error means that the
+// answer is complete.
 func (s *Server) ResumeChat(ctx context.Context, call ResumeCall, sink Sink) error {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	view := s.Config()
 	account, err := s.authenticate(view, call.Key)
 	if err != nil {
-		return s.refused("", err)
+		return s.recordRefusal("", err)
 	}
 	cursor, err := s.openCursor(account.GetName(), call.Cursor)
 	if err != nil {
-		return s.refused(account.GetName(), err)
+		return s.recordRefusal(account.GetName(), err)
 	}
 	run, err := s.newResumeRun(view, cursor, sink)
 	if err != nil {
-		return s.refused(account.GetName(), err)
+		return s.recordRefusal(account.GetName(), err)
 	}
-	s.moveHere(ctx, cursor)
+	s.notifyStreamMoved(ctx, cursor)
 	err = run.run(ctx)
 	if err != nil && ctx.Err() != nil {
 		run.cancel()
-		return leftError(ctx)
+		return contextError(ctx)
 	}
 	return err
 }
@@ -71,8 +70,8 @@
 	}
 	for _, to := range view.Upstreams(cursor.GetService()) {
 		if to.GetName() == cursor.GetUpstream() && s.Resumer != nil {
-			run := &resumeRun{server: s, cursor: cursor, to: to, id: id, sink: sink, position: cursor.GetNext()}
-			run.cursors = cursorMaker{signer: s.Cursors, cursor: fleetv1.StreamCursor{
+			run := &resumeRun{server: s, cursor: cursor, target: to, id: id, sink: sink, position: cursor.GetNext()}
+			run.cursors = cursorIssuer{signer: s.Cursors, cursor: fleetv1.StreamCursor{
 				Request: cursor.GetRequest(), PeerAddress: cursor.GetPeerAddress(), Service: cursor.GetService(),
 				Upstream: cursor.GetUpstream(), Account: cursor.GetAccount(), Usage: cursor.GetUsage(), Kept: cursor.GetKept(),
 			}}
@@ -82,10 +81,10 @@
 	return nil, result.New(result.StreamLost, "engine %s is no longer declared", cursor.GetUpstream())
 }
 
-// moveHere tells the accountable node that the caller reads on here, so that it
-// doesn't take a closed connection for a caller that left. It isn't waited for: the
-// node may be dead.
-func (s *Server) moveHere(ctx context.Context, cursor *fleetv1.StreamCursor) {
+// notifyStreamMoved tells the node that settles the request that the caller reads on through
+// this node, so that it doesn't take the closed connection for a caller that left. It doesn't
+// wait for a reply, since that node may be dead.
+func (s *Server) notifyStreamMoved(ctx context.Context, cursor *fleetv1.StreamCursor) {
 	if cursor.GetPeerAddress() == s.PeerAddress {
 		s.MoveStream(cursor.GetRequest())
 		return
@@ -96,23 +95,23 @@
 }
 
 func (r *resumeRun) run(ctx context.Context) error {
-	r.server.Events.Record(event.StreamResumed, "request", r.cursor.GetRequest(), "upstream", r.to.GetName(), "from", r.position)
-	pause := newPause()
+	r.server.Events.Record(event.StreamResumed, "request", r.cursor.GetRequest(), "upstream", r.target.GetName(), "from", r.position)
+	retryBackoff := newRetryBackoff()
 	for tries := 0; ; tries++ {
 		before := r.position
-		err := r.once(ctx)
+		err := r.resumeOnce(ctx)
 		if r.position > before {
 			tries = 0
-			pause.Reset()
+			retryBackoff.Reset()
 		}
-		if err == nil || tries == maxResumes || !worthResuming(err) || !r.server.sleep(ctx, pause.NextBackOff()) {
+		if err == nil || tries == maxResumes || !isResumable(err) || !r.server.sleep(ctx, retryBackoff.NextBackOff()) {
 			return err
 		}
 	}
 }
 
-// worthResuming tells that the engine may send the rest when it is asked again.
-func worthResuming(err error) bool {
+// isResumable reports whether the engine may send the rest if it is asked again.
+func isResumable(err error) bool {
 	switch result.CodeOf(err) {
 	case result.AnswerCut, result.AnswerCrossed, result.UpstreamFailed, result.NoUpstream:
 		return true
@@ -120,8 +119,8 @@
 	return false
 }
 
-func (r *resumeRun) once(ctx context.Context) error {
-	stream, err := r.server.Resumer.Resume(ctx, r.to, r.cursor.GetRequest(), r.position)
+func (r *resumeRun) resumeOnce(ctx context.Context) error {
+	stream, err := r.server.Resumer.Resume(ctx, r.target, r.cursor.GetRequest(), r.position)
 	if err != nil {
 		return err
 	}
@@ -129,46 +128,46 @@
 	for {
 		chunk, err := stream.Next()
 		if err == io.EOF {
-			r.start()
+			r.ensureStarted()
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		chunk.Number = r.position
-		if err := r.pass(ctx, chunk); err != nil {
+		if err := r.deliver(ctx, chunk); err != nil {
 			return err
 		}
 		r.position++
 	}
 }
 
-func (r *resumeRun) start() {
+func (r *resumeRun) ensureStarted() {
 	if !r.started {
 		r.started = true
 		r.sink.Start(r.id, "")
 	}
 }
 
-func (r *resumeRun) pass(ctx context.Context, chunk upstream.Chunk) error {
+func (r *resumeRun) deliver(ctx context.Context, chunk upstream.Chunk) error {
 	if ctx.Err() != nil {
-		return leftError(ctx)
+		return contextError(ctx)
 	}
-	r.start()
-	if err := r.sink.Chunk(r.cursors.after(chunk, r.server.Clock.Now()), chunk); err != nil {
+	r.ensureStarted()
+	if err := r.sink.Chunk(r.cursors.issue(chunk, r.server.Clock.Now()), chunk); err != nil {
 		r.cancel()
 		return result.New(result.CallerGone, "the caller left: %v", err)
 	}
 	return nil
 }
 
-// cancel stops the engine when the caller left here too, unless the answer is kept
-// for a retry by key.
+// cancel stops the engine when the caller left here too, unless the answer is recorded for
+// retries with its key.
 func (r *resumeRun) cancel() {
 	if r.cursor.GetKept() {
 		return
 	}
 	ctx, done := clockwork.WithTimeout(context.Background(), r.server.Clock, cancelTimeout)
 	defer done()
-	_ = r.server.Client.Cancel(ctx, r.to, r.cursor.GetRequest())
+	_ = r.server.Client.Cancel(ctx, r.target, r.cursor.GetRequest())
 }
--- a/request/retry.go
+++ b/request/retry.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// firstPause and longestPause bound the wait before a retry, which is drawn
-	// evenly between zero and twice the interval (full jitter).
-	firstPause   = 25 * time.Millisecond
-	longestPause = 500 * time.Millisecond
+	// initialRetryDelay and maxRetryDelay bound the backoff interval. The delay before a retry
+	// is drawn uniformly between zero and twice the interval (full jitter).
+	initialRetryDelay = 25 * time.Millisecond
+	maxRetryDelay     = 500 * time.Millisecond
 )
 
 // RetryBudget bounds a node's retries in proportion to its requests;
-// admission.RetryBudget is one.
+// admission.RetryBudget implements it.
 type RetryBudget interface {
-	// FirstAttempt is told of each request.
+	// FirstAttempt is called once for each request.
 	FirstAttempt()
-	// TryRetry takes one retry out; false if there is none.
+	// TryRetry takes one retry from the budget; false if none is left.
 	TryRetry() bool
 }
 
-func newPause() *backoff.ExponentialBackOff {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
-	pause.RandomizationFactor = 1
-	pause.Multiplier = 2
-	pause.MaxInterval = longestPause
-	return pause
+func newRetryBackoff() *backoff.ExponentialBackOff {
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = initialRetryDelay
+	retryBackoff.RandomizationFactor = 1
+	retryBackoff.Multiplier = 2
+	retryBackoff.MaxInterval = maxRetryDelay
+	return retryBackoff
 }
 
-// firstAttempt pays for a share of a retry.
-func (s *Server) firstAttempt() {
+// countFirstAttempt adds a request's share of a retry to the retry budget.
+func (s *Server) countFirstAttempt() {
 	if s.Retries != nil {
 		s.Retries.FirstAttempt()
 	}
 }
 
-// mayRetry takes a retry out of the node's budget and waits before it; false when
-// the request isn't to be sent again.
-func (s *Server) mayRetry(ctx context.Context, request string, pause *backoff.ExponentialBackOff) bool {
+// acquireRetry takes a retry from the node's retry budget and waits for the backoff delay.
+// It returns false if the request must not be sent again.
+func (s *Server) acquireRetry(ctx context.Context, request string, retryBackoff *backoff.ExponentialBackOff) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -52,10 +52,10 @@
 		return false
 	}
 	s.Events.Record(event.AttemptRetried, "request", request)
-	return s.sleep(ctx, pause.NextBackOff())
+	return s.sleep(ctx, retryBackoff.NextBackOff())
 }
 
-// sleep waits; false when ctx ended first.
+// sleep waits for d; false if ctx ended first.
 func (s *Server) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/request/retryload_test.go
+++ b/request/retryload_test.go
@@ -14,28 +14,28 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// sickClient is upstreams that all fail.
-type sickClient struct {
+// failingClient is a client whose calls all fail.
+type failingClient struct {
 	upstream.Client
 	sent atomic.Int64
 }
 
-func (c *sickClient) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallAnswer, error) {
+func (c *failingClient) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallAnswer, error) {
 	c.sent.Add(1)
 	return upstream.CallAnswer{}, result.New(result.UpstreamFailed, "sick")
 }
 
-func TestRetriesAddATenthAtMost(t *testing.T) {
-	// All instances of a service fail, and every read could be tried three times. The
-	// sick service would get three times its load just when it can bear least.
+func TestRetriesAddAtMostTenPercentLoad(t *testing.T) {
+	// All instances of a service fail, and every read could be tried three times. Without a
+	// retry budget the service would get three times its load while it is least able to take it.
 	const calls = 2000
 	is := is.New(t)
-	s := newSite(t)
+	s := newFixture(t)
 	for _, name := range []string{"one", "two", "three"} {
 		s.declareUpstream(name, "orders", "127.0.0.1:1")
 	}
 	s.apply()
-	client := &sickClient{}
+	client := &failingClient{}
 	n := s.newServer("a")
 	n.Client, n.Retries = client, admission.NewRetryBudget()
 	var wait sync.WaitGroup
@@ -43,7 +43,7 @@
 		wait.Go(func() { _, _ = n.Call(context.Background(), order("GET", "quote")) })
 	}
 	wait.Wait()
-	is.Equal(n.settled(t), uint64(0))
-	is.True(client.sent.Load() > calls)              // some were tried again
-	is.True(client.sent.Load() <= calls+calls/10+10) // a tenth, and the reserve
+	is.Equal(n.billedTokens(t), uint64(0))
+	is.True(client.sent.Load() > calls)              // some were retried
+	is.True(client.sent.Load() <= calls+calls/10+10) // ten percent, plus the reserve
 }
--- a/request/server.go
+++ b/request/server.go
@@ -18,12 +18,12 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Reserver covers a request's worst case; budget.Reserver is one.
+// Reserver reserves a request's worst case in tokens; budget.Reserver implements it.
 type Reserver interface {
 	Reserve(ctx context.Context, budget string, tokens uint64) (budget.Grant, error)
 }
 
-// Server runs requests on one node. It is safe for concurrent use.
+// Server runs the requests of one node. It is safe for concurrent use.
 type Server struct {
 	Config   func() *config.View
 	Reserver Reserver
@@ -32,35 +32,35 @@
 	Events   *event.Recorder
 	Clock    clockwork.Clock
 	Region   string
-	// Staying leaves out the upstreams that the platform shows as leaving; may be nil.
-	Staying func([]*operatorv1.Upstream) []*operatorv1.Upstream
-	// PeerAddress is where other nodes reach this one.
+	// ExcludeLeaving filters out upstreams that the platform reports as leaving; may be nil.
+	ExcludeLeaving func([]*operatorv1.Upstream) []*operatorv1.Upstream
+	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string
 
-	// Admission may be nil: every request runs at once then.
+	// Admission may be nil: every request then runs at once.
 	Admission Admission
-	// Retries may be nil: attempts are bounded per request alone then.
+	// Retries may be nil: retries are then bounded only per request.
 	Retries RetryBudget
-	// Resumer may be nil: streams aren't resumed then.
+	// Resumer may be nil: streams are then not resumed.
 	Resumer upstream.Resumer
-	// Cursors signs event ids; nil for none.
+	// Cursors signs event ids; nil issues none.
 	Cursors *signed.Signer
-	// Tickets signs tickets; nil for none.
+	// Tickets signs tickets; nil issues none.
 	Tickets *signed.Signer
-	// Runner runs calls at most once; nil refuses keys and tickets.
+	// Runner runs calls at most once; if nil, idempotency keys and tickets are refused.
 	Runner *idempotency.Runner
 	// Peers reaches other nodes; may be nil.
 	Peers Peers
 
-	inFlight atomic.Int64
-	refusals atomic.Uint64
-	wrong    wrongLimits
-	// streams holds the completions that run, by request id.
+	inFlight     atomic.Int64
+	refusals     atomic.Uint64
+	contradicted contradictedLimits
+	// streams holds the running completions by request id.
 	streams sync.Map
 }
 
-// InFlight returns how many requests run now, named calls whose caller has left
-// among them.
+// InFlight returns the number of running requests, including at-most-once calls whose caller
+// has left.
 func (s *Server) InFlight() int64 {
 	if s.Runner == nil {
 		return s.inFlight.Load()
@@ -68,7 +68,7 @@
 	return s.inFlight.Load() + s.Runner.Active()
 }
 
-// authenticate finds the client account of a caller's key.
+// authenticate returns the client account of a caller's key.
 func (s *Server) authenticate(view *config.View, key string) (*operatorv1.Account, error) {
 	account := view.AccountByKey(key)
 	if key == "" || account == nil {
@@ -77,7 +77,7 @@
 	return account, nil
 }
 
-// reserve finds the budget of an account for a service and reserves tokens of it.
+// reserve finds the budget of an account for a service and reserves tokens from it.
 func (s *Server) reserve(ctx context.Context, view *config.View, account, service string, tokens uint64) (budget.Grant, error) {
 	name := view.Budget(account, service)
 	if name == "" {
--- a/request/sink.go
+++ b/request/sink.go
@@ -5,15 +5,15 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Sink takes an answer on its way to the caller.
+// Sink receives an answer for the caller.
 type Sink interface {
-	// Start is told once, before the first chunk, under which id the request runs.
+	// Start is called once, before the first chunk, with the request's id.
 	Start(id budget.RequestID, model string)
-	// Chunk passes one piece on, with the cursor of a caller that has it; an error
-	// means that the caller has left.
+	// Chunk writes one chunk, with the cursor that resumes after it; an error means that
+	// the caller has left.
 	Chunk(cursor string, chunk upstream.Chunk) error
-	// Streams tells whether chunks reach the caller as they come.
+	// Streams reports whether chunks reach the caller as they arrive.
 	Streams() bool
-	// Restart drops all chunks taken. It is called only when Streams is false.
+	// Restart discards all chunks. It is called only if Streams returns false.
 	Restart()
 }
--- a/request/stream_test.go
+++ b/request/stream_test.go
@@ -14,101 +14,101 @@
 	"lavenderpin.dev/lavenderpin/signed"
 )
 
-var errGone = errors.New("connection closed")
+var errConnectionClosed = errors.New("connection closed")
 
-func TestStreamBreaksOffAndIsReadOn(t *testing.T) {
-	// The connection to the engine breaks every second word, while the engine goes on.
-	// The caller must see one whole answer and be billed for one.
+func TestInterruptedStreamIsResumed(t *testing.T) {
+	// The connection to the engine breaks after every second word, while the engine goes on.
+	// The caller must get one complete answer and be billed once.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{CutAfter: 2})
+	s := newFixture(t, standin.EngineOptions{CutAfter: 2})
 	n := s.newServer("a")
 	body, answer := prompt(10)
 	sink := &testSink{stream: true}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
-	is.Equal(len(sink.cursors), 12) // ten words, the end and the usage, each once
-	is.Equal(n.settled(t), uint64(20))
+	is.Equal(len(sink.cursors), 12) // ten words, the finish reason and the usage, once each
+	is.Equal(n.billedTokens(t), uint64(20))
 	is.Equal(len(s.engines[0].Served()), 1)
 }
 
-func TestChunksTwiceAndOutOfOrder(t *testing.T) {
-	// An engine sends chunks twice and swapped. Passed on as they come, the summary
-	// would repeat and shuffle words and still look whole.
+func TestDuplicateAndReorderedChunks(t *testing.T) {
+	// An engine sends duplicate and swapped chunks. Forwarded unchanged, the answer would
+	// have repeated and reordered words and still look complete.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{Duplicate: 2, Swap: 3})
+	s := newFixture(t, standin.EngineOptions{Duplicate: 2, Swap: 3})
 	n := s.newServer("a")
 	body, answer := prompt(20)
 	sink := &testSink{stream: true}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
-	is.Equal(n.settled(t), uint64(40))
+	is.Equal(n.billedTokens(t), uint64(40))
 }
 
-func TestEngineLostWithinTheAnswer(t *testing.T) {
-	// An engine dies within an answer and its output with it. Another one answers
-	// again; the caller must get the missing words once, not the answer twice.
+func TestEngineFailsMidAnswer(t *testing.T) {
+	// An engine fails mid-answer and loses its output. Another engine answers from the start;
+	// the caller must get the missing words once, not the whole answer twice.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{})
 	n := s.newServer("a")
 	body, answer := prompt(10)
 	sink := &testSink{stream: true}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
 	is.Equal(sink.started, 1)
-	is.Equal(n.settled(t), uint64(20)) // one answer's tokens
+	is.Equal(n.billedTokens(t), uint64(20)) // the tokens of one answer
 }
 
-func TestEngineGoesSilent(t *testing.T) {
-	// An engine hangs within an answer while its connection stays open. It must be
-	// given up on after one silence, and another engine bring the rest.
+func TestSilentEngineIsReplaced(t *testing.T) {
+	// An engine hangs mid-answer with its connection open. It must be abandoned after one
+	// silence timeout, and another engine must deliver the rest.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{HangAfter: 3}, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{HangAfter: 3}, standin.EngineOptions{})
 	n := s.newServer("a")
 	body, answer := prompt(10)
 	sink := &testSink{stream: true}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
-	is.Equal(n.settled(t), uint64(20))
-	is.Equal(s.engines[0].Resumed(), int64(0)) // not asked for the rest
+	is.Equal(n.billedTokens(t), uint64(20))
+	is.Equal(s.engines[0].Resumed(), int64(0)) // not asked to resume
 }
 
-func TestOtherEngineAnswersDifferently(t *testing.T) {
-	// An engine dies within an answer, and the next one words it differently. Joined,
-	// the halves would read as one answer that no engine gave: the stream must end
-	// with a numbered error instead, and is not billed.
+func TestDifferingRerunIsRejected(t *testing.T) {
+	// An engine fails mid-answer, and the next one gives a different answer. Joined, the parts
+	// would read as one answer that no engine gave: the stream must end with a result code
+	// instead, and must not be billed.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{Vary: "x"})
+	s := newFixture(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{Vary: "x"})
 	n := s.newServer("a")
 	body, _ := prompt(10)
 	sink := &testSink{stream: true}
 	err := n.Chat(context.Background(), chatCall(body), sink)
 	is.Equal(result.CodeOf(err), result.AnswerDiffers)
 	is.Equal(sink.text(), "word0 word1 word2 word3")
-	is.Equal(n.settled(t), uint64(0))
-	// A caller that waits for the whole answer has seen nothing yet and gets the other.
+	is.Equal(n.billedTokens(t), uint64(0))
+	// A caller that waits for the complete answer has seen nothing yet and gets the new one.
 	whole := &testSink{}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), whole))
 	is.Equal(whole.text(), "xword0 xword1 xword2 xword3 xword4 xword5 xword6 xword7 xword8 xword9")
 }
 
-func TestCrossedAnswerIsRunElsewhere(t *testing.T) {
-	// An engine answers for somebody else's request. Nothing of it may reach the caller.
+func TestCrossedAnswerIsRetriedOnAnotherEngine(t *testing.T) {
+	// An engine sends the answer to another request. None of it may reach the caller.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{Cross: 1}, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{Cross: 1}, standin.EngineOptions{})
 	n := s.newServer("a")
 	body, answer := prompt(5)
 	sink := &testSink{stream: true}
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
-	is.Equal(n.settled(t), uint64(10))
+	is.Equal(n.billedTokens(t), uint64(10))
 }
 
-func TestCallerResumesAfterItsNodeDied(t *testing.T) {
-	// A node dies with a stream open. The caller brings its last event id to another
-	// node and must get exactly the missing chunks and the end, and nobody may bill
-	// it a second time: the dead node's request is settled from the engine's count.
+func TestResumeAfterNodeFailure(t *testing.T) {
+	// A node dies with a stream open. The caller sends its last event id to another node and
+	// must get exactly the missing chunks and the end, without being billed a second time:
+	// the dead node's request is settled from the engine's count.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{})
 	dead, next := s.newServer("a"), s.newServer("b")
 	body, answer := prompt(10)
 	hang := make(chan struct{})
@@ -117,7 +117,7 @@
 	first.atChunk = func(n int) error {
 		if n == 4 {
 			close(stopped)
-			<-hang // from here on the node does nothing more
+			<-hang // the node does nothing more from here on
 		}
 		return nil
 	}
@@ -131,35 +131,35 @@
 	is.NoErr(next.ResumeChat(context.Background(), ResumeCall{Key: testKey, Cursor: first.cursors[3]}, rest))
 	is.Equal(first.text()+" "+rest.text(), answer)
 	is.Equal(len(first.cursors)+len(rest.cursors), 12)
-	is.Equal(next.settled(t), uint64(0))
-	// The caller loses the second node too, right before the end.
+	is.Equal(next.billedTokens(t), uint64(0))
+	// The caller loses the second node too, just before the end.
 	again := &testSink{stream: true}
 	is.NoErr(next.ResumeChat(context.Background(), ResumeCall{Key: testKey, Cursor: rest.cursors[6]}, again))
-	is.Equal(len(again.cursors), 1) // the usage
+	is.Equal(len(again.cursors), 1) // the usage chunk
 	close(hang)
 	<-done
 }
 
-// movedPeers tells the first node when a caller reads on at another.
-type movedPeers struct {
+// streamMovePeers forwards MoveStream to the first node and reports its result.
+type streamMovePeers struct {
 	Peers
 	to    *testServer
 	moved chan bool
 }
 
-func (p movedPeers) MoveStream(_ context.Context, _, request string) {
+func (p streamMovePeers) MoveStream(_ context.Context, _, request string) {
 	p.moved <- p.to.MoveStream(request)
 }
 
-func TestCallerMovesWhileItsNodeLives(t *testing.T) {
-	// A caller's connection stalls, and it reads on at another node before the first
-	// one notices. The first must go on and bill the whole answer once, rather than
-	// cancel the engine under the caller; its own connection must not end as whole.
+func TestResumeWhileOriginalNodeIsAlive(t *testing.T) {
+	// A caller's connection stalls, and it resumes at another node before the first node
+	// notices. The first node must continue and bill the whole answer once instead of
+	// cancelling the engine, and its own connection must not end as complete.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{})
 	old, next := s.newServer("a"), s.newServer("b")
 	moved := make(chan bool, 1)
-	next.Peers = movedPeers{to: old, moved: moved}
+	next.Peers = streamMovePeers{to: old, moved: moved}
 	body, answer := prompt(10)
 	stalled, goOn := make(chan struct{}), make(chan struct{})
 	first := &testSink{stream: true}
@@ -167,7 +167,7 @@
 		if n == 4 {
 			close(stalled)
 			<-goOn
-			return errGone
+			return errConnectionClosed
 		}
 		return nil
 	}
@@ -180,15 +180,15 @@
 	close(goOn)
 	is.Equal(result.CodeOf(<-ended), result.CallerGone)
 	is.Equal(first.text()+" "+rest.text(), answer)
-	is.Equal(old.settled(t), uint64(20))
-	is.Equal(next.settled(t), uint64(0))
+	is.Equal(old.billedTokens(t), uint64(20))
+	is.Equal(next.billedTokens(t), uint64(0))
 }
 
-func TestCursorsThatAreRefused(t *testing.T) {
-	// A caller sends an event id that isn't its own, that it has altered, or that is
-	// no cursor at all. Taken, it would read somebody else's answer.
+func TestInvalidCursorsAreRejected(t *testing.T) {
+	// A caller sends an event id that belongs to another account, is altered, or is no cursor
+	// at all. If accepted, the caller would read somebody else's answer.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{})
 	n := s.newServer("a")
 	body, _ := prompt(3)
 	sink := &testSink{stream: true}
@@ -214,11 +214,11 @@
 	is.Equal(result.CodeOf(err), result.InvalidCursor)
 }
 
-func TestEngineForgotTheStream(t *testing.T) {
-	// A caller comes back when the engine has dropped the stream's output. It must
-	// learn that by a number, and not be left with a silent cut.
+func TestResumeAfterEngineDroppedOutput(t *testing.T) {
+	// A caller resumes after the engine dropped the stream's output. It must get a result
+	// code instead of a stream that ends without an error.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{Forget: true})
+	s := newFixture(t, standin.EngineOptions{Forget: true})
 	n := s.newServer("a")
 	body, _ := prompt(3)
 	sink := &testSink{stream: true}
@@ -227,47 +227,47 @@
 	is.Equal(result.CodeOf(err), result.StreamLost)
 }
 
-func TestCallerLeaves(t *testing.T) {
-	// A caller closes its connection within an answer. The engine must stop, and the
-	// account pays for the prompt and what was generated until then, by the engine's
-	// count; a cancelled stream can't be taken for a whole one afterwards.
+func TestCallerDisconnects(t *testing.T) {
+	// A caller closes its connection mid-answer. The engine must stop, and the account pays
+	// for the prompt and the tokens generated so far, by the engine's count. A cancelled
+	// stream must not resume as a complete one.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{TokenTime: time.Millisecond})
+	s := newFixture(t, standin.EngineOptions{TokenTime: time.Millisecond})
 	n := s.newServer("a")
 	body, _ := prompt(4000)
 	sink := &testSink{stream: true}
 	sink.atChunk = func(n int) error {
 		if n == 10 {
-			return errGone
+			return errConnectionClosed
 		}
 		return nil
 	}
 	err := n.Chat(context.Background(), chatCall(body), sink)
 	is.Equal(result.CodeOf(err), result.CallerGone)
-	billed := n.settled(t)
-	is.True(billed >= 4010 && billed < 8000) // prompt, and some but not all of the answer
+	billed := n.billedTokens(t)
+	is.True(billed >= 4010 && billed < 8000) // the prompt, and some but not all of the answer
 	err = n.ResumeChat(context.Background(), ResumeCall{Key: testKey, Cursor: sink.cursors[9]}, &testSink{stream: true})
 	is.Equal(result.CodeOf(err), result.StreamLost)
 }
 
-func TestDeadlinePasses(t *testing.T) {
-	// A caller gives its request a deadline and the engine hangs. The answer must come
-	// at the deadline and not when the engine is given up on.
+func TestDeadlineExceeded(t *testing.T) {
+	// A request has a deadline and its engine hangs. The error must come at the deadline, not
+	// when the engine's silence timeout ends.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{TokenTime: time.Hour})
+	s := newFixture(t, standin.EngineOptions{TokenTime: time.Hour})
 	n := s.newServer("a")
 	body, _ := prompt(3)
 	call := chatCall(body)
 	call.Timeout = 50 * time.Millisecond
 	err := n.Chat(context.Background(), call, &testSink{stream: true})
 	is.Equal(result.CodeOf(err), result.DeadlineExceeded)
-	n.settled(t)
+	n.billedTokens(t)
 }
 
-func TestPanicInARequestLeavesNothingReserved(t *testing.T) {
-	// A defect hits while an answer is passed on. Its tokens must come back.
+func TestPanicReleasesReservation(t *testing.T) {
+	// A panic during the delivery of an answer must release the reserved tokens.
 	is := is.New(t)
-	s := newSite(t, standin.EngineOptions{})
+	s := newFixture(t, standin.EngineOptions{})
 	n := s.newServer("a")
 	body, _ := prompt(3)
 	sink := &testSink{stream: true, atChunk: func(int) error { panic("defect") }}
@@ -275,15 +275,15 @@
 		defer func() { is.True(recover() != nil) }()
 		_ = n.Chat(context.Background(), chatCall(body), sink)
 	}()
-	is.Equal(n.settled(t), uint64(0))
+	is.Equal(n.billedTokens(t), uint64(0))
 	is.Equal(n.InFlight(), int64(0))
 }
 
-func TestRefusalIsTrueOfAllAttempts(t *testing.T) {
-	// The first engine takes a request and hangs up, the second can't be reached. Told
-	// "not run" for the second's sake, a caller would think that nobody worked on it.
+func TestErrorReflectsAllAttempts(t *testing.T) {
+	// The first engine accepts a request and closes the connection; the second is unreachable.
+	// If the caller got the second's "not run", it would assume that no engine worked on it.
 	is := is.New(t)
-	s := newSite(t)
+	s := newFixture(t)
 	hangsUp, closed := s.listen(), s.listen()
 	is.NoErr(closed.Close())
 	t.Cleanup(func() { _ = hangsUp.Close() })
@@ -305,5 +305,5 @@
 	err := n.Chat(context.Background(), chatCall(body), &testSink{})
 	is.Equal(result.CodeOf(err), result.UpstreamFailed)
 	is.True(!result.From(err).NotRun())
-	is.Equal(n.settled(t), uint64(0))
+	is.Equal(n.billedTokens(t), uint64(0))
 }
--- a/request/tokenbound_measure_test.go
+++ b/request/tokenbound_measure_test.go
@@ -15,100 +15,100 @@
 	"lavenderpin.dev/lavenderpin/budget"
 )
 
-// The model of TestTokenBoundCost: prompts of 1.5 to 12 kB for the most part, 3.3 to 4.8
-// bytes a token, answers of 100 tokens in the mean with a limit of 512.
+// The workload of TestTokenBoundCost: mostly prompts of 1.5 to 12 kB with 3.3 to 4.8 bytes a
+// token, and answers of 100 tokens on average with a limit of 512.
 const (
-	drainBudgets  = 200
-	drainPrepaid  = 300_000
-	drainRate     = 2.0 // requests a second
-	drainSeconds  = 5.0 // of a request
-	drainRefusals = 40  // in a row, after which a budget counts as spent
-	drainLimit    = 512
+	simBudgets      = 200
+	simPrepaid      = 300_000
+	simRequestRate  = 2.0 // requests a second
+	simMeanDuration = 5.0 // seconds a request runs
+	simMaxRefusals  = 40  // in a row, after which a budget counts as spent
+	simAnswerLimit  = 512
 )
 
-// drained is what became of the requests of budgets that are used up.
-type drained struct{ requests, refused, falseRefusals, firstLeft, unspent, overspent int }
+// budgetTotals sums up the requests of all simulated budgets.
+type budgetTotals struct{ requests, refused, falseRefusals, firstLeft, unspent, overspent int }
 
-// drainRun is a request that runs.
-type drainRun struct {
+// simRequest is a running request.
+type simRequest struct {
 	end         float64
 	used        uint64
 	worst       uint64
 	reservation *budget.Reservation
 }
 
-type drainRuns []drainRun
+type simHeap []simRequest
 
-func (r drainRuns) Len() int           { return len(r) }
-func (r drainRuns) Less(i, j int) bool { return r[i].end < r[j].end }
-func (r drainRuns) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *drainRuns) Push(x any)        { *r = append(*r, x.(drainRun)) }
-func (r *drainRuns) Pop() any {
+func (r simHeap) Len() int           { return len(r) }
+func (r simHeap) Less(i, j int) bool { return r[i].end < r[j].end }
+func (r simHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *simHeap) Push(x any)        { *r = append(*r, x.(simRequest)) }
+func (r *simHeap) Pop() any {
 	last := (*r)[len(*r)-1]
 	*r = (*r)[:len(*r)-1]
 	return last
 }
 
-// drain uses one budget up. A refusal is false if the request would have fitted with
-// every prompt's true count known beforehand.
-func drain(seed uint64, limits tokenLimits, two bool, total *drained) {
+// simulateBudget spends one budget. A refusal is false if the request would have fitted with
+// the true token count of every prompt known in advance.
+func simulateBudget(seed uint64, limits tokenLimits, two bool, total *budgetTotals) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	clock := clockwork.NewFakeClock()
 	holder := budget.NewHolder("a", clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
-	holder.Credit("budget", drainPrepaid)
-	var running drainRuns
+	holder.Credit("budget", simPrepaid)
+	var running simHeap
 	used, open, now, first := uint64(0), uint64(0), 0.0, true
 	finish := func() {
-		run := heap.Pop(&running).(drainRun)
+		run := heap.Pop(&running).(simRequest)
 		run.reservation.Finish(run.used)
 		used, open = used+run.used, open-run.worst
 	}
-	for refused := 0; refused < drainRefusals; {
-		now += random.ExpFloat64() / drainRate
+	for refused := 0; refused < simMaxRefusals; {
+		now += random.ExpFloat64() / simRequestRate
 		for len(running) > 0 && running[0].end <= now {
 			finish()
 		}
 		bytes := min(int(4000*math.Exp(0.7*random.NormFloat64())), 24000)
 		tokens := uint64(float64(bytes)/(3.3+1.5*random.Float64())) + tokensPerMessage
-		answer := uint64(min(drainLimit, 100*math.Exp(0.6*random.NormFloat64())))
+		answer := uint64(min(simAnswerLimit, 100*math.Exp(0.6*random.NormFloat64())))
 		body, _ := parseChat([]byte(`{"model":"m","messages":[{"content":"` + strings.Repeat("x", bytes) + `"}]}`))
-		bound := body.tokenBound(limits, drainLimit)
+		bound := body.tokenBound(limits, simAnswerLimit)
 		total.requests++
 		var reservation *budget.Reservation
 		err := fmt.Errorf("not tried")
 		if two {
-			reservation, err = holder.Reserve("budget", bound.sound)
+			reservation, err = holder.Reserve("budget", bound.conservative)
 		}
 		if err != nil {
 			reservation, err = holder.Reserve("budget", bound.declared)
 		}
-		worst := tokens + drainLimit
+		worst := tokens + simAnswerLimit
 		if err != nil {
 			refused++
 			total.refused++
-			if used+open+worst <= drainPrepaid {
+			if used+open+worst <= simPrepaid {
 				total.falseRefusals++
 			}
 			if first {
-				total.firstLeft += int(drainPrepaid - used)
+				total.firstLeft += int(simPrepaid - used)
 				first = false
 			}
 			continue
 		}
 		refused = 0
 		open += worst
-		heap.Push(&running, drainRun{now + drainSeconds*random.ExpFloat64(), tokens + answer, worst, reservation})
+		heap.Push(&running, simRequest{now + simMeanDuration*random.ExpFloat64(), tokens + answer, worst, reservation})
 	}
 	for len(running) > 0 {
 		finish()
 	}
-	total.unspent += int(drainPrepaid - min(used, drainPrepaid))
-	total.overspent += int(used - min(used, drainPrepaid))
+	total.unspent += int(simPrepaid - min(used, simPrepaid))
+	total.overspent += int(used - min(used, simPrepaid))
 }
 
-// LAVENDERPIN_MEASURE=1 prints how many requests each bound refuses near a budget's end
-// that would have fitted. Model time; the seeds fix every figure.
+// LAVENDERPIN_MEASURE=1 prints how many requests that would have fitted each bound refuses
+// near the end of a budget. It runs on simulated time; the seeds fix all results.
 func TestTokenBoundCost(t *testing.T) {
 	if os.Getenv("LAVENDERPIN_MEASURE") == "" {
 		return
@@ -126,12 +126,12 @@
 		{"both, when bytes don't fit", tokenLimits{perKiB: 410, context: 8192}, true},
 		{"320 tokens per KiB, when bytes don't fit", tokenLimits{perKiB: 320}, true},
 	} {
-		var d drained
-		for seed := range uint64(drainBudgets) {
-			drain(seed, way.limits, way.two, &d)
+		var d budgetTotals
+		for seed := range uint64(simBudgets) {
+			simulateBudget(seed, way.limits, way.two, &d)
 		}
 		fmt.Printf("| %s | %d | %d | %d | %.2f%% | %.2f%% | %.2f%% | %d |\n", way.name, d.requests, d.refused, d.falseRefusals,
-			100*float64(d.falseRefusals)/float64(d.requests), 100*float64(d.firstLeft)/(drainBudgets*drainPrepaid),
-			100*float64(d.unspent)/(drainBudgets*drainPrepaid), d.overspent)
+			100*float64(d.falseRefusals)/float64(d.requests), 100*float64(d.firstLeft)/(simBudgets*simPrepaid),
+			100*float64(d.unspent)/(simBudgets*simPrepaid), d.overspent)
 	}
 }
