--- a/request/chatrun.go
+++ b/request/chatrun.go
@@ -83,8 +83,8 @@
 // isRecorded reports whether the answer is recorded for retries with its key. Such a
 // completion continues even if nobody reads it.
 func (r *chatRun) isRecorded() bool {
-	_, kept := r.sink.(*recording)
-	return kept
+	_, recorded := r.sink.(*recording)
+	return recorded
 }
 
 // attempts tries engines until one gives a complete answer.
--- a/request/resume.go
+++ b/request/resume.go
@@ -68,9 +68,9 @@
 	if !ok {
 		return nil, result.New(result.InvalidCursor, "the event id names no request")
 	}
-	for _, to := range view.Upstreams(cursor.GetService()) {
-		if to.GetName() == cursor.GetUpstream() && s.Resumer != nil {
-			run := &resumeRun{server: s, cursor: cursor, target: to, id: id, sink: sink, position: cursor.GetNext()}
+	for _, target := range view.Upstreams(cursor.GetService()) {
+		if target.GetName() == cursor.GetUpstream() && s.Resumer != nil {
+			run := &resumeRun{server: s, cursor: cursor, target: target, id: id, sink: sink, position: cursor.GetNext()}
 			run.cursors = cursorIssuer{signer: s.Cursors, cursor: fleetv1.StreamCursor{
 				Request: cursor.GetRequest(), PeerAddress: cursor.GetPeerAddress(), Service: cursor.GetService(),
 				Upstream: cursor.GetUpstream(), Account: cursor.GetAccount(), Usage: cursor.GetUsage(), Kept: cursor.GetKept(),
