--- a/httpapi/body.go
+++ b/httpapi/body.go
@@ -9,16 +9,15 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// readBody reads a caller's body. The server hands bodies over as streams, so that
-// one that is too large gets its numbered answer at once, before it is sent whole.
-// The connection ends then, since what is left of the body would be read as the next
-// request.
+// readBody reads a caller's body. The server passes bodies as streams, so that an oversized
+// body is rejected at once, before all of it is sent. The connection is closed then, since
+// the rest of the body would be read as the next request.
 func readBody(c *app.RequestContext) ([]byte, error) {
-	announced := c.Request.Header.ContentLength()
-	if announced > request.MaxBody {
-		return nil, tooLarge(c)
+	contentLength := c.Request.Header.ContentLength()
+	if contentLength > request.MaxBody {
+		return nil, bodyTooLarge(c)
 	}
-	if announced == 0 {
+	if contentLength == 0 {
 		return nil, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), request.MaxBody+1))
@@ -27,12 +26,12 @@
 		return nil, result.New(result.MalformedRequest, "the body ended early: %v", err)
 	}
 	if len(body) > request.MaxBody {
-		return nil, tooLarge(c)
+		return nil, bodyTooLarge(c)
 	}
 	return body, nil
 }
 
-func tooLarge(c *app.RequestContext) error {
+func bodyTooLarge(c *app.RequestContext) error {
 	c.Response.SetConnectionClose()
 	return result.New(result.BodyTooLarge, "the body has more than %d bytes", request.MaxBody)
 }
--- a/httpapi/chatsink.go
+++ b/httpapi/chatsink.go
@@ -11,17 +11,17 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// chatSink writes an answer to the caller: as events, or gathered into one body.
+// chatSink writes an answer to the caller: as events, or collected into one body.
 type chatSink struct {
 	c      *app.RequestContext
 	stream bool
 
-	id     budget.RequestID
-	model  string
-	writer *sse.Writer
-	text   strings.Builder
-	reason string
-	usage  upstream.Usage
+	id           budget.RequestID
+	model        string
+	writer       *sse.Writer
+	text         strings.Builder
+	finishReason string
+	usage        upstream.Usage
 }
 
 func newChatSink(c *app.RequestContext, stream bool) *chatSink {
@@ -29,10 +29,10 @@
 }
 
 func wantsStream(body []byte) bool {
-	var wanted struct {
+	var options struct {
 		Stream bool `json:"stream"`
 	}
-	return json.Unmarshal(body, &wanted) == nil && wanted.Stream
+	return json.Unmarshal(body, &options) == nil && options.Stream
 }
 
 // Start implements request.Sink.
@@ -50,7 +50,7 @@
 // Restart implements request.Sink.
 func (s *chatSink) Restart() {
 	s.text.Reset()
-	s.reason, s.usage = "", upstream.Usage{}
+	s.finishReason, s.usage = "", upstream.Usage{}
 }
 
 // Chunk implements request.Sink.
@@ -60,7 +60,7 @@
 	}
 	s.text.WriteString(chunk.Content)
 	if chunk.FinishReason != "" {
-		s.reason = chunk.FinishReason
+		s.finishReason = chunk.FinishReason
 	}
 	if chunk.Usage != nil {
 		s.usage = *chunk.Usage
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// finish ends the answer. A stream that fails after it began ends with an event
-// of type "error": a caller never takes a cut stream for a whole one, since only a
-// whole one has the terminal marker.
+// finish ends the answer. A stream that fails after it began ends with an event of type
+// "error". Only a complete stream ends with the terminal marker, so a caller can't mistake a
+// truncated stream for a complete one.
 func (s *chatSink) finish(err error) {
 	switch {
 	case err != nil && s.writer == nil:
 		writeError(s.c, err)
 	case err != nil:
-		data, _ := json.Marshal(toErrorAnswer(err))
+		data, _ := json.Marshal(newErrorResponse(err))
 		_ = s.writer.WriteEvent("", "error", data)
 		_ = s.writer.Close()
 	case s.stream:
@@ -116,7 +116,7 @@
 		ID: s.id.String(), Object: "chat.completion", Model: s.model,
 		Choices: []completionChoice{{
 			Message:      completionMessage{Role: "assistant", Content: s.text.String()},
-			FinishReason: s.reason,
+			FinishReason: s.finishReason,
 		}},
 		Usage: completionUsage{Usage: s.usage, TotalTokens: s.usage.Total()},
 	}
--- a/httpapi/chunkcost_test.go
+++ b/httpapi/chunkcost_test.go
@@ -23,38 +23,40 @@
 )
 
 const (
-	stampChunks   = 10
-	stampInterval = 5 * time.Millisecond
-	stampRate     = 1000 // requests a second
-	stampTime     = 5 * time.Second
+	timestampChunks = 10
+	chunkInterval   = 5 * time.Millisecond
+	requestRate     = 1000 // requests a second
+	loadDuration    = 5 * time.Second
 )
 
-// stampEngine answers with chunks whose content is the instant at which they are sent.
-func stampEngine(w http.ResponseWriter, r *http.Request) {
+// timestampEngine answers with chunks whose content is the time at which they are sent.
+func timestampEngine(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := w.(http.Flusher).Flush
-	for i := range stampChunks {
-		time.Sleep(stampInterval)
+	for i := range timestampChunks {
+		time.Sleep(chunkInterval)
 		fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%d\"},\"finish_reason\":null}]}\n\n", i, id, time.Now().UnixNano())
 		flush()
 	}
-	fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"choices\":[],\"usage\":{\"prompt_tokens\":1,\"completion_tokens\":%d}}\n\n", stampChunks, id, stampChunks)
-	fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", stampChunks+1)
+	fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"choices\":[],\"usage\":{\"prompt_tokens\":1,\"completion_tokens\":%d}}\n\n", timestampChunks, id, timestampChunks)
+	fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", timestampChunks+1)
 	flush()
 }
 
-// stamps gathers how old chunks are when their caller gets them.
-type stamps struct {
+// latencyRecorder records the age of each chunk when its caller receives it.
+type latencyRecorder struct {
 	mu     sync.Mutex
 	chunks *hdrhistogram.Histogram
 	failed int
 }
 
-func newStamps() *stamps { return &stamps{chunks: hdrhistogram.New(1, int64(time.Minute), 3)} }
+func newLatencyRecorder() *latencyRecorder {
+	return &latencyRecorder{chunks: hdrhistogram.New(1, int64(time.Minute), 3)}
+}
 
-func (s *stamps) request(client *http.Client, url string) {
+func (s *latencyRecorder) request(client *http.Client, url string) {
 	body := `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":10,"messages":[{"role":"user","content":"x"}]}`
 	r, _ := http.NewRequest("POST", url+chatPath, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
@@ -64,28 +66,28 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	whole := false
+	complete := false
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		data, found := strings.CutPrefix(lines.Text(), "data: ")
 		if !found {
 			continue
 		}
-		whole = whole || data == "[DONE]"
+		complete = complete || data == "[DONE]"
 		s.record(data)
 	}
-	if !whole {
+	if !complete {
 		s.fail()
 	}
 }
 
-func (s *stamps) fail() {
+func (s *latencyRecorder) fail() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failed++
 }
 
-func (s *stamps) record(data string) {
+func (s *latencyRecorder) record(data string) {
 	got := time.Now().UnixNano()
 	var chunk struct {
 		Choices []struct{ Delta struct{ Content string } }
@@ -102,24 +104,24 @@
 	_ = s.chunks.RecordValue(got - sent)
 }
 
-// load sends requests at a fixed rate, whatever becomes of the earlier ones.
-func load(url string) *stamps {
-	s := newStamps()
+// generateLoad sends requests at a fixed rate, without waiting for earlier ones.
+func generateLoad(url string) *latencyRecorder {
+	s := newLatencyRecorder()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
 	defer client.CloseIdleConnections()
 	var requests sync.WaitGroup
 	started := time.Now()
-	for i := range int(stampTime.Seconds() * stampRate) {
-		time.Sleep(time.Until(started.Add(time.Duration(i) * time.Second / stampRate)))
+	for i := range int(loadDuration.Seconds() * requestRate) {
+		time.Sleep(time.Until(started.Add(time.Duration(i) * time.Second / requestRate)))
 		requests.Go(func() { s.request(client, url) })
 	}
 	requests.Wait()
 	return s
 }
 
-// LAVENDERPIN_MEASURE=1 prints how much a node adds to a chunk on loopback, against
-// the same engine asked straight in the same run. Engine, node and callers share the
-// process, so the node's figures hold the load of all three.
+// LAVENDERPIN_MEASURE=1 prints how much latency a node adds to a chunk on loopback, compared
+// with direct requests to the same engine in the same run. Engine, node and callers share one
+// process, so the node's figures include the load of all three.
 func TestChunkCost(t *testing.T) {
 	if os.Getenv("LAVENDERPIN_MEASURE") == "" {
 		return
@@ -127,7 +129,7 @@
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	engine := &http.Server{Handler: http.HandlerFunc(stampEngine), ReadHeaderTimeout: time.Minute}
+	engine := &http.Server{Handler: http.HandlerFunc(timestampEngine), ReadHeaderTimeout: time.Minute}
 	go func() { _ = engine.Serve(listener) }()
 	t.Cleanup(func() { _ = engine.Close() })
 	fleet := startFleet(t, devfleet.Options{})
@@ -139,12 +141,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []struct{ name, url string }{
-		{"straight", "http://" + listener.Addr().String()},
-		{"through a node", "http://" + address(fleet, 0)},
-		{"straight", "http://" + listener.Addr().String()},
-		{"through a node", "http://" + address(fleet, 0)},
+		{"direct", "http://" + listener.Addr().String()},
+		{"via node", "http://" + httpAddress(fleet, 0)},
+		{"direct", "http://" + listener.Addr().String()},
+		{"via node", "http://" + httpAddress(fleet, 0)},
 	} {
-		s := load(c.url)
+		s := generateLoad(c.url)
 		at := func(q float64) time.Duration {
 			return time.Duration(s.chunks.ValueAtQuantile(q)).Round(time.Microsecond)
 		}
--- a/httpapi/error.go
+++ b/httpapi/error.go
@@ -10,7 +10,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// errorBody is how a result error reads over HTTP.
+// errorBody is the JSON encoding of a result error.
 type errorBody struct {
 	Code         uint32 `json:"code"`
 	Name         string `json:"name"`
@@ -18,34 +18,34 @@
 	NotRun       bool   `json:"not_run"`
 	Retry        bool   `json:"retry"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
-	// Request is what "lavenderctl explain" takes.
+	// Request is the request id, as "lavenderctl explain" takes it.
 	Request string `json:"request,omitempty"`
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error errorBody `json:"error"`
 }
 
-func toErrorAnswer(err error) errorAnswer {
+func newErrorResponse(err error) errorResponse {
 	known := result.From(err)
 	info := known.Code.Info()
-	return errorAnswer{errorBody{
+	return errorResponse{errorBody{
 		Code: uint32(known.Code), Name: info.Name, Message: known.Message, NotRun: known.NotRun(),
 		Retry: info.Retry, RetryAfterMS: retryAfter(known).Milliseconds(),
 		Request: known.Request,
 	}}
 }
 
-// defaultRetry is sent where a retry can help and nothing better is known.
-const defaultRetry = time.Second
+// defaultRetryAfter is sent if a retry can help and the error sets no delay.
+const defaultRetryAfter = time.Second
 
-// retryAfter returns when to come back; zero where a retry can't help.
+// retryAfter returns the delay before a retry; zero if a retry can't help.
 func retryAfter(err *result.Error) time.Duration {
 	if !err.Code.Info().Retry {
 		return 0
 	}
 	if err.RetryAfter <= 0 {
-		return defaultRetry
+		return defaultRetryAfter
 	}
 	return err.RetryAfter
 }
@@ -53,11 +53,11 @@
 func writeError(c *app.RequestContext, err error) {
 	known := result.From(err)
 	info := known.Code.Info()
-	if wait := retryAfter(known); wait > 0 {
-		c.Header("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
+	if delay := retryAfter(known); delay > 0 {
+		c.Header("Retry-After", strconv.Itoa(int(math.Ceil(delay.Seconds()))))
 	}
 	if known.Request != "" {
 		c.Header(headerRequestID, known.Request)
 	}
-	c.JSON(info.HTTP, toErrorAnswer(err))
+	c.JSON(info.HTTP, newErrorResponse(err))
 }
--- a/httpapi/error_test.go
+++ b/httpapi/error_test.go
@@ -11,9 +11,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func TestEveryRefusalSaysWhenToComeBack(t *testing.T) {
-	// A caller that isn't told when to come back comes back at once, and a fleet that
-	// is short of something gets more load just then.
+func TestErrorsCarryRetryAfter(t *testing.T) {
+	// A caller that gets no retry delay retries at once, which adds load to a fleet that is
+	// already short of a resource.
 	is := is.New(t)
 	for code, info := range result.All() {
 		if code == result.OK {
@@ -30,8 +30,8 @@
 	}
 	c := app.NewContext(0)
 	writeError(c, result.New(result.NoUpstream, "why").Doubt())
-	var answer errorAnswer
+	var answer errorResponse
 	is.NoErr(json.Unmarshal(c.Response.Body(), &answer))
-	is.Equal(answer.Error.RetryAfterMS, int64(1000)) // also where nobody named a time
+	is.Equal(answer.Error.RetryAfterMS, int64(1000)) // also if the error sets no delay
 	is.True(!answer.Error.NotRun)
 }
--- a/httpapi/server.go
+++ b/httpapi/server.go
@@ -15,24 +15,24 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Node is what the API needs of a node.
+// Node is the part of a node that the API uses.
 type Node interface {
 	Requests() *request.Server
 	Addresses(key string) ([]membership.Address, time.Duration)
 	Events() *event.Recorder
 	Serving() error
-	// Leaving tells that the node drains.
+	// Leaving reports whether the node is draining.
 	Leaving() bool
 }
 
-// Server serves callers over HTTP.
+// Server is the HTTP server for callers.
 type Server struct {
 	node  func() Node
 	hertz *server.Hertz
 }
 
-// New returns a server on the listener. node is asked for each request, since a
-// daemon replaces its node when the fleet closes the incarnation.
+// New returns a server on the listener. node is called for each request, since a daemon
+// replaces its node when the fleet closes the node's incarnation.
 func New(listener net.Listener, node func() Node) *Server {
 	s := &Server{node: node}
 	s.hertz = server.New(
@@ -42,7 +42,7 @@
 		server.WithDisablePrintRoute(true),
 		server.WithExitWaitTime(time.Second),
 	)
-	s.hertz.Use(s.recoverPanic, s.closeWhenLeaving)
+	s.hertz.Use(s.recoverPanic, s.closeWhenDraining)
 	s.hertz.GET("/healthz", s.health)
 	s.hertz.GET("/v1/addresses", s.addresses)
 	s.hertz.POST("/v1/chat/completions", s.chat)
@@ -58,25 +58,25 @@
 // Run serves until Shutdown.
 func (s *Server) Run() error { return s.hertz.Run() }
 
-// Shutdown stops taking connections and waits for those that run.
+// Shutdown stops accepting connections and waits for open ones to finish.
 func (s *Server) Shutdown(ctx context.Context) error { return s.hertz.Shutdown(ctx) }
 
-// recoverPanic keeps a defect in one request from ending the node, which would cut
-// every other answer on it.
+// recoverPanic keeps a panic in one request from ending the node, which would cut off every
+// other answer on it.
 func (s *Server) recoverPanic(ctx context.Context, c *app.RequestContext) {
 	defer func() {
-		if defect := recover(); defect != nil {
-			s.node().Events().Record(event.PanicRecovered, "path", string(c.Path()), "why", defect)
+		if cause := recover(); cause != nil {
+			s.node().Events().Record(event.PanicRecovered, "path", string(c.Path()), "why", cause)
 			writeError(c, result.New(result.InternalError, "a defect in this node"))
 		}
 	}()
 	c.Next(ctx)
 }
 
-// closeWhenLeaving ends each connection with its answer while the node drains. A
-// caller that keeps a connection open would otherwise send its next request just as
-// the listener closes, and be cut.
-func (s *Server) closeWhenLeaving(ctx context.Context, c *app.RequestContext) {
+// closeWhenDraining closes each connection after its answer while the node drains. Otherwise
+// a caller with a keep-alive connection could send its next request just as the listener
+// closes, and be cut off.
+func (s *Server) closeWhenDraining(ctx context.Context, c *app.RequestContext) {
 	if s.node().Leaving() {
 		c.SetConnectionClose()
 	}
@@ -92,7 +92,7 @@
 }
 
 func (s *Server) addresses(_ context.Context, c *app.RequestContext) {
-	list, lifetime := s.node().Addresses(bearer(c))
+	list, lifetime := s.node().Addresses(bearerToken(c))
 	s.node().Events().Record(event.AddressesHandedOut, "count", len(list))
 	c.JSON(200, map[string]any{"addresses": list, "ttl_seconds": lifetime.Seconds()})
 }
@@ -110,7 +110,7 @@
 		writeError(c, err)
 		return
 	}
-	timeout, err := callerTimeout(c)
+	timeout, err := parseTimeout(c)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -120,24 +120,24 @@
 		writeError(c, err)
 		return
 	}
-	call := request.ChatCall{Key: bearer(c), Body: body, Timeout: timeout, IdempotencyKey: key}
+	call := request.ChatCall{Key: bearerToken(c), Body: body, Timeout: timeout, IdempotencyKey: key}
 	sink := newChatSink(c, wantsStream(body))
 	sink.finish(s.node().Requests().Chat(ctx, call, sink))
 }
 
-// resume reads on from a stream for a caller that brings the last event id it got.
+// resume continues a stream after the last event id that the caller got.
 func (s *Server) resume(ctx context.Context, c *app.RequestContext) {
 	if err := s.node().Serving(); err != nil {
 		writeError(c, err)
 		return
 	}
-	call := request.ResumeCall{Key: bearer(c), Cursor: string(c.GetHeader(headerLastEventID))}
+	call := request.ResumeCall{Key: bearerToken(c), Cursor: string(c.GetHeader(headerLastEventID))}
 	sink := newChatSink(c, true)
 	sink.finish(s.node().Requests().ResumeChat(ctx, call, sink))
 }
 
 func (s *Server) call(ctx context.Context, c *app.RequestContext) {
-	call, err := serviceCall(c)
+	call, err := parseServiceCall(c)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -157,7 +157,7 @@
 	c.Data(answer.Status, answer.ContentType, answer.Body)
 }
 
-func bearer(c *app.RequestContext) string {
+func bearerToken(c *app.RequestContext) string {
 	key, found := strings.CutPrefix(string(c.GetHeader("Authorization")), "Bearer ")
 	if !found {
 		return ""
--- a/httpapi/server_test.go
+++ b/httpapi/server_test.go
@@ -47,12 +47,12 @@
 	return fleet
 }
 
-func address(fleet *devfleet.Fleet, i int) string {
+func httpAddress(fleet *devfleet.Fleet, i int) string {
 	return fleet.Daemons[i].Node().Settings().HTTPAddress
 }
 
-// answer is what a caller got.
-type answer struct {
+// callResult is the response that a caller got.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
@@ -60,7 +60,7 @@
 	notRun bool
 }
 
-func send(t *testing.T, method, url string, header map[string]string, body string) answer {
+func send(t *testing.T, method, url string, header map[string]string, body string) callResult {
 	t.Helper()
 	is := is.New(t)
 	r, err := http.NewRequest(method, url, bytes.NewBufferString(body))
@@ -74,7 +74,7 @@
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
 	is.NoErr(err)
-	a := answer{status: response.StatusCode, header: response.Header, body: string(text)}
+	a := callResult{status: response.StatusCode, header: response.Header, body: string(text)}
 	var failure struct {
 		Error struct {
 			Code   result.Code
@@ -87,12 +87,12 @@
 	return a
 }
 
-func TestNamedCallsOverHTTP(t *testing.T) {
-	// A crew files work orders and sends each one again to every node, by key and by
-	// ticket. All three nodes must give the first answer and bill one call.
+func TestAtMostOnceCallsOverHTTP(t *testing.T) {
+	// A caller sends each work order to every node, with a key and with a ticket. All three
+	// nodes must return the first answer, and each order must be billed once.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{})
-	ticket := send(t, "POST", "http://"+address(fleet, 1)+"/v1/tickets", nil, "")
+	ticket := send(t, "POST", "http://"+httpAddress(fleet, 1)+"/v1/tickets", nil, "")
 	is.Equal(ticket.status, 200)
 	var held struct{ Ticket string }
 	is.NoErr(json.Unmarshal([]byte(ticket.body), &held))
@@ -101,7 +101,7 @@
 		"by ticket": {"X-Call-Ticket": held.Ticket},
 	} {
 		for i := range fleet.Daemons {
-			got := send(t, "POST", "http://"+address(fleet, i)+"/s/orders/work", header, name)
+			got := send(t, "POST", "http://"+httpAddress(fleet, i)+"/s/orders/work", header, name)
 			is.Equal(got.status, 200)
 			is.Equal(got.body, name)
 		}
@@ -113,16 +113,15 @@
 		}
 		is.Equal(d.Node().Ledger().Budget("dev-budget").Spent, uint64(10))
 	}
-	other := send(t, "POST", "http://"+address(fleet, 2)+"/s/orders/work", map[string]string{"Idempotency-Key": "order-1"}, "another")
+	other := send(t, "POST", "http://"+httpAddress(fleet, 2)+"/s/orders/work", map[string]string{"Idempotency-Key": "order-1"}, "another")
 	is.Equal(other.code, result.KeyReused)
 }
 
-func TestBadInputOverHTTP(t *testing.T) {
-	// Callers send what no program of theirs should: each gets a numbered error, and
-	// nothing stays reserved or is billed.
+func TestInvalidInputOverHTTP(t *testing.T) {
+	// Invalid requests get their result code, and nothing stays reserved or is billed.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{})
-	base := "http://" + address(fleet, 0)
+	base := "http://" + httpAddress(fleet, 0)
 	small := `{"model":"` + devfleet.Model + `","messages":[{"role":"user","content":"x"}]}`
 	for name, c := range map[string]struct {
 		method, path string
@@ -130,17 +129,17 @@
 		body         string
 		code         result.Code
 	}{
-		"body too large":   {"POST", chatPath, nil, strings.Repeat("x", request.MaxBody+1), result.BodyTooLarge},
-		"twice the key":    {"POST", chatPath, nil, `{"model":"a","model":"b","messages":[{"content":"x"}]}`, result.MalformedRequest},
-		"timeout of words": {"POST", chatPath, map[string]string{"X-Request-Timeout-Ms": "soon"}, small, result.MalformedRequest},
-		"no cursor":        {"GET", "/v1/streams", nil, "", result.InvalidCursor},
-		"forged cursor":    {"POST", chatPath, map[string]string{"Last-Event-ID": "AAAA.AAAA"}, small, result.InvalidCursor},
-		"forged ticket":    {"POST", "/s/orders/work", map[string]string{"X-Call-Ticket": "AAAA.AAAA"}, "", result.InvalidTicket},
-		"long key":         {"POST", "/s/orders/work", map[string]string{"Idempotency-Key": strings.Repeat("k", 256)}, "", result.InvalidKey},
-		"key and ticket":   {"POST", "/s/orders/work", map[string]string{"Idempotency-Key": "k", "X-Call-Ticket": "t"}, "", result.InvalidKey},
-		"escaped dots":     {"POST", "/s/orders/a/%2e%2e/b", nil, "", result.InvalidPath},
-		"smuggled header":  {"POST", "/s/orders/a%0d%0aX-Request-Id:%201", nil, "", result.InvalidPath},
-		"no such path":     {"POST", "/v2/nothing", nil, "", result.UnknownService},
+		"body too large":  {"POST", chatPath, nil, strings.Repeat("x", request.MaxBody+1), result.BodyTooLarge},
+		"duplicate key":   {"POST", chatPath, nil, `{"model":"a","model":"b","messages":[{"content":"x"}]}`, result.MalformedRequest},
+		"invalid timeout": {"POST", chatPath, map[string]string{"X-Request-Timeout-Ms": "soon"}, small, result.MalformedRequest},
+		"no cursor":       {"GET", "/v1/streams", nil, "", result.InvalidCursor},
+		"forged cursor":   {"POST", chatPath, map[string]string{"Last-Event-ID": "AAAA.AAAA"}, small, result.InvalidCursor},
+		"forged ticket":   {"POST", "/s/orders/work", map[string]string{"X-Call-Ticket": "AAAA.AAAA"}, "", result.InvalidTicket},
+		"long key":        {"POST", "/s/orders/work", map[string]string{"Idempotency-Key": strings.Repeat("k", 256)}, "", result.InvalidKey},
+		"key and ticket":  {"POST", "/s/orders/work", map[string]string{"Idempotency-Key": "k", "X-Call-Ticket": "t"}, "", result.InvalidKey},
+		"escaped dots":    {"POST", "/s/orders/a/%2e%2e/b", nil, "", result.InvalidPath},
+		"smuggled header": {"POST", "/s/orders/a%0d%0aX-Request-Id:%201", nil, "", result.InvalidPath},
+		"no such path":    {"POST", "/v2/nothing", nil, "", result.UnknownService},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -150,32 +149,32 @@
 		})
 	}
 	is.Equal(len(fleet.Plain[0].Runs()), 0)
-	assertNothingOpen(t, fleet)
+	assertNoOpenReservations(t, fleet)
 }
 
-func assertNothingOpen(t *testing.T, fleet *devfleet.Fleet) {
+func assertNoOpenReservations(t *testing.T, fleet *devfleet.Fleet) {
 	t.Helper()
 	is := is.New(t)
 	open := fleet.Daemons[0].Node().Metrics().Get("open_reservations").String()
-	is.Equal(open, "0") // nothing reserved left behind
+	is.Equal(open, "0") // no reservation is open
 	is.Equal(fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent, uint64(0))
 }
 
-func TestHalfSentBodyAndClosedConnections(t *testing.T) {
-	// Callers on bad lines send half a request and vanish, or hang up within the
-	// answer. The engine must stop, and every reserved token must come back.
+func TestDisconnectsReleaseReservations(t *testing.T) {
+	// One caller disconnects after half a request, another one mid-answer. The engine must
+	// stop, and every reserved token must be released.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: time.Millisecond}})
-	half, err := net.Dial("tcp", address(fleet, 0))
+	half, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
 	_, err = half.Write([]byte("POST " + chatPath + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + devfleet.AccountKey + "\r\nContent-Length: 1000\r\n\r\n{\"model\":"))
 	is.NoErr(err)
 	is.NoErr(half.Close())
 
-	caller, err := net.Dial("tcp", address(fleet, 0))
+	caller, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
 	body := `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":4000,"messages":[{"role":"user","content":"` + strings.Repeat("x ", 4000) + `"}]}`
-	r, err := http.NewRequest("POST", "http://"+address(fleet, 0)+chatPath, strings.NewReader(body))
+	r, err := http.NewRequest("POST", "http://"+httpAddress(fleet, 0)+chatPath, strings.NewReader(body))
 	is.NoErr(err)
 	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
 	is.NoErr(r.Write(caller))
@@ -198,17 +197,17 @@
 }
 
 func TestResumeOverHTTP(t *testing.T) {
-	// A caller brings the event id of its third chunk to another node and must get the
-	// rest and the end marker.
+	// A caller sends the event id of its third chunk to another node and must get the rest
+	// and the end marker.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{})
 	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f"}]}`
-	whole := send(t, "POST", "http://"+address(fleet, 0)+chatPath, nil, body)
+	whole := send(t, "POST", "http://"+httpAddress(fleet, 0)+chatPath, nil, body)
 	is.Equal(whole.status, 200)
 	events := strings.Split(strings.TrimSpace(whole.body), "\n\n")
-	is.Equal(len(events), 9) // six words, the end, the usage, the marker
+	is.Equal(len(events), 9) // six words, the finish reason, the usage, the marker
 	id, _, _ := strings.Cut(strings.TrimPrefix(events[2], "id: "), "\n")
-	rest := send(t, "GET", "http://"+address(fleet, 2)+"/v1/streams", map[string]string{"Last-Event-ID": id}, "")
+	rest := send(t, "GET", "http://"+httpAddress(fleet, 2)+"/v1/streams", map[string]string{"Last-Event-ID": id}, "")
 	is.Equal(rest.status, 200)
 	missing := strings.Split(strings.TrimSpace(rest.body), "\n\n")
 	is.Equal(len(missing), 6)
@@ -219,27 +218,28 @@
 	}
 }
 
-func TestNamedCompletionIsBilledOnce(t *testing.T) {
-	// An analyst's program sends a summary's request, times out and sends it again to
-	// the other nodes, during the first try and after it. Run each time, the account
-	// would pay for the same summary several times.
+func TestKeyedCompletionIsBilledOnce(t *testing.T) {
+	// A caller times out and resends a completion to the other nodes, during the first try and
+	// after it. If each try ran, the account would pay several times for the same answer.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond}})
 	header := map[string]string{"Idempotency-Key": "summary-1"}
 	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
 	answers := make(chan string, len(fleet.Daemons))
 	for i := range fleet.Daemons {
-		go func() { answers <- dataOf(send(t, "POST", "http://"+address(fleet, i)+chatPath, header, body).body) }()
+		go func() {
+			answers <- dataLines(send(t, "POST", "http://"+httpAddress(fleet, i)+chatPath, header, body).body)
+		}()
 	}
 	first := <-answers
 	is.True(strings.HasSuffix(first, "[DONE]"))
-	is.Equal(strings.Count(first, "\n"), 22) // twenty words, the end, the usage, the marker
+	is.Equal(strings.Count(first, "\n"), 22) // twenty words, the finish reason, the usage, the marker
 	is.Equal(<-answers, first)
 	is.Equal(<-answers, first)
-	late := send(t, "POST", "http://"+address(fleet, 1)+chatPath, header, body)
-	is.Equal(dataOf(late.body), first)
+	late := send(t, "POST", "http://"+httpAddress(fleet, 1)+chatPath, header, body)
+	is.Equal(dataLines(late.body), first)
 	is.Equal(len(fleet.Engines[0].Served()), 1)
-	other := send(t, "POST", "http://"+address(fleet, 2)+chatPath, header, strings.Replace(body, "a b", "b a", 1))
+	other := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, header, strings.Replace(body, "a b", "b a", 1))
 	is.Equal(other.code, result.KeyReused)
 	for _, d := range fleet.Daemons {
 		for d.Node().Ledger().Budget("dev-budget").Spent < 40 {
@@ -249,8 +249,8 @@
 	}
 }
 
-// dataOf returns the data lines of an event stream.
-func dataOf(stream string) string {
+// dataLines returns the payloads of an event stream's data lines.
+func dataLines(stream string) string {
 	var lines []string
 	for _, line := range strings.Split(stream, "\n") {
 		if data, found := strings.CutPrefix(line, "data: "); found {
@@ -260,15 +260,15 @@
 	return strings.Join(lines, "\n")
 }
 
-func TestNamedCompletionOutlivesItsCaller(t *testing.T) {
-	// A program on a bad line loses its connection within a summary and asks again at
-	// another node. The summary must have gone on, be whole, and be billed once.
+func TestKeyedCompletionSurvivesDisconnect(t *testing.T) {
+	// A caller loses its connection mid-answer and resends the request at another node. The
+	// completion must have continued, be complete, and be billed once.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond}})
 	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
-	caller, err := net.Dial("tcp", address(fleet, 0))
+	caller, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
-	r, err := http.NewRequest("POST", "http://"+address(fleet, 0)+chatPath, strings.NewReader(body))
+	r, err := http.NewRequest("POST", "http://"+httpAddress(fleet, 0)+chatPath, strings.NewReader(body))
 	is.NoErr(err)
 	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
 	r.Header.Set("Idempotency-Key", "summary-2")
@@ -282,9 +282,9 @@
 		}
 	}
 	is.NoErr(caller.Close())
-	again := send(t, "POST", "http://"+address(fleet, 2)+chatPath, map[string]string{"Idempotency-Key": "summary-2"}, body)
+	again := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, map[string]string{"Idempotency-Key": "summary-2"}, body)
 	is.Equal(again.status, 200)
-	is.Equal(len(strings.Split(dataOf(again.body), "\n")), 23)
+	is.Equal(len(strings.Split(dataLines(again.body), "\n")), 23)
 	is.Equal(len(fleet.Engines[0].Served()), 1)
 	for fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent == 0 {
 		time.Sleep(time.Millisecond)
--- a/httpapi/servicecall.go
+++ b/httpapi/servicecall.go
@@ -11,7 +11,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Header names that callers send.
+// Header names of the API.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerTicket         = "X-Call-Ticket"
@@ -22,13 +22,13 @@
 
 const servicePrefix = "/s/"
 
-// serviceCall reads a call of a plain service.
-func serviceCall(c *app.RequestContext) (request.ServiceCall, error) {
-	timeout, err := callerTimeout(c)
+// parseServiceCall reads a call of a plain service from the request.
+func parseServiceCall(c *app.RequestContext) (request.ServiceCall, error) {
+	timeout, err := parseTimeout(c)
 	if err != nil {
 		return request.ServiceCall{}, err
 	}
-	path, err := callPath(c)
+	path, err := servicePath(c)
 	if err != nil {
 		return request.ServiceCall{}, err
 	}
@@ -37,17 +37,17 @@
 		return request.ServiceCall{}, err
 	}
 	return request.ServiceCall{
-		Key: bearer(c), Service: c.Param("service"), Method: string(c.Method()), Path: path,
-		Headers: callHeaders(c), Body: body,
+		Key: bearerToken(c), Service: c.Param("service"), Method: string(c.Method()), Path: path,
+		Headers: forwardedHeaders(c), Body: body,
 		IdempotencyKey: string(c.GetHeader(headerIdempotencyKey)), Ticket: string(c.GetHeader(headerTicket)),
 		Timeout: timeout,
 	}, nil
 }
 
-// callPath returns what stands behind the service's name, as the caller sent it. The
-// router works on a path with its dot segments resolved; where that names another
-// service than the caller wrote, the call is refused.
-func callPath(c *app.RequestContext) (string, error) {
+// servicePath returns the path after the service's name, as the caller sent it. The router
+// matches a path with its dot segments resolved; if that names another service than the
+// caller wrote, the call is rejected.
+func servicePath(c *app.RequestContext) (string, error) {
 	original := c.Request.URI().PathOriginal()
 	rest, found := bytes.CutPrefix(original, []byte(servicePrefix))
 	service, path, _ := bytes.Cut(rest, []byte("/"))
@@ -61,8 +61,8 @@
 	return whole, nil
 }
 
-// callHeaders returns the headers that a plain service gets to see.
-func callHeaders(c *app.RequestContext) map[string]string {
+// forwardedHeaders returns the headers that are passed to a plain service.
+func forwardedHeaders(c *app.RequestContext) map[string]string {
 	headers := map[string]string{}
 	for _, name := range []string{"Content-Type", "Accept"} {
 		if value := string(c.GetHeader(name)); value != "" {
@@ -72,8 +72,8 @@
 	return headers
 }
 
-// callerTimeout reads the caller's deadline; 0 for none.
-func callerTimeout(c *app.RequestContext) (time.Duration, error) {
+// parseTimeout reads the caller's timeout; 0 for none.
+func parseTimeout(c *app.RequestContext) (time.Duration, error) {
 	text := string(c.GetHeader(headerTimeout))
 	if text == "" {
 		return 0, nil
--- a/httpapi/ticket.go
+++ b/httpapi/ticket.go
@@ -6,10 +6,10 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// ticketAnswer is a ticket as callers get it.
-type ticketAnswer struct {
+// ticketResponse is the JSON encoding of an issued ticket.
+type ticketResponse struct {
 	Ticket string `json:"ticket"`
-	// ExpiresMS is in Unix milliseconds of the node that issued it.
+	// ExpiresMS is in Unix milliseconds, by the clock of the node that issued the ticket.
 	ExpiresMS int64 `json:"expires_ms"`
 }
 
@@ -18,10 +18,10 @@
 		writeError(c, err)
 		return
 	}
-	text, ticket, err := s.node().Requests().NewTicket(bearer(c))
+	text, ticket, err := s.node().Requests().NewTicket(bearerToken(c))
 	if err != nil {
 		writeError(c, err)
 		return
 	}
-	c.JSON(200, ticketAnswer{Ticket: text, ExpiresMS: ticket.GetExpiresMs()})
+	c.JSON(200, ticketResponse{Ticket: text, ExpiresMS: ticket.GetExpiresMs()})
 }
