--- a/admission/controller.go
+++ b/admission/controller.go
@@ -39,20 +39,20 @@
 	waits chan struct{}
 
 	mu    sync.Mutex
-	cores map[string]*Core
+	cores map[string]*Scheduler
 }
 
 // NewController returns a controller; settings is asked for each service
 // when it is first needed and again from time to time.
 func NewController(clock clockwork.Clock, settings func(service string) Settings, upstreams Upstreams) *Controller {
 	return &Controller{clock: clock, settings: settings, upstreams: upstreams,
-		waits: make(chan struct{}, 1), cores: map[string]*Core{}}
+		waits: make(chan struct{}, 1), cores: map[string]*Scheduler{}}
 }
 
 // Admit waits until the request may be sent. release must be called when the request
 // has left its upstream; a second call does nothing. The error is Overloaded, or
 // CallerGone when ctx ended first; either way nothing was sent.
-func (c *Controller) Admit(ctx context.Context, ask routing.Ask) (release func(), err error) {
+func (c *Controller) Admit(ctx context.Context, ask routing.Request) (release func(), err error) {
 	verdict := make(chan error, 1)
 	core, item := c.offer(ask, verdict)
 	select {
@@ -77,16 +77,16 @@
 	return result.New(result.CallerGone, "the caller left while its request waited")
 }
 
-func (c *Controller) offer(ask routing.Ask, verdict chan<- error) (*Core, *Item) {
+func (c *Controller) offer(ask routing.Request, verdict chan<- error) (*Scheduler, *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	core := c.cores[ask.Service]
 	if core == nil {
-		core = NewCore(c.settings(ask.Service))
+		core = NewScheduler(c.settings(ask.Service))
 		c.cores[ask.Service] = core
 	}
 	first := core.Waiting() == 0
-	item := core.Offer(c.clock.Now(), ask, func(err error) { verdict <- err })
+	item := core.Submit(c.clock.Now(), ask, func(err error) { verdict <- err })
 	if first && core.Waiting() > 0 {
 		select {
 		case c.waits <- struct{}{}:
@@ -108,13 +108,13 @@
 	return idleEvery
 }
 
-func (c *Controller) leave(core *Core, i *Item) bool {
+func (c *Controller) leave(core *Scheduler, i *Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return core.Leave(i)
+	return core.Cancel(i)
 }
 
-func (c *Controller) release(core *Core, i *Item) {
+func (c *Controller) release(core *Scheduler, i *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	core.Release(c.clock.Now(), i)
@@ -134,10 +134,10 @@
 		case <-c.waits:
 			expire.Reset(expireEvery)
 		case <-expire.Chan():
-			c.each(func(_ string, core *Core) { core.Expire(c.clock.Now()) })
+			c.each(func(_ string, core *Scheduler) { core.Expire(c.clock.Now()) })
 			expire.Reset(c.nextExpire())
 		case <-observe.Chan():
-			c.each(func(service string, core *Core) {
+			c.each(func(service string, core *Scheduler) {
 				core.Configure(c.settings(service))
 				here, elsewhere := c.upstreams.Pressure(service)
 				core.Observe(c.clock.Now(), here, elsewhere)
@@ -147,7 +147,7 @@
 	}
 }
 
-func (c *Controller) each(do func(service string, core *Core)) {
+func (c *Controller) each(do func(service string, core *Scheduler)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, core := range c.cores {
@@ -168,7 +168,7 @@
 // Status returns the state of each service's admission.
 func (c *Controller) Status() map[string]Status {
 	all := map[string]Status{}
-	c.each(func(service string, core *Core) {
+	c.each(func(service string, core *Scheduler) {
 		all[service] = Status{Counts: core.Counts(), Limit: core.Limit(), InFlight: core.InFlight(), Waiting: core.Waiting(), Standing: core.Standing()}
 	})
 	return all
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -23,7 +23,7 @@
 	clock := clockwork.NewFakeClockAt(start)
 	settings := func(string) Settings {
 		s := DefaultSettings(1)
-		s.LightReserve = 0
+		s.BelowShareReserve = 0
 		return s
 	}
 	return NewController(clock, settings, unknownUpstreams{}), clock
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAReleasedSlotGoesToTheNext(t *testing.T) {
+func TestReleasedSlotGoesToNextRequest(t *testing.T) {
 	is := is.New(t)
 	c, _ := newTestController()
 	release, err := c.Admit(t.Context(), request("a", "x"))
@@ -55,7 +55,7 @@
 
 // A caller leaves while its request waits. Its place must not be given a slot that
 // nobody would ever release.
-func TestACallerThatLeavesGetsNoSlot(t *testing.T) {
+func TestCanceledRequestGetsNoSlot(t *testing.T) {
 	is := is.New(t)
 	c, _ := newTestController()
 	release, err := c.Admit(t.Context(), request("a", "x"))
@@ -74,7 +74,7 @@
 }
 
 // No slot comes free. The caller must be told as soon as its longest wait has passed.
-func TestAWaitThatIsTooLongEnds(t *testing.T) {
+func TestWaitEndsAtMaxWait(t *testing.T) {
 	is := is.New(t)
 	c, clock := newTestController()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/admission/core.go
+++ b/admission/core.go
@@ -17,10 +17,10 @@
 	limitInUse = 0.9
 )
 
-// Core decides for one service on one node. It isn't safe for concurrent use. Every
+// Scheduler decides for one service on one node. It isn't safe for concurrent use. Every
 // offered item is told its verdict exactly once: nil when admitted, a result error
 // when refused.
-type Core struct {
+type Scheduler struct {
 	settings Settings
 	queue    fairQueue
 	limiter  limiter
@@ -41,30 +41,30 @@
 	Evicted uint64
 }
 
-// NewCore returns a core without any requests.
-func NewCore(settings Settings) *Core {
-	return &Core{settings: settings, limiter: newLimiter(settings), patience: newPatience(settings)}
+// NewScheduler returns a core without any requests.
+func NewScheduler(settings Settings) *Scheduler {
+	return &Scheduler{settings: settings, limiter: newLimiter(settings), patience: newPatience(settings)}
 }
 
 // Counts returns the totals.
-func (c *Core) Counts() Counts { return c.counts }
+func (c *Scheduler) Counts() Counts { return c.counts }
 
 // Limit returns how many requests may be at the upstreams together.
-func (c *Core) Limit() int { return int(math.Round(c.limiter.limit + c.overflow.limit)) }
+func (c *Scheduler) Limit() int { return int(math.Round(c.limiter.limit + c.overflow.limit)) }
 
 // LocalLimit returns how many of them may be in this region.
-func (c *Core) LocalLimit() int { return int(math.Round(c.limiter.limit)) }
+func (c *Scheduler) LocalLimit() int { return int(math.Round(c.limiter.limit)) }
 
 // InFlight returns how many requests are at the upstreams.
-func (c *Core) InFlight() int { return c.inFlight }
+func (c *Scheduler) InFlight() int { return c.inFlight }
 
 // Waiting returns how many requests wait.
-func (c *Core) Waiting() int { return c.queue.length }
+func (c *Scheduler) Waiting() int { return c.queue.length }
 
-// Offer asks for a request's admission. decide is called once with the verdict,
-// perhaps before Offer returns, and must not call the core.
-func (c *Core) Offer(now time.Time, ask routing.Ask, decide func(err error)) *Item {
-	i := &Item{Ask: ask, arrived: now, decide: decide, cost: c.cost(&ask)}
+// Submit asks for a request's admission. decide is called once with the verdict,
+// perhaps before Submit returns, and must not call the core.
+func (c *Scheduler) Submit(now time.Time, ask routing.Request, decide func(err error)) *Request {
+	i := &Request{Params: ask, arrived: now, decide: decide, cost: c.cost(&ask)}
 	i.account = c.queue.account(ask.Team, ask.Account, float64(max(1, ask.Weight)))
 	i.light = c.queue.isLight(i.account, now, true)
 	if c.queue.length == 0 && c.hasRoom(i, now) {
@@ -86,7 +86,7 @@
 	return i
 }
 
-func (c *Core) cost(ask *routing.Ask) float64 {
+func (c *Scheduler) cost(ask *routing.Request) float64 {
 	if tokens := ask.PromptTokens + ask.AnswerTokens; tokens > 0 {
 		return float64(tokens)
 	}
@@ -94,8 +94,8 @@
 }
 
 // reject returns why the request must be refused at once, nil if it may wait.
-func (c *Core) reject(i *Item, now time.Time) error {
-	if d := i.Ask.Deadline; !d.IsZero() && !d.After(now) {
+func (c *Scheduler) reject(i *Request, now time.Time) error {
+	if d := i.Params.Deadline; !d.IsZero() && !d.After(now) {
 		return result.New(result.Overloaded, "the deadline for the first token has passed").After(leastRetryAfter)
 	}
 	wait := c.expectedWait(i, now)
@@ -114,7 +114,7 @@
 
 // makeRoom refuses the newest request of the account with most waiting for its share.
 // Without it one account's flood would fill the queue and all others would be refused.
-func (c *Core) makeRoom(i *Item, wait time.Duration) error {
+func (c *Scheduler) makeRoom(i *Request, wait time.Duration) error {
 	heaviest := c.queue.heaviest()
 	if heaviest == nil || heaviest == i.account {
 		return overloaded(i, wait)
@@ -126,14 +126,14 @@
 	return nil
 }
 
-func overloaded(i *Item, after time.Duration) error {
+func overloaded(i *Request, after time.Duration) error {
 	after = min(max(after, leastRetryAfter), mostRetryAfter)
-	return result.New(result.Overloaded, "service %s can't begin the request in time", i.Ask.Service).After(after)
+	return result.New(result.Overloaded, "service %s can't begin the request in time", i.Params.Service).After(after)
 }
 
 // expectedWait returns how long the account's turn would take to come, from what it
 // has waiting and its share of the drain rate. Nothing measured yet means no wait.
-func (c *Core) expectedWait(i *Item, now time.Time) time.Duration {
+func (c *Scheduler) expectedWait(i *Request, now time.Time) time.Duration {
 	rate := c.drain.perSecond(now)
 	if rate <= 0 {
 		return 0
@@ -143,7 +143,7 @@
 }
 
 // Release tells that an admitted request has left the upstreams.
-func (c *Core) Release(now time.Time, i *Item) {
+func (c *Scheduler) Release(now time.Time, i *Request) {
 	if i.state != stateAdmitted {
 		return
 	}
@@ -153,9 +153,9 @@
 	c.serve(now)
 }
 
-// Leave takes out a waiting request whose caller has left; it is not told anything.
+// Cancel takes out a waiting request whose caller has left; it is not told anything.
 // False if the verdict came first.
-func (c *Core) Leave(i *Item) bool {
+func (c *Scheduler) Cancel(i *Request) bool {
 	if i.state != stateWaiting {
 		return false
 	}
@@ -166,31 +166,31 @@
 
 // Observe takes in what the upstreams of this region and of others report of
 // themselves. It is called at a steady interval.
-func (c *Core) Observe(now time.Time, here, elsewhere routing.Pressure) {
+func (c *Scheduler) Observe(now time.Time, here, elsewhere routing.Pressure) {
 	c.patience.observe(now, c.queue.length > 0)
 	inUse := c.queue.length > 0 || float64(c.inFlight) >= limitInUse*c.limiter.limit
 	if here.Slots <= 0 {
 		c.limiter.forget()
 	} else {
-		c.limiter.observe(here, c.settings.WaitingShare, inUse)
+		c.limiter.observe(here, c.settings.TargetWaitingRatio, inUse)
 	}
 	c.overflow.observe(elsewhere, inUse)
 	c.serve(now)
 }
 
 // Configure takes over settings that changed, as when engines or nodes come and go.
-func (c *Core) Configure(s Settings) {
+func (c *Scheduler) Configure(s Settings) {
 	c.settings, c.patience.settings = s, s
 	c.limiter.configure(s)
 }
 
 // Standing tells whether requests have waited without a break for long.
-func (c *Core) Standing() bool { return c.patience.standing }
+func (c *Scheduler) Standing() bool { return c.patience.standing }
 
 // Expire refuses those that have waited too long. It is called often enough that a
 // caller is told soon after.
-func (c *Core) Expire(now time.Time) {
-	c.queue.each(func(i *Item) {
+func (c *Scheduler) Expire(now time.Time) {
+	c.queue.each(func(i *Request) {
 		if i.lastMoment(c.patience.wait(i.light)).After(now) {
 			return
 		}
@@ -201,7 +201,7 @@
 	})
 }
 
-func (c *Core) serve(now time.Time) {
+func (c *Scheduler) serve(now time.Time) {
 	for i := c.queue.peek(); i != nil && c.hasRoom(i, now); i = c.queue.peek() {
 		c.queue.take(i, now)
 		if !i.lastMoment(c.patience.wait(i.light)).After(now) {
@@ -217,21 +217,21 @@
 // hasRoom tells whether the limit leaves room for the request. The last part of the
 // limit is for accounts below their share: when others fill it, a small account waits
 // for somebody's answer to end before its own request can begin.
-func (c *Core) hasRoom(i *Item, now time.Time) bool {
+func (c *Scheduler) hasRoom(i *Request, now time.Time) bool {
 	limit := c.limiter.limit + c.overflow.limit
 	if !c.queue.isLight(i.account, now, false) {
-		limit -= math.Ceil(c.settings.LightReserve * limit)
+		limit -= math.Ceil(c.settings.BelowShareReserve * limit)
 	}
 	return float64(c.inFlight) < math.Round(max(1, limit))
 }
 
-func (c *Core) admit(i *Item) {
+func (c *Scheduler) admit(i *Request) {
 	c.inFlight++
 	c.counts.Admitted++
 	i.answer(stateAdmitted, nil)
 }
 
-func (c *Core) refuse(i *Item, err error) {
+func (c *Scheduler) refuse(i *Request, err error) {
 	c.counts.Refused++
 	i.answer(stateOver, err)
 }
--- a/admission/core_test.go
+++ b/admission/core_test.go
@@ -15,32 +15,32 @@
 
 // verdict is what a test's caller was told.
 type verdict struct {
-	item  *Item
+	item  *Request
 	times int
 	err   error
 }
 
-func offer(c *Core, now time.Time, ask routing.Ask) *verdict {
+func offer(c *Scheduler, now time.Time, ask routing.Request) *verdict {
 	v := &verdict{}
-	v.item = c.Offer(now, ask, func(err error) {
+	v.item = c.Submit(now, ask, func(err error) {
 		v.times++
 		v.err = err
 	})
 	return v
 }
 
-func request(team, account string) routing.Ask {
-	return routing.Ask{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
+func request(team, account string) routing.Request {
+	return routing.Request{Service: "chat", Team: team, Account: account, PromptTokens: 1000}
 }
 
 // full returns a core whose limit is used up by another account.
-func full(change func(*Settings)) (*Core, []*verdict) {
+func full(change func(*Settings)) (*Scheduler, []*verdict) {
 	s := DefaultSettings(4)
-	s.LightReserve = 0
+	s.BelowShareReserve = 0
 	if change != nil {
 		change(&s)
 	}
-	c := NewCore(s)
+	c := NewScheduler(s)
 	var held []*verdict
 	for len(held) < 4 {
 		held = append(held, offer(c, start, request("other", "other")))
@@ -50,7 +50,7 @@
 
 // serveNext releases one admitted request and returns those of the list that are
 // admitted through it.
-func serveNext(c *Core, now time.Time, admitted *verdict, waiting []*verdict) *verdict {
+func serveNext(c *Scheduler, now time.Time, admitted *verdict, waiting []*verdict) *verdict {
 	before := map[*verdict]bool{}
 	for _, v := range waiting {
 		before[v] = v.times > 0
@@ -66,11 +66,11 @@
 
 // A caller that is never told waits for ever; one told twice may run twice. Whatever
 // comes in which order, each is told once and the bounds hold.
-func TestEveryRequestIsToldOnceAndBoundsHold(t *testing.T) {
+func TestEveryRequestGetsOneDecisionWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := DefaultSettings(3)
 		s.MaxQueue, s.MaxAccountQueue = 6, 4
-		c := NewCore(s)
+		c := NewScheduler(s)
 		now := start
 		var all []*verdict
 		left := map[*verdict]bool{}
@@ -88,7 +88,7 @@
 				c.Release(now, rapid.SampledFrom(all).Draw(t, "release").item)
 			case step == 8 && len(all) > 0:
 				v := rapid.SampledFrom(all).Draw(t, "leave")
-				if c.Leave(v.item) {
+				if c.Cancel(v.item) {
 					left[v] = true
 				}
 			default:
@@ -114,7 +114,7 @@
 
 // One team floods the fleet before the others come. Were requests served in the order
 // of arrival the other teams would get nothing until the flood is through.
-func TestTeamsShareAndWeightsCountWhileAllWait(t *testing.T) {
+func TestTeamsAndAccountsShareByWeight(t *testing.T) {
 	is := is.New(t)
 	c, held := full(func(s *Settings) { s.MaxWait = time.Hour })
 	var waiting []*verdict
@@ -141,7 +141,7 @@
 	near("plain", 10)
 }
 
-func TestPrioritiesCountWithinAnAccount(t *testing.T) {
+func TestHigherPriorityGoesFirstWithinAccount(t *testing.T) {
 	is := is.New(t)
 	c, held := full(nil)
 	low := offer(c, start, request("a", "x"))
@@ -153,7 +153,7 @@
 
 // The queue is long already. A request that would only be late must be told at once
 // and when to come back, not be held until its deadline has passed.
-func TestARequestThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
+func TestLateRequestIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
 	c, held := full(func(s *Settings) { s.MaxWait = time.Minute })
 	for range 20 {
@@ -172,7 +172,7 @@
 
 // One account's flood fills the whole queue. A small account's request must not be
 // turned away for it.
-func TestAFloodMakesRoomForOthers(t *testing.T) {
+func TestFullQueueEvictsFromTheMostBackloggedAccount(t *testing.T) {
 	is := is.New(t)
 	c, _ := full(func(s *Settings) { s.MaxQueue, s.MaxAccountQueue = 10, 100 })
 	var flood []*verdict
@@ -189,7 +189,7 @@
 // Everybody asks for more than there is, for long. With a long queue everybody's
 // answer is late, and as many are refused. Whoever had less than its share may still
 // wait for its turn.
-func TestAStandingQueueIsKeptShort(t *testing.T) {
+func TestStandingQueueShortensWaits(t *testing.T) {
 	is := is.New(t)
 	c, _ := full(nil)
 	burst := offer(c, start, request("other", "other"))
@@ -209,9 +209,9 @@
 
 // The engines' queues grow: what they hold is served in their order, not fairly, and
 // late. The limit must come down, and up again when they are free.
-func TestTheLimitFollowsTheEnginesQueues(t *testing.T) {
+func TestLimitFollowsEngineQueues(t *testing.T) {
 	is := is.New(t)
-	c := NewCore(DefaultSettings(100))
+	c := NewScheduler(DefaultSettings(100))
 	for range 20 {
 		c.Observe(start, routing.Pressure{Running: 100, Waiting: 50, Slots: 100}, routing.Pressure{})
 	}
@@ -225,9 +225,9 @@
 
 // Reports stop after a bad time, as when the engines' load interface fails. A limit
 // that stayed low would go on refusing requests that the engines have room for.
-func TestTheLimitRecoversWithoutReports(t *testing.T) {
+func TestLimitRecoversWithoutReports(t *testing.T) {
 	is := is.New(t)
-	c := NewCore(DefaultSettings(100))
+	c := NewScheduler(DefaultSettings(100))
 	for range 40 {
 		c.Observe(start, routing.Pressure{Running: 100, Waiting: 50, Slots: 100}, routing.Pressure{})
 	}
@@ -239,7 +239,7 @@
 
 // This region is full and the other one idles: requests refused now would be refused
 // falsely. Once the other region is busy itself, or not heard of, they must not go on.
-func TestAnIdleRegionTakesWhatOverflows(t *testing.T) {
+func TestOverflowGoesToAnIdleRegion(t *testing.T) {
 	is := is.New(t)
 	c, _ := full(nil)
 	busy := routing.Pressure{Running: 16, Waiting: 1, Slots: 16}
@@ -256,7 +256,7 @@
 }
 
 // An engine fails a part of its requests. Retries must not multiply the load.
-func TestRetriesStayWithinTheirShare(t *testing.T) {
+func TestRetriesStayWithinTheirRatio(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget()
 	retries := 0
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -39,7 +39,7 @@
 
 // push adds a waiting request. A flow that had none starts from the present virtual
 // time: idling earns no credit with which it could shut out others later.
-func (q *fairQueue) push(i *Item) {
+func (q *fairQueue) push(i *Request) {
 	a := i.account
 	if !a.team.active() {
 		a.team.tag = max(a.team.tag, q.now)
@@ -52,7 +52,7 @@
 	q.backlog += i.cost
 }
 
-func (q *fairQueue) remove(i *Item) {
+func (q *fairQueue) remove(i *Request) {
 	i.account.remove(i)
 	q.length--
 	q.backlog -= i.cost
@@ -60,7 +60,7 @@
 
 // peek returns the request whose turn it is, nil if none waits: of the account with the
 // smallest virtual time, that of its team before its own.
-func (q *fairQueue) peek() *Item {
+func (q *fairQueue) peek() *Request {
 	var best *accountFlow
 	for _, t := range q.teams {
 		for _, a := range t.accounts {
@@ -76,7 +76,7 @@
 }
 
 // take takes out a waiting request to be served.
-func (q *fairQueue) take(i *Item, now time.Time) {
+func (q *fairQueue) take(i *Request, now time.Time) {
 	q.remove(i)
 	q.charge(i, now)
 }
@@ -84,7 +84,7 @@
 // charge moves the virtual times on by the request's cost. Requests that never had to
 // wait are charged too, or an account whose requests come one at a time would get
 // more than its share.
-func (q *fairQueue) charge(i *Item, now time.Time) {
+func (q *fairQueue) charge(i *Request, now time.Time) {
 	i.account.usage.add(i.cost, now)
 	i.account.team.usage.add(i.cost, now)
 	account, team := i.account, i.account.team
@@ -148,10 +148,10 @@
 }
 
 // each calls do for every waiting request; do may remove it.
-func (q *fairQueue) each(do func(*Item)) {
+func (q *fairQueue) each(do func(*Request)) {
 	for _, t := range q.teams {
 		for _, a := range t.accounts {
-			for _, i := range append([]*Item(nil), a.waiting...) {
+			for _, i := range append([]*Request(nil), a.waiting...) {
 				do(i)
 			}
 		}
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -17,12 +17,12 @@
 	virtual
 	name    string
 	team    *teamFlow
-	waiting []*Item
+	waiting []*Request
 }
 
-func (a *accountFlow) push(i *Item) {
+func (a *accountFlow) push(i *Request) {
 	at := len(a.waiting)
-	for at > 0 && a.waiting[at-1].Ask.Priority < i.Ask.Priority {
+	for at > 0 && a.waiting[at-1].Params.Priority < i.Params.Priority {
 		at--
 	}
 	a.waiting = slices.Insert(a.waiting, at, i)
@@ -30,7 +30,7 @@
 	a.team.backlog += i.cost
 }
 
-func (a *accountFlow) remove(i *Item) {
+func (a *accountFlow) remove(i *Request) {
 	at := slices.Index(a.waiting, i)
 	if at < 0 {
 		return
@@ -48,7 +48,7 @@
 	return a.tag < other.tag
 }
 
-func (a *accountFlow) last() *Item { return a.waiting[len(a.waiting)-1] }
+func (a *accountFlow) last() *Request { return a.waiting[len(a.waiting)-1] }
 
 // teamFlow holds a team's accounts.
 type teamFlow struct {
--- a/admission/item.go
+++ b/admission/item.go
@@ -6,9 +6,9 @@
 	"lavenderpin.dev/lavenderpin/routing"
 )
 
-// Item is one request within a Core.
-type Item struct {
-	Ask routing.Ask
+// Request is one request within a Core.
+type Request struct {
+	Params routing.Request
 
 	state   itemState
 	cost    float64
@@ -29,16 +29,16 @@
 )
 
 // lastMoment returns until when the item may wait.
-func (i *Item) lastMoment(maxWait time.Duration) time.Time {
+func (i *Request) lastMoment(maxWait time.Duration) time.Time {
 	last := i.arrived.Add(maxWait)
-	if d := i.Ask.Deadline; !d.IsZero() && d.Before(last) {
+	if d := i.Params.Deadline; !d.IsZero() && d.Before(last) {
 		return d
 	}
 	return last
 }
 
 // answer tells the caller once.
-func (i *Item) answer(state itemState, err error) {
+func (i *Request) answer(state itemState, err error) {
 	i.state = state
 	i.decide(err)
 }
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -29,7 +29,7 @@
 }
 
 func newLimiter(s Settings) limiter {
-	return limiter{limit: float64(s.FirstLimit), first: float64(s.FirstLimit), smallest: 1, largest: float64(s.MaxLimit)}
+	return limiter{limit: float64(s.InitialLimit), first: float64(s.InitialLimit), smallest: 1, largest: float64(s.MaxLimit)}
 }
 
 // observe takes in what the upstreams report and whether this node's limit is in use.
@@ -55,6 +55,6 @@
 
 // configure takes over settings that changed.
 func (l *limiter) configure(s Settings) {
-	l.first, l.largest = float64(s.FirstLimit), float64(s.MaxLimit)
+	l.first, l.largest = float64(s.InitialLimit), float64(s.MaxLimit)
 	l.limit = min(l.limit, l.largest)
 }
--- a/admission/patience.go
+++ b/admission/patience.go
@@ -35,7 +35,7 @@
 	switch {
 	case !p.standing:
 		p.standing = waiting && now.Sub(p.since) >= p.settings.StandingAfter
-	case now.Sub(p.lastRefusal) >= p.settings.CalmAfter:
+	case now.Sub(p.lastRefusal) >= p.settings.ClearAfter:
 		p.standing = false
 	}
 }
--- a/admission/retrybudget.go
+++ b/admission/retrybudget.go
@@ -3,8 +3,8 @@
 import "sync"
 
 const (
-	// RetryShare is how many retries each first attempt pays for.
-	RetryShare = 0.1
+	// RetryRatio is how many retries each first attempt pays for.
+	RetryRatio = 0.1
 	// retryReserve is the most retries saved up, and what a new budget starts with.
 	retryReserve = 10
 )
@@ -25,7 +25,7 @@
 func (b *RetryBudget) FirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(b.balance+RetryShare, retryReserve)
+	b.balance = min(b.balance+RetryRatio, retryReserve)
 }
 
 // TryRetry takes one retry out; false if there is none.
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -16,17 +16,17 @@
 	// many are refused as with a short one.
 	StandingWait  time.Duration
 	StandingAfter time.Duration
-	CalmAfter     time.Duration
-	// FirstLimit is the limit to start with, and to come back to when nothing is
+	ClearAfter    time.Duration
+	// InitialLimit is the limit to start with, and to come back to when nothing is
 	// known of the upstreams.
-	FirstLimit int
+	InitialLimit int
 	// MaxLimit bounds the limit.
 	MaxLimit int
-	// WaitingShare is the share of the upstreams' slots that may have a request
+	// TargetWaitingRatio is the share of the upstreams' slots that may have a request
 	// waiting behind them before the limit falls.
-	WaitingShare float64
-	// LightReserve is the part of the limit that only accounts below their share may use.
-	LightReserve float64
+	TargetWaitingRatio float64
+	// BelowShareReserve is the part of the limit that only accounts below their share may use.
+	BelowShareReserve float64
 	// DefaultTokens is the cost of a request that names none.
 	DefaultTokens float64
 }
@@ -35,16 +35,16 @@
 // for so many upstream slots per node.
 func DefaultSettings(slots int) Settings {
 	return Settings{
-		MaxQueue:        512,
-		MaxAccountQueue: 128,
-		MaxWait:         time.Second,
-		StandingWait:    50 * time.Millisecond,
-		StandingAfter:   time.Second,
-		CalmAfter:       5 * time.Second,
-		FirstLimit:      max(1, slots),
-		MaxLimit:        max(2, 2*slots),
-		WaitingShare:    0.02,
-		LightReserve:    0.2,
-		DefaultTokens:   500,
+		MaxQueue:           512,
+		MaxAccountQueue:    128,
+		MaxWait:            time.Second,
+		StandingWait:       50 * time.Millisecond,
+		StandingAfter:      time.Second,
+		ClearAfter:         5 * time.Second,
+		InitialLimit:       max(1, slots),
+		MaxLimit:           max(2, 2*slots),
+		TargetWaitingRatio: 0.02,
+		BelowShareReserve:  0.2,
+		DefaultTokens:      500,
 	}
 }
--- a/budget/borrower.go
+++ b/budget/borrower.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Parts returns how many parts aren't settled with their lenders.
-func (b *Borrower) Parts() int {
+// UnsettledParts returns how many parts aren't settled with their lenders.
+func (b *Borrower) UnsettledParts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.parts)
--- a/budget/grant.go
+++ b/budget/grant.go
@@ -79,7 +79,7 @@
 // NotAfter implements Grant: the earliest end of the rights that cover the request.
 func (g *grant) NotAfter() time.Time {
 	holder := g.own.holder
-	left := holder.RightLeft()
+	left := holder.RightRemaining()
 	for _, part := range g.parts {
 		left = min(left, part.right.left())
 	}
@@ -131,8 +131,8 @@
 	return min(used-before, reserved)
 }
 
-// BilledTo returns what an open request under one id pays once the whole request
+// BilledTokens returns what an open request under one id pays once the whole request
 // used so many tokens.
-func BilledTo(open *fleetv1.OpenRequest, used uint64) uint64 {
+func BilledTokens(open *fleetv1.OpenRequest, used uint64) uint64 {
 	return shareOf(used, open.GetBefore(), open.GetReserved())
 }
--- a/budget/holder.go
+++ b/budget/holder.go
@@ -14,9 +14,9 @@
 // rightRetry is when a caller may try again that met a node without a right to spend.
 const rightRetry = 5 * time.Second
 
-// Holder is one incarnation's own side of its shares. Reserve and Finish take no
+// ShareHolder is one incarnation's own side of its shares. Reserve and Finish take no
 // lock that requests share; they are safe for concurrent use.
-type Holder struct {
+type ShareHolder struct {
 	incarnation string
 	clock       clockwork.Clock
 	right       *spendRight
@@ -40,36 +40,36 @@
 	used atomic.Int64
 }
 
-// NewHolder returns a holder without shares and without a right to spend.
-func NewHolder(incarnation string, clock clockwork.Clock) *Holder {
-	return &Holder{incarnation: incarnation, clock: clock, right: newSpendRight(clock)}
+// NewShareHolder returns a holder without shares and without a right to spend.
+func NewShareHolder(incarnation string, clock clockwork.Clock) *ShareHolder {
+	return &ShareHolder{incarnation: incarnation, clock: clock, right: newSpendRight(clock)}
 }
 
 // Incarnation returns the incarnation whose shares these are.
-func (h *Holder) Incarnation() string { return h.incarnation }
+func (h *ShareHolder) Incarnation() string { return h.incarnation }
 
 // ExtendRight lets the incarnation spend until the given moment. The moment must
 // lie a full term after the append of the accepted heartbeat began, never after
 // its answer came: whoever closes the incarnation counts from when it read it.
-func (h *Holder) ExtendRight(until time.Time) { h.right.extend(until) }
+func (h *ShareHolder) ExtendRight(until time.Time) { h.right.extend(until) }
 
-// RightLeft returns how long the incarnation may still spend; not positive when the
+// RightRemaining returns how long the incarnation may still spend; not positive when the
 // right has lapsed.
-func (h *Holder) RightLeft() time.Duration { return h.right.left() }
+func (h *ShareHolder) RightRemaining() time.Duration { return h.right.left() }
 
 // RevokeRight ends the right for good, for an incarnation that learned that it is closed.
-func (h *Holder) RevokeRight() { h.right.revoke() }
+func (h *ShareHolder) RevokeRight() { h.right.revoke() }
 
 // checkRight fails when nothing more may be spent.
-func (h *Holder) checkRight() error {
-	if h.RightLeft() <= 0 {
+func (h *ShareHolder) checkRight() error {
+	if h.RightRemaining() <= 0 {
 		return result.New(result.SpendRightLapsed, "the right to spend has lapsed").After(rightRetry)
 	}
 	return nil
 }
 
 // admit fails when nothing more may be reserved.
-func (h *Holder) admit() error {
+func (h *ShareHolder) admit() error {
 	if err := h.checkRight(); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (h *Holder) share(budget string) *localShare {
+func (h *ShareHolder) share(budget string) *localShare {
 	if held, ok := h.shares.Load(budget); ok {
 		return held.(*localShare)
 	}
@@ -88,26 +88,26 @@
 }
 
 // Credit adds tokens that the log granted or moved to this incarnation.
-func (h *Holder) Credit(budget string, tokens uint64) {
+func (h *ShareHolder) Credit(budget string, tokens uint64) {
 	h.share(budget).available.Add(int64(tokens))
 }
 
 // Debit takes up to tokens out of the unreserved part, to return or move them
 // through the log; it returns how many it took.
-func (h *Holder) Debit(budget string, tokens uint64) uint64 {
+func (h *ShareHolder) Debit(budget string, tokens uint64) uint64 {
 	return h.share(budget).take(tokens, true)
 }
 
 // Available returns the tokens of a budget that this node may still reserve.
-func (h *Holder) Available(budget string) uint64 {
+func (h *ShareHolder) Available(budget string) uint64 {
 	return uint64(max(0, h.share(budget).available.Load()))
 }
 
 // Used returns the tokens of a budget finished on this node so far.
-func (h *Holder) Used(budget string) uint64 { return uint64(h.share(budget).used.Load()) }
+func (h *ShareHolder) Used(budget string) uint64 { return uint64(h.share(budget).used.Load()) }
 
 // Budgets returns the names of the budgets that this node holds or held a share of.
-func (h *Holder) Budgets() []string {
+func (h *ShareHolder) Budgets() []string {
 	var names []string
 	h.shares.Range(func(name, _ any) bool {
 		names = append(names, name.(string))
@@ -119,7 +119,7 @@
 // Reserve takes a request's worst case out of the share. It fails with
 // SpendRightLapsed, or with BudgetSpent when the share is too small: the caller
 // decides whether the fleet can cover it elsewhere.
-func (h *Holder) Reserve(budget string, tokens uint64) (*Reservation, error) {
+func (h *ShareHolder) Reserve(budget string, tokens uint64) (*Reservation, error) {
 	if err := h.admit(); err != nil {
 		return nil, err
 	}
@@ -130,8 +130,8 @@
 	return h.open.add(h, share, budget, tokens), nil
 }
 
-// ReservePart is Reserve for as many tokens as the share has, at most tokens.
-func (h *Holder) ReservePart(budget string, tokens uint64) (*Reservation, error) {
+// ReserveUpTo is Reserve for as many tokens as the share has, at most tokens.
+func (h *ShareHolder) ReserveUpTo(budget string, tokens uint64) (*Reservation, error) {
 	if err := h.admit(); err != nil {
 		return nil, err
 	}
@@ -158,15 +158,15 @@
 	}
 }
 
-// ReserveNothing opens a request whose tokens other nodes reserve, to give it an id.
-func (h *Holder) ReserveNothing(budget string) (*Reservation, error) {
+// ReserveEmpty opens a request whose tokens other nodes reserve, to give it an id.
+func (h *ShareHolder) ReserveEmpty(budget string) (*Reservation, error) {
 	if err := h.admit(); err != nil {
 		return nil, err
 	}
 	return h.open.add(h, h.share(budget), budget, 0), nil
 }
 
-// Settlements returns the settlements finished since the last call, as a log
+// TakeSettlements returns the settlements finished since the last call, as a log
 // entry; nil when nothing changed. A long queue is returned in several calls.
 //
 // The oldest open counter is read before the settlements are taken: a request
@@ -174,7 +174,7 @@
 // that counter is in this entry or an earlier one. In the other order the fold
 // would pass a settlement over as already known, and the request would go unbilled.
 // For the same reason a settlement left for the next call counts as open.
-func (h *Holder) Settlements() *recordv1.SettlementBatch {
+func (h *ShareHolder) TakeSettlements() *recordv1.SettlementBatch {
 	if h.settled.len() == 0 {
 		return nil
 	}
@@ -188,8 +188,8 @@
 	}
 }
 
-// Unsettled returns how many settlements wait to be taken.
-func (h *Holder) Unsettled() int { return h.settled.len() }
+// PendingSettlements returns how many settlements wait to be taken.
+func (h *ShareHolder) PendingSettlements() int { return h.settled.len() }
 
-// Open returns how many reservations are neither finished nor cancelled.
-func (h *Holder) Open() int { return h.open.len() }
+// OpenReservations returns how many reservations are neither finished nor cancelled.
+func (h *ShareHolder) OpenReservations() int { return h.open.len() }
--- a/budget/holder_test.go
+++ b/budget/holder_test.go
@@ -12,9 +12,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func newTestHolder(tokens uint64) *Holder {
+func newTestHolder(tokens uint64) *ShareHolder {
 	clock := clockwork.NewRealClock()
-	h := NewHolder("n", clock)
+	h := NewShareHolder("n", clock)
 	h.ExtendRight(clock.Now().Add(time.Hour))
 	h.Credit("b", tokens)
 	return h
@@ -102,7 +102,7 @@
 	}
 }
 
-func (h *accountHistory) client(holder *Holder, client int) {
+func (h *accountHistory) client(holder *ShareHolder, client int) {
 	for i := range 12 {
 		tokens := uint64(10 + 7*client + 3*i)
 		if client == 0 {
@@ -137,7 +137,7 @@
 // After a long outage more settlements wait than fit into one log entry. Each batch
 // must leave the counters of the rest open, or the fold would take the rest for
 // settled and the account would be billed too little.
-func TestLongQueueOfSettlementsIsBilledWhole(t *testing.T) {
+func TestSettlementBacklogIsBilledInFull(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	n := m.addNode()
@@ -148,7 +148,7 @@
 		is.NoErr(err)
 		r.Finish(2)
 	}
-	for n.Unsettled() > 0 {
+	for n.PendingSettlements() > 0 {
 		m.settle(n, false)
 	}
 	is.Equal(m.ledger.Budget("b").Spent, uint64(2*(3*maxSettlementsPerBatch+7)))
@@ -156,7 +156,7 @@
 
 // The log is down for so long that the node can't hold more settlements. It must
 // refuse rather than grow until it dies, and with it what it alone knows.
-func TestFullQueueRefuses(t *testing.T) {
+func TestFullSettlementQueueRefusesReservations(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(1000)
 	h.settled.count.Store(maxUnsettled)
@@ -166,7 +166,7 @@
 
 // More requests are open at once than the lock-free slots hold. Each must still have
 // its own counter, and the oldest must be known, or settlements would be passed over.
-func TestManyOpenReservations(t *testing.T) {
+func TestMoreOpenReservationsThanSlots(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(1 << 20)
 	var open []*Reservation
@@ -178,14 +178,14 @@
 		seen[r.ID.Counter] = true
 		open = append(open, r)
 	}
-	is.Equal(h.Open(), 3*openSlots)
+	is.Equal(h.OpenReservations(), 3*openSlots)
 	for i, r := range open {
 		if i%1000 == 0 {
 			is.Equal(h.open.oldest(), r.ID.Counter)
 		}
 		r.Finish(1)
 	}
-	is.Equal(h.Open(), 0)
+	is.Equal(h.OpenReservations(), 0)
 }
 
 func BenchmarkReserveFinish(b *testing.B) {
@@ -207,7 +207,7 @@
 
 // forgetSettlements empties the queue, which a benchmark fills far faster than a
 // node's writer has to take it.
-func forgetSettlements(h *Holder) {
+func forgetSettlements(h *ShareHolder) {
 	for i := range h.settled.heads {
 		h.settled.heads[i].top.Store(nil)
 	}
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -149,7 +149,7 @@
 	}
 	line := l.line(entry.GetBudget())
 	share := line.share(at.Writer)
-	if share.Left() < entry.GetTokens() {
+	if share.Remaining() < entry.GetTokens() {
 		return fold.Refuse(at, result.BudgetSpent, "the share is smaller")
 	}
 	share.Granted -= entry.GetTokens()
@@ -165,7 +165,7 @@
 	}
 	line := l.line(entry.GetBudget())
 	giver := line.share(at.Writer)
-	if giver.Left() < entry.GetTokens() {
+	if giver.Remaining() < entry.GetTokens() {
 		return fold.Refuse(at, result.BudgetSpent, "the giver's share is smaller")
 	}
 	giver.Granted -= entry.GetTokens()
@@ -200,8 +200,8 @@
 		if share == nil {
 			continue
 		}
-		dispose(line, share.Left())
-		total += share.Left()
+		dispose(line, share.Remaining())
+		total += share.Remaining()
 		delete(line.Shares, incarnation)
 	}
 	delete(l.incarnations, incarnation)
--- a/budget/ledger_test.go
+++ b/budget/ledger_test.go
@@ -29,7 +29,7 @@
 }
 
 type modelNode struct {
-	*Holder
+	*ShareHolder
 	beats uint64
 	open  []*Reservation
 	dead  bool
@@ -50,7 +50,7 @@
 
 func (m *model) addNode() *modelNode {
 	clock := clockwork.NewFakeClock()
-	n := &modelNode{Holder: NewHolder(fmt.Sprint("n", len(m.nodes)), clock)}
+	n := &modelNode{ShareHolder: NewShareHolder(fmt.Sprint("n", len(m.nodes)), clock)}
 	n.ExtendRight(clock.Now().Add(1 << 40))
 	m.nodes = append(m.nodes, n)
 	m.beat(n)
@@ -93,7 +93,7 @@
 // claims and moves against a closed node, top-ups repeated. However they come, no
 // token may be in two places and no request may be billed twice; an operator would
 // see an account above its budget.
-func TestLedgerAddsUpInAnyOrder(t *testing.T) {
+func TestLedgerConservesTokensInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		m.addNode()
@@ -191,7 +191,7 @@
 }
 
 func (m *model) settle(n *modelNode, late bool) {
-	batch := n.Settlements()
+	batch := n.TakeSettlements()
 	if batch == nil {
 		return
 	}
@@ -286,7 +286,7 @@
 // A top-up whose answer was lost is sent again, perhaps years later from the same
 // file. Its tokens must count once, however many top-ups there are; beyond the bound
 // the budget refuses instead of forgetting.
-func TestTopUpsAreBoundedAndNeverForgotten(t *testing.T) {
+func TestTopUpsAreBoundedAndDeduplicated(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	for i := range MaxTopUps {
--- a/budget/lender.go
+++ b/budget/lender.go
@@ -32,7 +32,7 @@
 // Lender reserves parts for peers out of this node's share. It is safe for
 // concurrent use.
 type Lender struct {
-	holder *Holder
+	holder *ShareHolder
 	ledger *Ledger
 	events *event.Recorder
 
@@ -45,7 +45,7 @@
 }
 
 // NewLender returns a lender of a node's shares.
-func NewLender(holder *Holder, ledger *Ledger, events *event.Recorder) *Lender {
+func NewLender(holder *ShareHolder, ledger *Ledger, events *event.Recorder) *Lender {
 	return &Lender{holder: holder, ledger: ledger, events: events, lent: map[string]*lentPart{}, ended: map[string]struct{}{}}
 }
 
@@ -63,7 +63,7 @@
 	}
 	part := l.lent[ask.GetId()]
 	if part == nil {
-		reservation, err := l.holder.ReservePart(ask.GetBudget(), ask.GetTokens())
+		reservation, err := l.holder.ReserveUpTo(ask.GetBudget(), ask.GetTokens())
 		if err != nil {
 			return nil, err
 		}
@@ -72,7 +72,7 @@
 		l.events.Record(event.PartLent, "request", ask.GetRequest(), "part", part.Request, "tokens", part.Tokens, "borrower", from)
 	}
 	return &fleetv1.Reserved{
-		Tokens: part.Tokens, Request: part.Request, RightMs: uint64(max(0, l.holder.RightLeft().Milliseconds())),
+		Tokens: part.Tokens, Request: part.Request, RightMs: uint64(max(0, l.holder.RightRemaining().Milliseconds())),
 	}, nil
 }
 
--- a/budget/lender_test.go
+++ b/budget/lender_test.go
@@ -13,7 +13,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func newTestLender(tokens uint64) (*Lender, *Holder) {
+func newTestLender(tokens uint64) (*Lender, *ShareHolder) {
 	m := newModel()
 	m.addNode() // the borrower, n0
 	h := newTestHolder(tokens)
@@ -23,7 +23,7 @@
 
 // A borrower's ask gets no answer, so it settles the part at nothing, and the ask
 // arrives after that. Reserved then, the tokens would be out of use for good.
-func TestAskOvertakenByItsSettlement(t *testing.T) {
+func TestReserveAfterSettleIsRefused(t *testing.T) {
 	is := is.New(t)
 	l, h := newTestLender(100)
 	l.Settle("n0.1/0", 0)
@@ -34,7 +34,7 @@
 
 // Asks and settlements arrive in any order and several times. Each part must be
 // reserved and billed at most once, and nothing may stay reserved after the end.
-func TestLenderTakesRepetitions(t *testing.T) {
+func TestLenderIsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, h := newTestLender(1000)
 		billed := map[string]uint64{}
@@ -57,15 +57,15 @@
 		for _, id := range ids {
 			l.Settle(id, 0)
 		}
-		if h.Open() != 0 || h.Available("b")+h.Used("b") != 1000 {
-			t.Fatalf("%d open, %d available, %d used", h.Open(), h.Available("b"), h.Used("b"))
+		if h.OpenReservations() != 0 || h.Available("b")+h.Used("b") != 1000 {
+			t.Fatalf("%d open, %d available, %d used", h.OpenReservations(), h.Available("b"), h.Used("b"))
 		}
 	})
 }
 
 // A request is covered by several parts. Whatever it used, the parts together must
 // pay exactly that, and none more than it reserved.
-func TestPartsPayTheWholeOnce(t *testing.T) {
+func TestPartsAreBilledExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOfN(rapid.Uint64Range(0, 500), 1, 6).Draw(t, "parts")
 		total := uint64(0)
--- a/budget/line.go
+++ b/budget/line.go
@@ -20,7 +20,7 @@
 func (l *Line) Remaining() uint64 {
 	left := l.Pool
 	for _, share := range l.Shares {
-		left += share.Left()
+		left += share.Remaining()
 	}
 	return left
 }
@@ -49,8 +49,8 @@
 	Spent   uint64
 }
 
-// Left is what the incarnation was granted and hasn't settled.
-func (s *Share) Left() uint64 { return s.Granted - s.Spent }
+// Remaining is what the incarnation was granted and hasn't settled.
+func (s *Share) Remaining() uint64 { return s.Granted - s.Spent }
 
 func (l *Line) share(incarnation string) *Share {
 	share := l.Shares[incarnation]
--- a/budget/openset.go
+++ b/budget/openset.go
@@ -27,7 +27,7 @@
 	overflow map[uint64]struct{}
 }
 
-func (s *openSet) add(h *Holder, share *localShare, budget string, tokens uint64) *Reservation {
+func (s *openSet) add(h *ShareHolder, share *localShare, budget string, tokens uint64) *Reservation {
 	r := &Reservation{Budget: budget, Tokens: tokens, holder: h, share: share}
 	r.slot = s.mark()
 	if r.slot == nil {
--- a/budget/page_test.go
+++ b/budget/page_test.go
@@ -12,7 +12,7 @@
 
 // A fleet holds more budgets than one answer to an operator can carry. Read page by
 // page each must come once, and the last page must say that it is the last.
-func TestPagesHoldEachBudgetOnce(t *testing.T) {
+func TestPagesListEachBudgetOnce(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	const budgets, limit = 25, 10
--- a/budget/policy.go
+++ b/budget/policy.go
@@ -50,8 +50,8 @@
 	return map[string]Policy{Endurance.Name: Endurance, Thrift.Name: Thrift}
 }
 
-// PolicyNamed returns a policy by its name.
-func PolicyNamed(name string) (Policy, error) {
+// PolicyByName returns a policy by its name.
+func PolicyByName(name string) (Policy, error) {
 	policy, known := Policies()[name]
 	if !known {
 		return Policy{}, errors.NotFoundf("budget policy %q (known: %v)", name, policyNames())
--- a/budget/reservation.go
+++ b/budget/reservation.go
@@ -9,7 +9,7 @@
 	// Tokens is the worst case reserved.
 	Tokens uint64
 
-	holder *Holder
+	holder *ShareHolder
 	share  *localShare
 	// slot holds the counter while the reservation is open; nil when a map does.
 	slot  *atomic.Uint64
--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -41,20 +41,20 @@
 // Peer is another node as the reserver sees it.
 type Peer struct {
 	Node *recordv1.NodeInfo
-	// Near is set for nodes of the own region.
-	Near bool
+	// SameRegion is set for nodes of the own region.
+	SameRegion bool
 	// Suspect is set for nodes that don't answer.
 	Suspect bool
 }
 
 // ReserverConfig is what a Reserver works with.
 type ReserverConfig struct {
-	Holder  *Holder
+	Holder  *ShareHolder
 	Ledger  *Ledger
 	Journal Submitter
 	Events  *event.Recorder
-	// Chunk is the least that is claimed from the pool at a time, in tokens.
-	Chunk uint64
+	// ClaimChunk is the least that is claimed from the pool at a time, in tokens.
+	ClaimChunk uint64
 	// Borrower and Peers reach other nodes' shares; without them only the own share
 	// and the pool are used.
 	Borrower *Borrower
@@ -132,7 +132,7 @@
 	if pool == 0 || !r.c.LogReachable() {
 		return false
 	}
-	pending := r.startClaim(budget, max(tokens, min(r.c.Chunk, pool/2)))
+	pending := r.startClaim(budget, max(tokens, min(r.c.ClaimChunk, pool/2)))
 	ctx, cancel := clockwork.WithTimeout(ctx, r.c.Holder.clock, claimWait)
 	defer cancel()
 	select {
@@ -220,9 +220,9 @@
 }
 
 func (r *Reserver) ownPart(budget string, tokens uint64) (*Reservation, error) {
-	own, err := r.c.Holder.ReservePart(budget, tokens)
+	own, err := r.c.Holder.ReserveUpTo(budget, tokens)
 	if result.CodeOf(err) == result.BudgetSpent {
-		return r.c.Holder.ReserveNothing(budget)
+		return r.c.Holder.ReserveEmpty(budget)
 	}
 	return own, err
 }
@@ -262,7 +262,7 @@
 	line := r.c.Ledger.Budget(budget)
 	left := func(p Peer) uint64 {
 		if share := line.Shares[p.Node.GetIncarnation()]; share != nil {
-			return share.Left()
+			return share.Remaining()
 		}
 		return 0
 	}
@@ -277,8 +277,8 @@
 		switch {
 		case a.Suspect != b.Suspect:
 			return b.Suspect
-		case a.Near != b.Near:
-			return a.Near
+		case a.SameRegion != b.SameRegion:
+			return a.SameRegion
 		}
 		return left(a) > left(b)
 	})
@@ -304,9 +304,9 @@
 func (r *Reserver) remainder(line Line) (open, frozen uint64) {
 	for incarnation, share := range line.Shares {
 		if r.c.Ledger.IsOpen(incarnation) {
-			open += share.Left()
+			open += share.Remaining()
 		} else {
-			frozen += share.Left()
+			frozen += share.Remaining()
 		}
 	}
 	return open, frozen
--- a/budget/right_test.go
+++ b/budget/right_test.go
@@ -23,9 +23,9 @@
 
 func (c *suspendedClock) Now() time.Time { return c.FakeClock.Now().Add(-c.setBack) }
 
-func newSuspendedHolder() (*Holder, *suspendedClock) {
+func newSuspendedHolder() (*ShareHolder, *suspendedClock) {
 	clock := &suspendedClock{FakeClock: clockwork.NewFakeClock()}
-	h := NewHolder("n", clock)
+	h := NewShareHolder("n", clock)
 	h.ExtendRight(clock.Now().Add(time.Hour))
 	h.Credit("b", 100)
 	return h, clock
@@ -44,7 +44,7 @@
 }
 
 // Somebody sets the wall clock back by a day. The right must end all the same.
-func TestRightEndsThoughTheWallClockWasSetBack(t *testing.T) {
+func TestRightEndsWhenWallClockIsSetBack(t *testing.T) {
 	is := is.New(t)
 	h, clock := newSuspendedHolder()
 	clock.setBack = 24 * time.Hour
@@ -66,7 +66,7 @@
 
 // Guards against a request that carries a later end than the right of a lender that pays
 // for a part of it.
-func TestRequestCarriesTheEarliestEndOfItsRights(t *testing.T) {
+func TestNotAfterIsEarliestEndOfRights(t *testing.T) {
 	is := is.New(t)
 	h, clock := newSuspendedHolder()
 	own, err := h.Reserve("b", 10)
--- a/budget/settlement.go
+++ b/budget/settlement.go
@@ -64,7 +64,7 @@
 	i.Settled[id.Counter] = true
 	line := l.line(s.GetBudget())
 	share := line.share(incarnation)
-	tokens := min(s.GetTokens(), share.Left())
+	tokens := min(s.GetTokens(), share.Remaining())
 	l.excess += s.GetTokens() - tokens
 	share.Spent += tokens
 	line.Spent += tokens
--- a/budget/sizer.go
+++ b/budget/sizer.go
@@ -40,7 +40,7 @@
 func (s *Sizer) Step(ctx context.Context) {
 	r := s.reserver
 	lacks := r.demand.take()
-	if !r.c.LogReachable() || r.c.Holder.RightLeft() <= 0 {
+	if !r.c.LogReachable() || r.c.Holder.RightRemaining() <= 0 {
 		return
 	}
 	for _, name := range r.c.Holder.Budgets() {
@@ -53,11 +53,11 @@
 	}
 }
 
-func (s *Sizer) look(name string, lacked uint64) BudgetDemand {
+func (s *Sizer) look(name string, lacked uint64) SizingInput {
 	r := s.reserver
 	line := r.c.Ledger.Budget(name)
-	return BudgetDemand{
-		Budget: name, Available: r.c.Holder.Available(name), Used: r.c.Holder.Used(name), Lacked: lacked,
+	return SizingInput{
+		Budget: name, Available: r.c.Holder.Available(name), Used: r.c.Holder.Used(name), Shortfall: lacked,
 		Pool: line.Pool, Remaining: line.Remaining(), Nodes: 1 + len(r.c.Peers()),
 	}
 }
@@ -100,8 +100,8 @@
 	go r.creditRefused(ticket, budget, taken, event.ShareReturned)
 }
 
-// Move answers a peer's ask: up to half of what is unreserved here moves to it.
-func (r *Reserver) Move(to string, ask *fleetv1.ShareAsk) *fleetv1.ShareAnswer {
+// MoveShare answers a peer's ask: up to half of what is unreserved here moves to it.
+func (r *Reserver) MoveShare(to string, ask *fleetv1.ShareAsk) *fleetv1.ShareAnswer {
 	budget := ask.GetBudget()
 	tokens := min(ask.GetTokens(), r.c.Holder.Available(budget)/2)
 	if tokens == 0 || !r.c.Ledger.IsOpen(to) {
--- a/budget/sizing.go
+++ b/budget/sizing.go
@@ -16,12 +16,12 @@
 	minClaim = 64
 )
 
-// BudgetDemand is what one node sees of one budget at a moment.
-type BudgetDemand struct {
+// SizingInput is what one node sees of one budget at a moment.
+type SizingInput struct {
 	Budget string
 	// Available is unreserved in the own share, Used the tokens finished since the
-	// node started, Lacked those wanted and not covered by the share since the last step.
-	Available, Used, Lacked uint64
+	// node started, Shortfall those wanted and not covered by the share since the last step.
+	Available, Used, Shortfall uint64
 	// Pool is what no node holds, Remaining what isn't settled anywhere.
 	Pool, Remaining uint64
 	// Nodes is how many nodes are open.
@@ -40,8 +40,8 @@
 type SizingState struct {
 	// Rate is the use in tokens per second, averaged over the window.
 	Rate float64
-	// Largest is the largest lack seen lately; it fades over the window.
-	Largest float64
+	// PeakShortfall is the largest lack seen lately; it fades over the window.
+	PeakShortfall float64
 
 	used        uint64
 	last        time.Time
@@ -55,20 +55,20 @@
 // time. While the budget is scarce it claims nothing ahead, as the last tokens are of
 // most use where they can be claimed for a request, and by some policies returns
 // what lies idle.
-func SizeShare(policy Policy, state *SizingState, seen BudgetDemand, now time.Time) SizingAction {
+func SizeShare(policy Policy, state *SizingState, seen SizingInput, now time.Time) SizingAction {
 	state.observe(policy, seen, now)
 	action := SizingAction{Budget: seen.Budget}
-	target := uint64(math.Ceil(state.Rate*policy.Horizon.Seconds() + state.Largest))
-	scarce := seen.Remaining < uint64(scarceRequests*max(1, seen.Nodes))*uint64(max(state.Largest, minClaim))
+	target := uint64(math.Ceil(state.Rate*policy.Horizon.Seconds() + state.PeakShortfall))
+	scarce := seen.Remaining < uint64(scarceRequests*max(1, seen.Nodes))*uint64(max(state.PeakShortfall, minClaim))
 	if scarce {
 		target = 0
 	}
 	switch {
 	case seen.Available < target/2 && seen.Pool > 0:
 		action.Claim = claimSize(target-seen.Available, seen.Pool)
-	case seen.Lacked > 0 && seen.Pool == 0 && !scarce:
-		action.Ask = max(target, seen.Lacked)
-	case scarce && policy.ReturnScarce && state.Rate == 0 && seen.Lacked == 0:
+	case seen.Shortfall > 0 && seen.Pool == 0 && !scarce:
+		action.Ask = max(target, seen.Shortfall)
+	case scarce && policy.ReturnScarce && state.Rate == 0 && seen.Shortfall == 0:
 		action.Return = seen.Available
 	case !scarce && seen.Available > 2*target+minClaim:
 		if state.excessSince.IsZero() {
@@ -92,7 +92,7 @@
 }
 
 // observe updates the averages. Rates that have all but faded read as zero.
-func (s *SizingState) observe(policy Policy, seen BudgetDemand, now time.Time) {
+func (s *SizingState) observe(policy Policy, seen SizingInput, now time.Time) {
 	if s.last.IsZero() {
 		s.used, s.last = seen.Used, now
 	}
@@ -100,14 +100,14 @@
 	if elapsed > 0 {
 		keep := math.Exp(-elapsed / policy.Window.Seconds())
 		s.Rate = s.Rate*keep + float64(seen.Used-s.used)/elapsed*(1-keep)
-		s.Largest *= keep
+		s.PeakShortfall *= keep
 	}
-	s.Largest = max(s.Largest, float64(seen.Lacked))
+	s.PeakShortfall = max(s.PeakShortfall, float64(seen.Shortfall))
 	if s.Rate*policy.Window.Seconds() < 1 {
 		s.Rate = 0
 	}
-	if s.Largest < 1 {
-		s.Largest = 0
+	if s.PeakShortfall < 1 {
+		s.PeakShortfall = 0
 	}
 	s.used, s.last = seen.Used, now
 }
--- a/budget/witnessed_test.go
+++ b/budget/witnessed_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a request billed twice that both a witness and its own node settle, the
 // node having lived behind a cut.
-func TestWitnessAndNodeSettleTheSameRequest(t *testing.T) {
+func TestWitnessAndNodeSettleSameRequest(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	node, witness := m.addNode(), m.addNode()
@@ -20,7 +20,7 @@
 	reserved, err := node.Reserve("b", 100)
 	is.NoErr(err)
 	reserved.Finish(70)
-	own := node.Settlements()
+	own := node.TakeSettlements()
 	theirs := &recordv1.SettlementBatch{Incarnation: node.Incarnation(), Settlements: own.GetSettlements()}
 	is.True(m.apply(witness.Incarnation(), settlementsEntry(theirs)).OK())
 	is.Equal(m.ledger.Budget("b").Spent, uint64(70))
@@ -31,7 +31,7 @@
 }
 
 // Guards against a closed incarnation, whose word may be old, settling for an open one.
-func TestClosedNodeSettlesForNobodyOpen(t *testing.T) {
+func TestClosedNodeCannotSettleForOpenNode(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	node, witness := m.addNode(), m.addNode()
--- a/cmd/lavenderpin/serve.go
+++ b/cmd/lavenderpin/serve.go
@@ -83,7 +83,7 @@
 }
 
 func (c *serveCmd) setPolicy(settings *node.Settings) error {
-	policy, err := budget.PolicyNamed(c.BudgetPolicy)
+	policy, err := budget.PolicyByName(c.BudgetPolicy)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/directory/silence.go
+++ b/directory/silence.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Sent notes that a request was sent to the upstream.
-func (s *Stats) Sent(now time.Duration) {
+// RecordSent notes that a request was sent to the upstream.
+func (s *Stats) RecordSent(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unanswered = append(s.unanswered, now)
 }
 
-// Settled notes that a request which was sent at a time isn't waited for any more.
-func (s *Stats) Settled(sent time.Duration) {
+// RecordSettled notes that a request which was sent at a time isn't waited for any more.
+func (s *Stats) RecordSettled(sent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := slices.Index(s.unanswered, sent); at >= 0 {
@@ -21,15 +21,15 @@
 	}
 }
 
-// Heard notes that something came from the upstream.
-func (s *Stats) Heard(now time.Duration) {
+// RecordReceived notes that something came from the upstream.
+func (s *Stats) RecordReceived(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heardAt = max(s.heardAt, now)
 }
 
-// HeardWithin tells whether anything came from the upstream within a time.
-func (s *Stats) HeardWithin(d, now time.Duration) bool {
+// ReceivedWithin tells whether anything came from the upstream within a time.
+func (s *Stats) ReceivedWithin(d, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heardAt != 0 && now-s.heardAt < d
--- a/directory/stats.go
+++ b/directory/stats.go
@@ -65,16 +65,16 @@
 	return Load{Running: s.running, Waiting: s.waiting, At: s.loadAt}
 }
 
-// Fail counts a request that the upstream spoiled: an error, a broken answer, silence.
-func (s *Stats) Fail(now time.Duration) {
+// RecordFailure counts a request that the upstream spoiled: an error, a broken answer, silence.
+func (s *Stats) RecordFailure(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
 	s.failure += failureWeight
 }
 
-// Succeed counts a whole answer.
-func (s *Stats) Succeed(now time.Duration) {
+// RecordSuccess counts a whole answer.
+func (s *Stats) RecordSuccess(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
@@ -83,10 +83,10 @@
 	s.darkUntil = 0
 }
 
-// Unreachable counts a connection that could not be made or a request that nothing came
+// RecordUnreachable counts a connection that could not be made or a request that nothing came
 // back for. Each one in a row doubles the time for which the upstream is left alone,
 // from darkFirst to darkMost.
-func (s *Stats) Unreachable(now time.Duration) {
+func (s *Stats) RecordUnreachable(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
@@ -105,15 +105,15 @@
 	darkMost = 3 * time.Second
 )
 
-// Dark tells whether the upstream should be left alone now.
-func (s *Stats) Dark(now time.Duration) bool {
+// InBackoff tells whether the upstream should be left alone now.
+func (s *Stats) InBackoff(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now < s.darkUntil
 }
 
-// Failure estimates how likely the next request fails, from zero up.
-func (s *Stats) Failure(now time.Duration) float64 {
+// FailureScore estimates how likely the next request fails, from zero up.
+func (s *Stats) FailureScore(now time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
--- a/directory/table.go
+++ b/directory/table.go
@@ -52,8 +52,8 @@
 // Current returns the newest snapshot without locking.
 func (t *Table) Current() *Snapshot { return t.current.Load() }
 
-// StoreLost notes that the entries couldn't be read.
-func (t *Table) StoreLost() {
+// RecordStoreFailure notes that the entries couldn't be read.
+func (t *Table) RecordStoreFailure() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.storeLost = t.clock.Now()
@@ -76,14 +76,14 @@
 
 // Remove takes note that an entry is gone and tells whether it was in use.
 func (t *Table) Remove(id string) bool {
-	return t.Apply([]Update{{Entry: Entry{ID: id}, Gone: true}})[0] == Left
+	return t.Apply([]Update{{Entry: Entry{ID: id}, Removed: true}})[0] == Left
 }
 
 // Update is news of one upstream.
 type Update struct {
 	// Entry is what it wrote; of one that is gone, the ID alone.
-	Entry Entry
-	Gone  bool
+	Entry   Entry
+	Removed bool
 }
 
 // Apply takes updates over in order and tells what each of them changed.
@@ -97,7 +97,7 @@
 	changes := make([]Change, len(updates))
 	for i, u := range updates {
 		switch {
-		case !u.Gone:
+		case !u.Removed:
 			changes[i] = t.put(u.Entry)
 		case t.remove(u.Entry.ID):
 			changes[i] = Left
@@ -113,7 +113,7 @@
 		return Unchanged
 	}
 	u := &Upstream{Entry: e, Stats: &Stats{}}
-	reborn := known && (e.Born != old.Born || e.Address != old.Address || e.Service != old.Service)
+	reborn := known && (e.StartedAt != old.StartedAt || e.Address != old.Address || e.Service != old.Service)
 	if known && !reborn {
 		u.Stats = old.Stats
 	}
@@ -121,7 +121,7 @@
 	switch {
 	case e.State == Draining && (!known || old.State != Draining):
 		return Left
-	case !known || reborn || old.DoubtedUntil != 0 || old.State != e.State:
+	case !known || reborn || old.StaleUntil != 0 || old.State != e.State:
 		return Joined
 	default:
 		return Unchanged
@@ -139,9 +139,9 @@
 		delete(t.entries, id)
 		return true
 	}
-	if old.DoubtedUntil == 0 {
+	if old.StaleUntil == 0 {
 		doubted := *old
-		doubted.DoubtedUntil = now + doubtFor
+		doubted.StaleUntil = now + doubtFor
 		t.entries[id] = &doubted
 	}
 	return true
@@ -165,8 +165,8 @@
 	t.listedYet.Do(func() { close(t.listed) })
 }
 
-// Listed returns a channel that is closed once all entries were read.
-func (t *Table) Listed() <-chan struct{} { return t.listed }
+// Synced returns a channel that is closed once all entries were read.
+func (t *Table) Synced() <-chan struct{} { return t.listed }
 
 // Expire drops doubted upstreams whose time is over.
 func (t *Table) Expire() {
@@ -175,7 +175,7 @@
 	now := t.clock.Now()
 	expired := false
 	for id, u := range t.entries {
-		if u.DoubtedUntil != 0 && now >= u.DoubtedUntil {
+		if u.StaleUntil != 0 && now >= u.StaleUntil {
 			delete(t.entries, id)
 			expired = true
 		}
--- a/directory/table_test.go
+++ b/directory/table_test.go
@@ -12,7 +12,7 @@
 )
 
 func ready(id string, sequence int64) Entry {
-	return Entry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "d", Slots: 4, State: Ready, Sequence: sequence, Born: 1000}
+	return Entry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "d", Slots: 4, State: Ready, Sequence: sequence, StartedAt: 1000}
 }
 
 func ids(t *Table) []string {
@@ -24,7 +24,7 @@
 }
 
 // An upstream says that it leaves. New work sent to it would be cut off when it ends.
-func TestDrainingUpstreamGetsNothingNew(t *testing.T) {
+func TestDrainingUpstreamIsNotListed(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(&bootclock.Fake{})
 	is.Equal(table.Put(ready("a", 1)), Joined)
@@ -36,7 +36,7 @@
 
 // Entries are delivered late. An old one must not bring a leaving upstream, or an
 // earlier incarnation, back into use.
-func TestLateEntryChangesNothing(t *testing.T) {
+func TestOutdatedEntryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(&bootclock.Fake{})
 	leaving := ready("a", 5)
@@ -45,7 +45,7 @@
 	is.Equal(table.Put(ready("a", 4)), Unchanged)
 	is.Equal(len(ids(table)), 0)
 	reborn := ready("b", 1)
-	reborn.Born = 2000
+	reborn.StartedAt = 2000
 	table.Put(reborn)
 	old := ready("b", 99)
 	old.State = Draining
@@ -55,31 +55,31 @@
 
 // An upstream starts again under its ID. What was learned of the earlier incarnation,
 // its failures and its load, says nothing of the new one.
-func TestNewIncarnationStartsUnknown(t *testing.T) {
+func TestNewIncarnationHasFreshStats(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(&bootclock.Fake{})
 	table.Put(ready("a", 9))
-	table.Current().Upstreams("s")[0].Fail(0)
+	table.Current().Upstreams("s")[0].RecordFailure(0)
 	reborn := ready("a", 1)
-	reborn.Born = 2000
+	reborn.StartedAt = 2000
 	is.Equal(table.Put(reborn), Joined)
-	is.Equal(table.Current().Upstreams("s")[0].Failure(0), 0.0)
+	is.Equal(table.Current().Upstreams("s")[0].FailureScore(0), 0.0)
 }
 
 // The store was away and entries lapsed with it, though the upstreams live. They come
 // back about two seconds after the store; a node that believed at once that all are gone
 // would refuse every request meanwhile. One still missing after that is gone.
-func TestEntriesThatLapsedWithTheStoreAreDoubtedFirst(t *testing.T) {
+func TestEntriesLostWithTheStoreStayStaleBeforeRemoval(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
 	table := NewTable(clock)
 	table.Replace([]Entry{ready("a", 1), ready("b", 1)})
-	table.StoreLost()
+	table.RecordStoreFailure()
 	clock.Advance(time.Second)
 	table.Replace([]Entry{ready("a", 2)})
 	is.Equal(ids(table), []string{"a", "b"})
-	is.True(table.Current().Upstreams("s")[1].DoubtedUntil != 0)
+	is.True(table.Current().Upstreams("s")[1].StaleUntil != 0)
 	clock.Advance(doubtFor)
 	table.Expire()
 	is.Equal(ids(table), []string{"a"})
@@ -87,7 +87,7 @@
 
 // Some upstreams never say that they leave: their entry is removed while the store is
 // well. They get nothing new from that moment.
-func TestRemovedEntryIsGoneWhileTheStoreIsWell(t *testing.T) {
+func TestEntryIsRemovedWhileTheStoreIsReachable(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
@@ -100,26 +100,26 @@
 
 // An upstream went dark and comes back. It must be tried again soon, and each further
 // failure must cost fewer requests than the one before.
-func TestDarkUpstreamIsLeftAloneForLongerEachTime(t *testing.T) {
+func TestBackoffGrowsWithEachFailedConnection(t *testing.T) {
 	is := is.New(t)
 	s := &Stats{}
-	s.Unreachable(0)
-	is.True(s.Dark(darkFirst - 1))
-	is.True(!s.Dark(darkFirst))
+	s.RecordUnreachable(0)
+	is.True(s.InBackoff(darkFirst - 1))
+	is.True(!s.InBackoff(darkFirst))
 	for range 10 {
-		s.Unreachable(0)
+		s.RecordUnreachable(0)
 	}
-	is.True(s.Dark(darkMost - 1))
-	is.True(!s.Dark(darkMost))
-	s.Unreachable(0)
-	s.Succeed(1)
-	is.True(!s.Dark(1))
+	is.True(s.InBackoff(darkMost - 1))
+	is.True(!s.InBackoff(darkMost))
+	s.RecordUnreachable(0)
+	s.RecordSuccess(1)
+	is.True(!s.InBackoff(1))
 }
 
 // Three thousand upstreams register at once, and a node reads them all anew after each loss of
 // the store. Were the list of all made for each of them, a node would spend seconds on it, and
 // changes of the configuration would wait behind.
-func TestManyUpstreamsMakeOneSnapshot(t *testing.T) {
+func TestBatchBuildsOneSnapshot(t *testing.T) {
 	is := is.New(t)
 	const upstreams = 3000
 	table := NewTable(&bootclock.Fake{})
@@ -142,6 +142,6 @@
 	is.Equal(len(table.Current().Upstreams("s")), upstreams)
 	is.True(allocated(func() { table.Replace(entries) }) < most)
 	is.True(allocated(func() { table.Apply(updates) }) < most)
-	is.Equal(table.Apply([]Update{{Entry: Entry{ID: "u0000"}, Gone: true}, {Entry: entries[0]}, {Entry: entries[1]}}), []Change{Left, Joined, Unchanged})
+	is.Equal(table.Apply([]Update{{Entry: Entry{ID: "u0000"}, Removed: true}, {Entry: entries[0]}, {Entry: entries[1]}}), []Change{Left, Joined, Unchanged})
 	is.Equal(len(table.Current().Upstreams("s")), upstreams)
 }
--- a/directory/upstream.go
+++ b/directory/upstream.go
@@ -22,9 +22,9 @@
 	State      State
 	// Warmup is how much longer the upstream stays slow after its start.
 	Warmup time.Duration
-	// Born is when this incarnation started, in Unix milliseconds, zero if unsaid; an
+	// StartedAt is when this incarnation started, in Unix milliseconds, zero if unsaid; an
 	// upstream may start again under the same ID and then holds nothing of before.
-	Born int64
+	StartedAt int64
 	// Sequence counts the entries of one incarnation.
 	Sequence int64
 }
@@ -32,8 +32,8 @@
 // follows tells whether e is a newer statement than old. Late deliveries of an earlier
 // incarnation's entries must not bring it back.
 func (e Entry) follows(old Entry) bool {
-	if e.Born != old.Born && e.Born != 0 && old.Born != 0 {
-		return e.Born > old.Born
+	if e.StartedAt != old.StartedAt && e.StartedAt != 0 && old.StartedAt != 0 {
+		return e.StartedAt > old.StartedAt
 	}
 	return e.Sequence >= old.Sequence
 }
@@ -42,7 +42,7 @@
 type Upstream struct {
 	Entry
 	*Stats
-	// DoubtedUntil, by the boot clock, is set for an upstream whose entry vanished
+	// StaleUntil, by the boot clock, is set for an upstream whose entry vanished
 	// while the store was away: it may still serve, and only as the last resort.
-	DoubtedUntil time.Duration
+	StaleUntil time.Duration
 }
--- a/directory/wait.go
+++ b/directory/wait.go
@@ -14,17 +14,17 @@
 	waitKeeps = 0.75
 )
 
-// Began notes that the answer to a request began after a wait.
-func (s *Stats) Began(wait, now time.Duration) {
+// RecordResponseStart notes that the answer to a request began after a wait.
+func (s *Stats) RecordResponseStart(wait, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.firstWait, s.firstAt = max(wait, time.Duration(waitKeeps*float64(s.faded(now)))), now
 }
 
-// Wait estimates how long a request waits now until its answer begins: as long as the last
+// EstimatedWait estimates how long a request waits now until its answer begins: as long as the last
 // ones did, and no less than one has waited here while none began. A single long prompt that
 // others overtake says nothing of them.
-func (s *Stats) Wait(now time.Duration) time.Duration {
+func (s *Stats) EstimatedWait(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait := s.faded(now)
--- a/directory/wait_test.go
+++ b/directory/wait_test.go
@@ -9,31 +9,31 @@
 
 // An engine's queue grows under a crowd. The node must see it grow while nothing answers,
 // remember it while short answers overtake, and forget it when the crowd is over.
-func TestWaitFollowsTheQueue(t *testing.T) {
+func TestEstimatedWaitFollowsTheQueue(t *testing.T) {
 	is := is.New(t)
 	s := &Stats{}
-	is.Equal(s.Wait(time.Hour), time.Duration(0))
-	s.Sent(time.Hour)
-	is.Equal(s.Wait(time.Hour+2*time.Second), 2*time.Second)
-	s.Settled(time.Hour)
-	s.Began(2*time.Second, time.Hour+2*time.Second)
-	is.Equal(s.Wait(time.Hour+2*time.Second), 2*time.Second)
-	s.Began(10*time.Millisecond, time.Hour+2*time.Second)
-	is.Equal(s.Wait(time.Hour+2*time.Second), 1500*time.Millisecond)
-	is.True(s.Wait(time.Hour+10*time.Second) < 10*time.Millisecond)
+	is.Equal(s.EstimatedWait(time.Hour), time.Duration(0))
+	s.RecordSent(time.Hour)
+	is.Equal(s.EstimatedWait(time.Hour+2*time.Second), 2*time.Second)
+	s.RecordSettled(time.Hour)
+	s.RecordResponseStart(2*time.Second, time.Hour+2*time.Second)
+	is.Equal(s.EstimatedWait(time.Hour+2*time.Second), 2*time.Second)
+	s.RecordResponseStart(10*time.Millisecond, time.Hour+2*time.Second)
+	is.Equal(s.EstimatedWait(time.Hour+2*time.Second), 1500*time.Millisecond)
+	is.True(s.EstimatedWait(time.Hour+10*time.Second) < 10*time.Millisecond)
 }
 
 // An upstream answers other requests while one waits: it is busy and not silent.
-func TestSilenceIsTowardsAll(t *testing.T) {
+func TestSilenceEndsWithAnyResponse(t *testing.T) {
 	is := is.New(t)
 	s := &Stats{}
 	is.Equal(s.Silence(time.Hour), time.Duration(0))
-	s.Sent(time.Hour)
+	s.RecordSent(time.Hour)
 	is.Equal(s.Silence(time.Hour+time.Second), time.Second)
-	s.Heard(time.Hour + time.Second)
+	s.RecordReceived(time.Hour + time.Second)
 	is.Equal(s.Silence(time.Hour+time.Second), time.Duration(0))
-	is.True(s.HeardWithin(time.Second, time.Hour+time.Second))
-	is.True(!s.HeardWithin(time.Second, time.Hour+3*time.Second))
-	s.Settled(time.Hour)
+	is.True(s.ReceivedWithin(time.Second, time.Hour+time.Second))
+	is.True(!s.ReceivedWithin(time.Second, time.Hour+3*time.Second))
+	s.RecordSettled(time.Hour)
 	is.Equal(s.Silence(2*time.Hour), time.Duration(0))
 }
--- a/edgenode/upstreamhandler.go
+++ b/edgenode/upstreamhandler.go
@@ -31,7 +31,7 @@
 func (h *upstreamHandler) Apply(records []keyedlog.Record) {
 	updates := make([]directory.Update, len(records))
 	for i, r := range records {
-		updates[i] = directory.Update{Entry: directory.Entry{ID: r.Key}, Gone: true}
+		updates[i] = directory.Update{Entry: directory.Entry{ID: r.Key}, Removed: true}
 		if r.Deleted {
 			continue
 		}
@@ -47,12 +47,12 @@
 }
 
 func (h *upstreamHandler) log(u directory.Update, change directory.Change) {
-	if u.Gone {
+	if u.Removed {
 		h.node.deps.Events.Record(event.UpstreamListed, "upstream", u.Entry.ID, "left", true)
 		return
 	}
 	e := u.Entry
-	h.node.deps.Events.Record(event.UpstreamListed, "upstream", e.ID, "service", e.Service, "address", e.Address, "left", change == directory.Left, "born", e.Born, "sequence", e.Sequence)
+	h.node.deps.Events.Record(event.UpstreamListed, "upstream", e.ID, "service", e.Service, "address", e.Address, "left", change == directory.Left, "born", e.StartedAt, "sequence", e.Sequence)
 }
 
 func (h *upstreamHandler) decode(r keyedlog.Record) (directory.Entry, bool) {
@@ -64,15 +64,15 @@
 	return e, true
 }
 
-// Lost keeps the entries and notes that they may lapse with the store.
-func (h *upstreamHandler) Lost(err error) {
-	h.node.directory.StoreLost()
+// ReadFailed keeps the entries and notes that they may lapse with the store.
+func (h *upstreamHandler) ReadFailed(err error) {
+	h.node.directory.RecordStoreFailure()
 	h.node.directory.Expire()
 	h.readings.lost(err)
 }
 
-// Caught drops doubted upstreams whose time is over.
-func (h *upstreamHandler) Caught(r keyedlog.Reading) {
+// ReadSucceeded drops doubted upstreams whose time is over.
+func (h *upstreamHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.node.directory.Expire()
 	h.readings.caught(r)
 }
--- a/fold/state.go
+++ b/fold/state.go
@@ -6,8 +6,8 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// ErrBackwards tells that a state is older than what is folded already.
-var ErrBackwards = errors.New("the state is older than the one folded")
+// ErrStaleState tells that a state is older than what is folded already.
+var ErrStaleState = errors.New("the state is older than the one folded")
 
 // State returns the whole folded state. Two engines that folded the same records
 // return equal states.
@@ -28,7 +28,7 @@
 // of an earlier version wrote it, and the part would restart from nothing.
 func (e *Engine) Restore(state *recordv1.FoldState) error {
 	if state.GetOffset() <= e.offset {
-		return errors.Annotatef(ErrBackwards, "offset %d, folded up to %d", state.GetOffset(), e.offset)
+		return errors.Annotatef(ErrStaleState, "offset %d, folded up to %d", state.GetOffset(), e.offset)
 	}
 	saved := map[string][]byte{}
 	for _, part := range state.GetParts() {
--- a/fold/state_test.go
+++ b/fold/state_test.go
@@ -101,7 +101,7 @@
 
 // A node is handed a state older than its own, by a peer that lags. Were it taken,
 // an accepted change would revert on this node.
-func TestStateNeverGoesBackwards(t *testing.T) {
+func TestRestoreRefusesOlderState(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine()
 	old, err := engine.State()
@@ -114,7 +114,7 @@
 // Thousands of incarnations come and go, and the log then delivers once more, very
 // late, a batch of one that nobody remembers. Were it taken as new, a budget would be
 // topped up twice.
-func TestForgottenWriterStaysVoid(t *testing.T) {
+func TestPrunedWriterStaysRejected(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine()
 	topUp := &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: "b"}}}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -25,10 +25,10 @@
 	Arrived time.Duration
 	// PromptTokens and MaxOutput are the request's declared sizes in tokens.
 	PromptTokens, MaxOutput int64
-	Prefix                  []placement.Part
+	Prefix                  []placement.PromptPart
 	// ResumeAfter is the last event that the caller has of an earlier attempt.
-	ResumeAfter int64
-	HasResume   bool
+	ResumeAfter    int64
+	HasResumeAfter bool
 }
 
 // most returns the most tokens that the request can use.
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -70,25 +70,25 @@
 
 // logDispatch tells where the request goes and what decided it. An age of -1 means that
 // the upstream hasn't told its load yet.
-func (c *call) logDispatch(choice placement.Choice) {
+func (c *call) logDispatch(choice placement.PickResult) {
 	load := choice.Upstream.Load()
 	age := int64(-1)
 	if load.At != 0 {
 		age = c.g.since(load.At).Milliseconds()
 	}
 	c.g.Events.Record(event.RequestDispatched, "request", c.r.ID, "upstream", choice.Upstream.ID, "send", c.sends,
-		"expected_ms", choice.Expected.Milliseconds(), "candidates", choice.Candidates, "unread", choice.Unread,
+		"expected_ms", choice.Expected.Milliseconds(), "candidates", choice.Candidates, "unread", choice.Uncached,
 		"running", load.Running, "waiting", load.Waiting, "load_age_ms", age, "left_ms", c.left().Milliseconds(), "after", c.lastEvent)
 }
 
 func (c *call) maySendAgain(ctx context.Context, v verdict) bool {
-	if c.gone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.left() < c.g.settings.MinSend {
+	if c.gone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.left() < c.g.settings.MinTimeLeft {
 		return false
 	}
 	if c.ran == 0 {
 		return true
 	}
-	if !c.route.Repeatable() || c.ran >= c.route.MaxAttempts {
+	if !c.route.Retryable() || c.ran >= c.route.MaxAttempts {
 		return false
 	}
 	// A stream can be joined only where its events are numbered.
@@ -114,7 +114,7 @@
 		c.refuse(c.unknown(ctx, why))
 	default:
 		c.outcome = "refused"
-		c.refuse(result.New(result.NoUpstream, "%s", why).After(c.g.settings.BusyRetry))
+		c.refuse(result.New(result.NoUpstream, "%s", why).After(c.g.settings.BusyRetryAfter))
 	}
 }
 
@@ -134,8 +134,8 @@
 func (c *call) observe(u *directory.Upstream, unreachable bool) {
 	now := c.g.Clock.Now()
 	if unreachable {
-		u.Unreachable(now)
+		u.RecordUnreachable(now)
 		return
 	}
-	u.Fail(now)
+	u.RecordFailure(now)
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,7 +25,7 @@
 }
 
 // send sends the request to one upstream and passes its answer on.
-func (c *call) send(ctx context.Context, choice placement.Choice) verdict {
+func (c *call) send(ctx context.Context, choice placement.PickResult) verdict {
 	u := choice.Upstream
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -34,15 +34,15 @@
 	u.InFlight.Add(1)
 	defer u.InFlight.Add(-1)
 	sent := c.g.Clock.Now()
-	u.Sent(sent)
+	u.RecordSent(sent)
 	c.sentAt = sent
-	prompt := int64(choice.Unread)
+	prompt := int64(choice.Uncached)
 	u.PromptInFlight.Add(prompt)
 	reading := true
 	answered := func() {
 		if reading {
 			u.PromptInFlight.Add(-prompt)
-			u.Settled(sent)
+			u.RecordSettled(sent)
 			reading = false
 		}
 	}
@@ -53,21 +53,21 @@
 		return c.noAnswer(ctx, u, err)
 	}
 	defer answer.Close()
-	u.Heard(c.g.Clock.Now())
+	u.RecordReceived(c.g.Clock.Now())
 	if v, final := c.refusedBy(u, answer); final {
 		return v
 	}
 	c.g.Picker.Observe(c.query(), u)
-	if answer.Events && answer.Status < 300 {
+	if answer.IsEventStream && answer.Status < 300 {
 		return c.stream(ctx, u, answer, silence, answered)
 	}
 	return c.whole(ctx, u, answer)
 }
 
 func (c *call) dispatch() *Dispatch {
-	d := &Dispatch{Request: c.r, Account: c.accountName(), Left: c.left(), After: c.r.ResumeAfter, HasAfter: c.r.HasResume, Urgency: c.urgency()}
+	d := &Dispatch{Request: c.r, Account: c.accountName(), Remaining: c.left(), LastEventID: c.r.ResumeAfter, HasLastEventID: c.r.HasResumeAfter, Urgency: c.urgency()}
 	if c.hasEvent {
-		d.After, d.HasAfter = c.lastEvent, true
+		d.LastEventID, d.HasLastEventID = c.lastEvent, true
 	}
 	return d
 }
@@ -99,12 +99,12 @@
 }
 
 // refusedBy handles answers that say that the request didn't run.
-func (c *call) refusedBy(u *directory.Upstream, answer *Answer) (verdict, bool) {
-	if !answer.NotRun && !answer.Elsewhere {
+func (c *call) refusedBy(u *directory.Upstream, answer *Response) (verdict, bool) {
+	if !answer.NotRun && !answer.AddressReassigned {
 		return 0, false
 	}
-	c.observe(u, answer.Elsewhere)
-	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "elsewhere", answer.Elsewhere, "not_run", true)
+	c.observe(u, answer.AddressReassigned)
+	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "elsewhere", answer.AddressReassigned, "not_run", true)
 	return notRun, true
 }
 
@@ -115,7 +115,7 @@
 
 // whole reads an answer to its end before the caller sees any of it, so that one that
 // breaks off can still be replaced.
-func (c *call) whole(ctx context.Context, u *directory.Upstream, answer *Answer) verdict {
+func (c *call) whole(ctx context.Context, u *directory.Upstream, answer *Response) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWhole))
 	if err == nil && len(body) == maxWhole {
 		return c.long(u, answer, body)
@@ -139,7 +139,7 @@
 		c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "signed", answer.Signed)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.ran++
 	c.outcome = "served"
 	held.deliver(c.sink)
@@ -147,7 +147,7 @@
 }
 
 // long passes an answer on that is too large to hold.
-func (c *call) long(u *directory.Upstream, answer *Answer, head []byte) verdict {
+func (c *call) long(u *directory.Upstream, answer *Response, head []byte) verdict {
 	if c.started {
 		return mayHaveRun
 	}
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -17,13 +17,13 @@
 	now := c.g.Clock.Now()
 	var waits []time.Duration
 	for _, u := range upstreams {
-		if !u.Dark(now) {
-			waits = append(waits, u.Wait(now))
+		if !u.InBackoff(now) {
+			waits = append(waits, u.EstimatedWait(now))
 		}
 	}
-	usual, policy := shedding.Usual(waits), c.g.settings.Shedding
+	usual, policy := shedding.MedianWait(waits), c.g.settings.Shedding
 	if policy.Admit(usual, c.route.Objective, draw()) {
 		return nil
 	}
-	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.Return(draw()))
+	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.RetryAfter(draw()))
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -11,7 +11,7 @@
 
 // stream passes events on as they arrive, whole ones only. The answer ends as complete
 // only if the upstream's did.
-func (c *call) stream(ctx context.Context, u *directory.Upstream, answer *Answer, silence *silenceWatch, answered func()) verdict {
+func (c *call) stream(ctx context.Context, u *directory.Upstream, answer *Response, silence *silenceWatch, answered func()) verdict {
 	if !answer.Signed {
 		c.observe(u, false)
 		return mayHaveRun
@@ -27,11 +27,11 @@
 		}
 		if first {
 			now := c.g.Clock.Now()
-			u.Began(now-c.sentAt, now)
+			u.RecordResponseStart(now-c.sentAt, now)
 		}
 		answered()
 		c.clock()
-		u.Heard(c.lastAt)
+		u.RecordReceived(c.lastAt)
 		silence.rearm()
 		c.begin(answer)
 		if !c.pass(e, !events.Buffered()) {
@@ -42,7 +42,7 @@
 
 // begin sends the answer's head before its first event. A stream that goes on at
 // another upstream keeps the head that the caller has.
-func (c *call) begin(answer *Answer) {
+func (c *call) begin(answer *Response) {
 	if c.started {
 		return
 	}
@@ -86,7 +86,7 @@
 		c.observe(u, false)
 		return mayHaveRun
 	}
-	u.Succeed(c.g.Clock.Now())
+	u.RecordSuccess(c.g.Clock.Now())
 	c.ran++
 	c.outcome = "served"
 	return delivered
--- a/internal/bench/capacity/outage.go
+++ b/internal/bench/capacity/outage.go
@@ -12,7 +12,7 @@
 func outageSlopes(size Size) []Slope {
 	hour := int(size.RequestsPerSecond / float64(size.Nodes) * time.Hour.Seconds())
 	clock := clockwork.NewRealClock()
-	holder := budget.NewHolder(incarnationName(0), clock)
+	holder := budget.NewShareHolder(incarnationName(0), clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	for i := range activeBudgets {
 		holder.Credit(budgetName(i), 1<<40)
--- a/internal/bench/capacity/path.go
+++ b/internal/bench/capacity/path.go
@@ -16,7 +16,7 @@
 // pathSlopes measures the request path's own pieces.
 func pathSlopes(n Samples) []Slope {
 	clock := clockwork.NewRealClock()
-	holder := budget.NewHolder(incarnationName(0), clock)
+	holder := budget.NewShareHolder(incarnationName(0), clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	held := grown(n.Held, func() any {
 		for i := range n.Held {
@@ -32,7 +32,7 @@
 			}
 			r.Finish(221)
 			if i%settlementsABatch == 0 {
-				holder.Settlements()
+				holder.TakeSettlements()
 			}
 		}
 	})
--- a/internal/bench/capacity/witness.go
+++ b/internal/bench/capacity/witness.go
@@ -18,7 +18,7 @@
 // witnessed counts what a teller and its witness say to each other. It is a
 // peer.Caller.
 type witnessed struct {
-	memory   *witness.Memory
+	memory   *witness.Store
 	bytes    atomic.Int64
 	messages atomic.Int64
 }
@@ -26,7 +26,7 @@
 // Call implements peer.Caller.
 func (w *witnessed) Call(_ context.Context, _ string, r *fleetv1.Request) (*fleetv1.Response, error) {
 	answer := &fleetv1.Response{Hlc: r.GetHlc(), Body: &fleetv1.Response_Witnessed{Witnessed: &fleetv1.Witnessed{}}}
-	if err := w.memory.Remember(r.GetFrom(), proto.CloneOf(r.GetWitness())); err != nil {
+	if err := w.memory.Update(r.GetFrom(), proto.CloneOf(r.GetWitness())); err != nil {
 		return nil, err
 	}
 	w.messages.Add(1)
@@ -38,14 +38,14 @@
 // waits until the witness knows it, and is told of again at its end.
 func witnessSlopes(n Samples) []Slope {
 	clock := clockwork.NewRealClock()
-	peer := &witnessed{memory: witness.NewMemory()}
+	peer := &witnessed{memory: witness.NewStore()}
 	events := event.NewRecorder(event.NewHLC(clock), incarnationName(0), n.Events, golog.NewNopLogger())
-	teller := witness.NewTeller(witness.Config{
+	teller := witness.NewReplicator(witness.Config{
 		Incarnation: incarnationName(0), Clock: clock, Caller: peer, Events: events,
 		Candidates: func() []witness.Candidate {
 			return []witness.Candidate{{Incarnation: incarnationName(1), Address: "10.0.1.20:7004"}}
 		},
-		Alone:        func() bool { return false },
+		OnlyNode:     func() bool { return false },
 		LogReachable: func() bool { return true },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -146,7 +146,7 @@
 // Call asks a node for a call of the plain service.
 func (h *Harness) Call(m *Member, account, method, body, key string) CallOp {
 	gate := m.Gate()
-	answers := make(chan upstream.CallAnswer, 1)
+	answers := make(chan upstream.CallResponse, 1)
 	outcome, span := h.ask(m, gate, func(ctx context.Context) error {
 		got, err := m.Node().Requests().Call(ctx, request.ServiceCall{
 			Key: accountKey + account, Service: plainService, Method: method, Path: "/", Body: []byte(body), IdempotencyKey: key,
--- a/internal/check/replay.go
+++ b/internal/check/replay.go
@@ -122,7 +122,7 @@
 	for _, line := range r.ledger.Budgets() {
 		held := line.Pool + line.Spent
 		for _, share := range line.Shares {
-			held += share.Left()
+			held += share.Remaining()
 		}
 		switch {
 		case line.Spent > r.prepaid[line.Budget]:
--- a/internal/experiment/budgets/shares.go
+++ b/internal/experiment/budgets/shares.go
@@ -19,7 +19,7 @@
 	policy  budget.Policy
 	clock   *clockwork.FakeClock
 	ledger  *budget.Ledger
-	holders [nodes]*budget.Holder
+	holders [nodes]*budget.ShareHolder
 	offset  uint64
 	states  [nodes]map[string]*budget.SizingState
 	lacked  [nodes]map[string]uint64
@@ -33,7 +33,7 @@
 func newShares(policy budget.Policy) *shares {
 	s := &shares{policy: policy, clock: clockwork.NewFakeClockAt(time.Unix(0, 0)), ledger: budget.NewLedger()}
 	for node := range nodes {
-		s.holders[node] = budget.NewHolder(strconv.Itoa(node), s.clock)
+		s.holders[node] = budget.NewShareHolder(strconv.Itoa(node), s.clock)
 		s.holders[node].ExtendRight(s.clock.Now().Add(policy.SpendRight))
 		s.states[node], s.lacked[node] = map[string]*budget.SizingState{}, map[string]uint64{}
 		s.fold(node, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{
@@ -74,7 +74,7 @@
 	if r, err := own.Reserve(name, a.reserve); err == nil {
 		return s.finisher(a, []*budget.Reservation{r}), took
 	}
-	if own.RightLeft() <= 0 {
+	if own.RightRemaining() <= 0 {
 		return nil, 0
 	}
 	s.lacked[a.node][name] += a.reserve
@@ -103,7 +103,7 @@
 		if lender != a.node {
 			took += w.ask(a.node, lender)
 		}
-		part, err := s.holders[lender].ReservePart(nameOf(a.budget), a.reserve-found)
+		part, err := s.holders[lender].ReserveUpTo(nameOf(a.budget), a.reserve-found)
 		if err != nil {
 			continue
 		}
@@ -124,7 +124,7 @@
 	line := s.ledger.Budget(nameOf(a.budget))
 	left := func(node int) uint64 {
 		if share := line.Shares[strconv.Itoa(node)]; share != nil {
-			return share.Left()
+			return share.Remaining()
 		}
 		return 0
 	}
@@ -169,7 +169,7 @@
 			continue
 		}
 		s.holders[node].ExtendRight(s.clock.Now().Add(s.policy.SpendRight))
-		for batch := s.holders[node].Settlements(); batch != nil; batch = s.holders[node].Settlements() {
+		for batch := s.holders[node].TakeSettlements(); batch != nil; batch = s.holders[node].TakeSettlements() {
 			s.queued[node] += len(batch.GetSettlements()) - 1
 			s.fold(node, &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}})
 		}
@@ -194,9 +194,9 @@
 			s.states[node][name] = state
 		}
 		line := lines[name]
-		action := budget.SizeShare(s.policy, state, budget.BudgetDemand{
+		action := budget.SizeShare(s.policy, state, budget.SizingInput{
 			Budget: name, Available: s.holders[node].Available(name), Used: s.holders[node].Used(name),
-			Lacked: s.lacked[node][name], Pool: line.Pool, Remaining: line.Remaining(), Nodes: nodes,
+			Shortfall: s.lacked[node][name], Pool: line.Pool, Remaining: line.Remaining(), Nodes: nodes,
 		}, s.clock.Now())
 		delete(s.lacked[node], name)
 		s.act(w, node, action)
@@ -256,7 +256,7 @@
 			continue
 		}
 		s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_Close{Close: &recordv1.IncarnationClose{Incarnation: id, LastHeartbeat: 1}}})
-		if batch := s.holders[node].Settlements(); batch != nil {
+		if batch := s.holders[node].TakeSettlements(); batch != nil {
 			s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}})
 		}
 		s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{Incarnation: id}}})
@@ -271,7 +271,7 @@
 		}
 		for _, line := range s.ledger.Budgets() {
 			if share := line.Shares[strconv.Itoa(node)]; share != nil {
-				total += share.Left()
+				total += share.Remaining()
 			}
 		}
 	}
--- a/internal/experiment/routing/attempts.go
+++ b/internal/experiment/routing/attempts.go
@@ -22,9 +22,9 @@
 type attempts struct {
 	node    *node
 	call    call
-	ask     routing.Ask
+	ask     routing.Request
 	arrived time.Time
-	item    *admission.Item
+	item    *admission.Request
 	tried   map[string]bool
 	made    int
 	first   time.Time
@@ -86,7 +86,7 @@
 // attempt is one try at one engine.
 type attempt struct {
 	attempts *attempts
-	pick     routing.Pick
+	pick     routing.PickResult
 	name     string
 	cancel   func()
 	heard    time.Time
--- a/internal/experiment/routing/baseline.go
+++ b/internal/experiment/routing/baseline.go
@@ -9,7 +9,7 @@
 )
 
 // chooser picks among the usable upstreams of the region.
-type chooser func(b *baseline, ask *routing.Ask, usable []*operatorv1.Upstream) *operatorv1.Upstream
+type chooser func(b *baseline, ask *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream
 
 // baseline is a plain picker to compare with. It prefers its own region and leaves
 // out what failed the same request before, and no more.
@@ -26,7 +26,7 @@
 }
 
 // Pick implements routing.Picker.
-func (b *baseline) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
+func (b *baseline) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	var local, remote []*operatorv1.Upstream
 	for _, u := range candidates {
 		switch {
@@ -41,9 +41,9 @@
 		local = remote
 	}
 	if len(local) == 0 {
-		return routing.Pick{}, result.New(result.NoUpstream, "none left")
+		return routing.PickResult{}, result.New(result.NoUpstream, "none left")
 	}
-	return routing.Pick{Upstream: b.choose(b, &ask, local), Done: func(error) {}}, nil
+	return routing.PickResult{Upstream: b.choose(b, &ask, local), Done: func(error) {}}, nil
 }
 
 // Report takes in a load report.
@@ -81,16 +81,16 @@
 // LimitLocal does nothing: a baseline knows no other region.
 func (b *baseline) LimitLocal(string, int) {}
 
-func chooseRandom(b *baseline, _ *routing.Ask, usable []*operatorv1.Upstream) *operatorv1.Upstream {
+func chooseRandom(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
 	return usable[b.random.IntN(len(usable))]
 }
 
-func chooseInTurn(b *baseline, _ *routing.Ask, usable []*operatorv1.Upstream) *operatorv1.Upstream {
+func chooseInTurn(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
 	b.turn++
 	return usable[b.turn%len(usable)]
 }
 
-func chooseLeastReported(b *baseline, _ *routing.Ask, usable []*operatorv1.Upstream) *operatorv1.Upstream {
+func chooseLeastReported(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
 	best := usable[b.random.IntN(len(usable))]
 	for _, u := range usable {
 		if b.load(u) < b.load(best) {
@@ -105,7 +105,7 @@
 	return r.Running + r.Waiting
 }
 
-func chooseMostCached(b *baseline, ask *routing.Ask, usable []*operatorv1.Upstream) *operatorv1.Upstream {
+func chooseMostCached(b *baseline, ask *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
 	best := usable[b.random.IntN(len(usable))]
 	most := b.depth(best, ask)
 	for _, u := range usable {
@@ -116,7 +116,7 @@
 	return best
 }
 
-func (b *baseline) depth(u *operatorv1.Upstream, ask *routing.Ask) int {
+func (b *baseline) depth(u *operatorv1.Upstream, ask *routing.Request) int {
 	held := b.blocks[u.GetName()]
 	for i, hash := range ask.Prefix {
 		if !held[hash] {
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -21,7 +21,7 @@
 	fleet  *fleet
 	region string
 	picker routing.Picker
-	core   *admission.Core
+	core   *admission.Scheduler
 	budget *admission.RetryBudget
 	// tells is set if engines are told of priorities.
 	tells bool
@@ -42,7 +42,7 @@
 		n.budget = admission.NewRetryBudget()
 	}
 	if policy.Admission != nil {
-		n.core = admission.NewCore(policy.Admission(slots))
+		n.core = admission.NewScheduler(policy.Admission(slots))
 		f.sim.After(expireEvery, n.expire)
 		f.sim.After(observeEvery, n.observe)
 	}
@@ -66,7 +66,7 @@
 // take runs a caller's request.
 func (n *node) take(c call) {
 	a := &attempts{node: n, call: c, arrived: n.fleet.sim.Now(), tried: map[string]bool{}}
-	a.ask = routing.Ask{
+	a.ask = routing.Request{
 		Service: serviceName, Region: n.region, Account: c.account.name, Team: c.account.team,
 		PromptTokens: c.prompt, AnswerTokens: meanAnswer, Prefix: c.prefix, Tried: a.tried, Priority: c.priority,
 	}
@@ -78,7 +78,7 @@
 		a.begin()
 		return
 	}
-	a.item = n.core.Offer(a.arrived, a.ask, a.decided)
+	a.item = n.core.Submit(a.arrived, a.ask, a.decided)
 }
 
 // listen returns what hears the engines of a region on this node's behalf.
--- a/internal/experiment/routing/policy.go
+++ b/internal/experiment/routing/policy.go
@@ -57,7 +57,7 @@
 	return Policy{Name: "lavenderpin for throughput only", Picker: newBalancer, RetryBudget: true,
 		Admission: func(slots int) admission.Settings {
 			s := admission.DefaultSettings(slots)
-			s.WaitingShare = greedyWaitingShare
+			s.TargetWaitingRatio = greedyWaitingShare
 			s.MaxWait = greedyMaxWait
 			s.StandingWait = greedyMaxWait
 			return s
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -114,7 +114,7 @@
 
 // report answers a node that asks for an engine's load or cache events; told names
 // the steps that this was.
-func (u *Upstreams) report(engine string, r upstream.CallRequest) (answer upstream.CallAnswer, told []Step) {
+func (u *Upstreams) report(engine string, r upstream.CallRequest) (answer upstream.CallResponse, told []Step) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	path, query, _ := strings.Cut(r.Path, "?")
@@ -143,9 +143,9 @@
 	return count
 }
 
-func answerJSON(body any) upstream.CallAnswer {
+func answerJSON(body any) upstream.CallResponse {
 	data, _ := json.Marshal(body)
-	return upstream.CallAnswer{Status: http.StatusOK, Body: data}
+	return upstream.CallResponse{Status: http.StatusOK, Body: data}
 }
 
 func isReport(path string) bool {
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -75,7 +75,7 @@
 }
 
 // Call implements upstream.Client.
-func (c *Client) Call(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallAnswer, error) {
+func (c *Client) Call(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	switch {
 	case r.Path == modelsPath:
 		return c.order(ctx, to, r)
@@ -84,10 +84,10 @@
 	}
 	c.probe(StepCall, string(c.node))
 	if err := c.send(ctx, to); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	if err := c.refuse(to, r.NotAfter); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	run := ServiceRun{Upstream: to.GetName(), Request: r.ID, Method: r.Method, Body: string(r.Body), At: c.upstreams.clock.Now()}
 	c.upstreams.ran(run)
@@ -97,30 +97,30 @@
 	select {
 	case <-c.upstreams.clock.After(c.upstreams.CallTime):
 	case <-ctx.Done():
-		return upstream.CallAnswer{}, result.New(result.UpstreamFailed, "%v", ctx.Err())
+		return upstream.CallResponse{}, result.New(result.UpstreamFailed, "%v", ctx.Err())
 	}
 	if err := c.back(ctx, to); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
-	return upstream.CallAnswer{Status: 200, ContentType: "text/plain", Body: append([]byte(nil), r.Body...)}, nil
+	return upstream.CallResponse{Status: 200, ContentType: "text/plain", Body: append([]byte(nil), r.Body...)}, nil
 }
 
 // order asks an engine what it holds, or tells it.
-func (c *Client) order(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallAnswer, error) {
+func (c *Client) order(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	if r.Method == http.MethodPost {
 		c.probe(StepOrder, string(c.node))
 	}
 	if err := c.send(ctx, to); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	answer := c.upstreams.models(to, c.node, r)
 	return answer, c.back(ctx, to)
 }
 
 // report reads an engine's load or cache events.
-func (c *Client) report(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallAnswer, error) {
+func (c *Client) report(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	if err := c.send(ctx, to); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	answer, told := c.upstreams.report(to.GetName(), r)
 	for _, step := range told {
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -39,7 +39,7 @@
 }
 
 // models answers an engine's report or takes an order.
-func (u *Upstreams) models(to *operatorv1.Upstream, node Endpoint, r upstream.CallRequest) upstream.CallAnswer {
+func (u *Upstreams) models(to *operatorv1.Upstream, node Endpoint, r upstream.CallRequest) upstream.CallResponse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	held := u.engines[to.GetName()]
@@ -49,7 +49,7 @@
 	}
 	if r.Method == http.MethodGet {
 		body, _ := json.Marshal(held)
-		return upstream.CallAnswer{Status: http.StatusOK, Body: body}
+		return upstream.CallResponse{Status: http.StatusOK, Body: body}
 	}
 	var order engineState
 	_ = json.Unmarshal(r.Body, &order)
@@ -58,8 +58,8 @@
 	taken.Taken = !checks || order.Fencing >= held.Fencing
 	u.orders = append(u.orders, taken)
 	if !taken.Taken {
-		return upstream.CallAnswer{Status: http.StatusConflict}
+		return upstream.CallResponse{Status: http.StatusConflict}
 	}
 	held.Fencing, held.Models = order.Fencing, order.Models
-	return upstream.CallAnswer{Status: http.StatusOK}
+	return upstream.CallResponse{Status: http.StatusOK}
 }
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -7,13 +7,13 @@
 	Epoch uint64
 }
 
-// Lessor tells whether this node holds a lease now. It must be asked right before
+// Holder tells whether this node holds a lease now. It must be asked right before
 // each act under the lease: a node that was paused past the lease's end is told no.
-type Lessor interface {
+type Holder interface {
 	// Held returns the lease while this node surely holds it. It never blocks.
 	Held(name string) (Lease, bool)
-	// Want makes this node try to hold the lease from now on.
-	Want(name string)
+	// Campaign makes this node try to hold the lease from now on.
+	Campaign(name string)
 	// Release gives the lease up, for a graceful stop.
 	Release(name string)
 }
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -27,9 +27,9 @@
 	Submit(entry *recordv1.Entry) *recordlog.Ticket
 }
 
-// Keeper holds leases for one incarnation through the log. It implements Lessor
+// Manager holds leases for one incarnation through the log. It implements Lessor
 // and is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	incarnation string
 	term        time.Duration
 	table       *Table
@@ -41,7 +41,7 @@
 	wanted map[string]*wanted
 }
 
-var _ Lessor = (*Keeper)(nil)
+var _ Holder = (*Manager)(nil)
 
 // wanted is this node's side of one lease. Guarded by Keeper.mu.
 type wanted struct {
@@ -54,15 +54,15 @@
 	pending bool
 }
 
-// NewKeeper returns a keeper that wants nothing yet. term is how long a lease
+// NewManager returns a keeper that wants nothing yet. term is how long a lease
 // lasts without renewal.
-func NewKeeper(incarnation string, term time.Duration, table *Table, journal Submitter, clock clockwork.Clock, events *event.Recorder) *Keeper {
-	return &Keeper{incarnation: incarnation, term: term, table: table, journal: journal, clock: clock, events: events,
+func NewManager(incarnation string, term time.Duration, table *Table, journal Submitter, clock clockwork.Clock, events *event.Recorder) *Manager {
+	return &Manager{incarnation: incarnation, term: term, table: table, journal: journal, clock: clock, events: events,
 		wanted: map[string]*wanted{}}
 }
 
-// Want implements Lessor.
-func (k *Keeper) Want(name string) {
+// Campaign implements Lessor.
+func (k *Manager) Campaign(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.wanted[name] == nil {
@@ -71,7 +71,7 @@
 }
 
 // Held implements Lessor.
-func (k *Keeper) Held(name string) (Lease, bool) {
+func (k *Manager) Held(name string) (Lease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w := k.wanted[name]
@@ -82,7 +82,7 @@
 }
 
 // Release implements Lessor.
-func (k *Keeper) Release(name string) {
+func (k *Manager) Release(name string) {
 	k.mu.Lock()
 	w := k.wanted[name]
 	delete(k.wanted, name)
@@ -96,7 +96,7 @@
 }
 
 // ReleaseAll gives every lease up, for a graceful stop.
-func (k *Keeper) ReleaseAll() {
+func (k *Manager) ReleaseAll() {
 	k.mu.Lock()
 	var names []string
 	for name := range k.wanted {
@@ -109,11 +109,11 @@
 }
 
 // Run keeps the wanted leases until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	periodic.RunNow(ctx, k.clock, stepInterval, k.step)
 }
 
-func (k *Keeper) step(ctx context.Context) {
+func (k *Manager) step(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
@@ -129,7 +129,7 @@
 
 // observe notes a change of the folded lease. The time noted is this node's own,
 // later than anything the holder counts from.
-func (k *Keeper) observe(name string, w *wanted, now time.Time) {
+func (k *Manager) observe(name string, w *wanted, now time.Time) {
 	if state := k.table.Get(name); state != w.state {
 		w.state = state
 		w.seen = now
@@ -141,7 +141,7 @@
 	}
 }
 
-func (k *Keeper) submit(ctx context.Context, name string, w *wanted, started time.Time) {
+func (k *Manager) submit(ctx context.Context, name string, w *wanted, started time.Time) {
 	ticket := k.journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_LeaseClaim{LeaseClaim: &recordv1.LeaseClaim{
 		Lease: name, Epoch: w.state.Epoch, TermMs: uint64(k.term.Milliseconds()), Renewal: w.state.Renewal,
 	}}})
@@ -157,7 +157,7 @@
 // decided takes in the verdict on a claim that this node began to append at
 // started. A verdict that comes after the term, as after a long outage, gives no
 // right to act, since the term counts from started.
-func (k *Keeper) decided(name string, started time.Time, verdict fold.Verdict) {
+func (k *Manager) decided(name string, started time.Time, verdict fold.Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w := k.wanted[name]
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -21,7 +21,7 @@
 
 // node is a keeper with its own journal and fold over a shared log, in fake time.
 type node struct {
-	keeper *Keeper
+	keeper *Manager
 	cancel context.CancelFunc
 }
 
@@ -34,13 +34,13 @@
 	writer := recordlog.NewWriter(log, "fleet", incarnation, clock, hlc, 10*time.Millisecond)
 	follower := recordlog.NewFollower(log, "fleet", clock, fold.NewEngine(table),
 		func(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) { writer.Folded(batch, verdicts) })
-	n := &node{keeper: NewKeeper(incarnation, term, table, writer, clock, events)}
+	n := &node{keeper: NewManager(incarnation, term, table, writer, clock, events)}
 	ctx, cancel := context.WithCancel(t.Context())
 	n.cancel = cancel
 	for _, run := range []func(context.Context){writer.Run, follower.Run, n.keeper.Run} {
 		go run(ctx)
 	}
-	n.keeper.Want(job)
+	n.keeper.Campaign(job)
 	return n
 }
 
@@ -63,7 +63,7 @@
 }
 
 // One node of several takes the job and keeps it while all is well.
-func TestOneOfManyHolds(t *testing.T) {
+func TestExactlyOneNodeHoldsTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
@@ -120,7 +120,7 @@
 // Every answer to an append is lost for a while, although the appends take effect.
 // A holder that trusted answers would stop, and a claimer that repeated itself
 // would take the lease from itself under a new epoch.
-func TestLostAnswersDoNotMoveTheLease(t *testing.T) {
+func TestLostAnswersDoNotChangeTheHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
@@ -132,7 +132,7 @@
 }
 
 // The holder stops gracefully; the next one needn't wait the term out.
-func TestReleaseHandsOver(t *testing.T) {
+func TestReleaseAllowsImmediateTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog()
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -48,7 +48,7 @@
 // The holder is slow and another node has waited its term out, but the holder's
 // renewal reaches the log just before the claim. Taking over then would leave two
 // nodes that both believe they hold the lease.
-func TestClaimLosesAgainstARenewalItDidNotSee(t *testing.T) {
+func TestClaimLosesToUnseenRenewal(t *testing.T) {
 	is := is.New(t)
 	l := &log{table: NewTable()}
 	is.True(l.claim("a", 0, 0).OK())
@@ -79,7 +79,7 @@
 	is.Equal(l.table.Get(job).Epoch, uint64(2)) // a fencing number is never used twice
 }
 
-func TestSnapshotKeepsLeases(t *testing.T) {
+func TestSnapshotRestoresLeases(t *testing.T) {
 	is := is.New(t)
 	l := &log{table: NewTable()}
 	l.claim("a", 0, 0)
--- a/membership/addresses.go
+++ b/membership/addresses.go
@@ -22,18 +22,18 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// Asker is who asks for addresses, and the node that answers.
-type Asker struct {
+// AddressQuery is who asks for addresses, and the node that answers.
+type AddressQuery struct {
 	// Account is the caller's client account; empty when it isn't known.
 	Account string
 	// Self is the answering node, and SelfServes tells whether it takes callers.
 	Self         *recordv1.NodeInfo
-	SelfServes   bool
+	SelfServing  bool
 	SelfInFlight uint32
 }
 
 // Addresses returns the nodes that callers should use, the best first.
-func (m *Members) Addresses(asker Asker) []Address {
+func (m *Members) Addresses(asker AddressQuery) []Address {
 	asker.Self = m.self
 	return Rank(asker, m.All())
 }
@@ -46,9 +46,9 @@
 //
 // A draining, silent or unsettled node is never handed out, as a caller would keep
 // its address and be refused.
-func Rank(asker Asker, members []Member) []Address {
+func Rank(asker AddressQuery, members []Member) []Address {
 	var usable []Member
-	if asker.SelfServes {
+	if asker.SelfServing {
 		usable = append(usable, Member{Node: asker.Self, InFlight: asker.SelfInFlight})
 	}
 	for _, member := range members {
@@ -78,7 +78,7 @@
 	return total
 }
 
-func (a Asker) before(x, y Member, limits map[string]float64) bool {
+func (a AddressQuery) before(x, y Member, limits map[string]float64) bool {
 	if nearX, nearY := x.Node.GetRegion() == a.Self.GetRegion(), y.Node.GetRegion() == a.Self.GetRegion(); nearX != nearY {
 		return nearX
 	}
--- a/membership/change.go
+++ b/membership/change.go
@@ -18,8 +18,8 @@
 	Incarnation string
 }
 
-// Changes returns what happened since it was called last.
-func (t *Table) Changes() []Change {
+// TakeChanges returns what happened since it was called last.
+func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
 	return changes
--- a/membership/hear.go
+++ b/membership/hear.go
@@ -12,10 +12,10 @@
 	trustDirect = 3 * time.Second
 )
 
-// Heard takes in the views of a message that sender itself sent, its own view first.
+// ApplyViews takes in the views of a message that sender itself sent, its own view first.
 // It returns whether any of it is news to pass on at once. A view of a member that
 // isn't known here, and is only named by its number, says nothing.
-func (t *Table) Heard(now time.Time, sender string, views []*fleetv1.PeerView) bool {
+func (t *Table) ApplyViews(now time.Time, sender string, views []*fleetv1.PeerView) bool {
 	urgent := false
 	for _, view := range views {
 		node := t.nodeOf(view)
@@ -110,7 +110,7 @@
 // unheardOf tells whether a node that only others know of may be entered: its
 // address must be free, since hearsay doesn't tell which of two came later.
 func (t *Table) unheardOf(node *recordv1.NodeInfo) bool {
-	return t.admits(node) && !t.Knows(node.GetPeerAddress())
+	return t.admits(node) && !t.HasAddress(node.GetPeerAddress())
 }
 
 // admits tells whether a node can be another one than this, and hasn't ended.
--- a/membership/instances.go
+++ b/membership/instances.go
@@ -132,18 +132,18 @@
 	i.last.Store(now)
 }
 
-// Peers returns the peer addresses of the entry instances listed as live.
-func (i *Instances) Peers() []string { return i.last.Load().peers }
+// PeerAddresses returns the peer addresses of the entry instances listed as live.
+func (i *Instances) PeerAddresses() []string { return i.last.Load().peers }
 
-// Entries returns the peer addresses of all entry instances that the last answer
+// EntryAddresses returns the peer addresses of all entry instances that the last answer
 // shows, live or leaving, and when it came. The map must not be changed.
-func (i *Instances) Entries() (addresses map[string]bool, at time.Time) {
+func (i *Instances) EntryAddresses() (addresses map[string]bool, at time.Time) {
 	last := i.last.Load()
 	return last.entries, last.at
 }
 
-// Changes returns a number that rises whenever an upstream begins or ceases to leave.
-func (i *Instances) Changes() uint64 { return i.last.Load().changes }
+// LeavingVersion returns a number that rises whenever an upstream begins or ceases to leave.
+func (i *Instances) LeavingVersion() uint64 { return i.last.Load().changes }
 
-// Leaving tells whether the list shows the upstream at an address as leaving.
-func (i *Instances) Leaving(address string) bool { return i.last.Load().leaving[address] }
+// IsLeaving tells whether the list shows the upstream at an address as leaving.
+func (i *Instances) IsLeaving(address string) bool { return i.last.Load().leaving[address] }
--- a/membership/instances_test.go
+++ b/membership/instances_test.go
@@ -53,21 +53,21 @@
 
 // The platform answers slowly for hours. An upstream that leaves must be seen as soon as
 // an answer can tell, or it is sent work until it is gone.
-func TestSlowListStillShowsLeaving(t *testing.T) {
+func TestSlowListStillReportsLeavingUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		list := &slowList{state: platformv1.InstanceState_INSTANCE_STATE_LIVE, delay: 4 * time.Second}
 		i := runInstances(t, list)
-		is.Equal(i.Leaving(leavingAddress), false)
+		is.Equal(i.IsLeaving(leavingAddress), false)
 		list.set(platformv1.InstanceState_INSTANCE_STATE_LEAVING, 4*time.Second)
 		time.Sleep(listInterval + 4*time.Second)
-		is.True(i.Leaving(leavingAddress))
+		is.True(i.IsLeaving(leavingAddress))
 	})
 }
 
 // An answer from before an upstream began to leave comes after one that shows it. It must
 // not bring the upstream back for the time until the next answer.
-func TestOvertakenListIsIgnored(t *testing.T) {
+func TestOutdatedListReplyIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		list := &slowList{state: platformv1.InstanceState_INSTANCE_STATE_LIVE, delay: 4 * time.Second}
@@ -75,7 +75,7 @@
 		list.set(platformv1.InstanceState_INSTANCE_STATE_LEAVING, 0)
 		time.Sleep(listInterval)
 		for range 100 {
-			is.True(i.Leaving(leavingAddress))
+			is.True(i.IsLeaving(leavingAddress))
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
--- a/membership/member.go
+++ b/membership/member.go
@@ -13,8 +13,8 @@
 	Draining bool
 	// Suspect is set while the node answers neither this one nor those asked to try.
 	Suspect bool
-	// Settling is set while a node that came and went is not trusted yet.
-	Settling bool
+	// Damped is set while a node that came and went is not trusted yet.
+	Damped   bool
 	InFlight uint32
 	// ConfigOffset is the highest offset that the node said it had folded.
 	ConfigOffset uint64
@@ -32,7 +32,7 @@
 }
 
 // Usable tells whether callers may be sent to the node.
-func (m Member) Usable() bool { return !m.Draining && !m.Suspect && !m.Settling }
+func (m Member) Usable() bool { return !m.Draining && !m.Suspect && !m.Damped }
 
 func (m *Member) view() *fleetv1.PeerView {
 	return &fleetv1.PeerView{Node: m.Node, Beat: m.beat, Draining: m.Draining, InFlight: m.InFlight,
--- a/membership/members.go
+++ b/membership/members.go
@@ -60,9 +60,9 @@
 		listed: func() []string { return nil }, urgent: make(chan struct{}, 1), wake: make(chan struct{}, 1), table: NewTable(self)}
 }
 
-// Listed registers where to learn of nodes that the log doesn't show, as while it is
+// SetPlatformAddresses registers where to learn of nodes that the log doesn't show, as while it is
 // down. It must be called before Run.
-func (m *Members) Listed(listed func() []string) { m.listed = listed }
+func (m *Members) SetPlatformAddresses(listed func() []string) { m.listed = listed }
 
 // Run pings a member every period until ctx ends.
 func (m *Members) Run(ctx context.Context) {
@@ -95,7 +95,7 @@
 	m.mu.Lock()
 	target := m.table.Step(m.clock.Now(), known)
 	stranger := m.stranger()
-	grown := m.table.Grown()
+	grown := m.table.NodesAdded()
 	m.mu.Unlock()
 	m.record()
 	m.push(grown)
@@ -111,7 +111,7 @@
 func (m *Members) stranger() string {
 	var strangers []string
 	for _, address := range m.listed() {
-		if address != m.self.GetPeerAddress() && !m.table.Knows(address) {
+		if address != m.self.GetPeerAddress() && !m.table.HasAddress(address) {
 			strangers = append(strangers, address)
 		}
 	}
@@ -141,7 +141,7 @@
 		return
 	}
 	m.mu.Lock()
-	news := m.table.Failed(m.clock.Now(), started, target.GetIncarnation())
+	news := m.table.ProbeFailed(m.clock.Now(), started, target.GetIncarnation())
 	m.mu.Unlock()
 	m.record()
 	m.push(news)
@@ -181,36 +181,36 @@
 	if answer.GetCode() != 0 {
 		return false, result.New(result.Code(answer.GetCode()), "%s", answer.GetMessage())
 	}
-	return m.Heard(answer.GetPong().GetViews()), nil
+	return m.HandleViews(answer.GetPong().GetViews()), nil
 }
 
-// Heard takes in a message; its first view is the sender's own. It tells whether the
+// HandleViews takes in a message; its first view is the sender's own. It tells whether the
 // sender is known.
-func (m *Members) Heard(views []*fleetv1.PeerView) bool {
+func (m *Members) HandleViews(views []*fleetv1.PeerView) bool {
 	if len(views) == 0 {
 		return false
 	}
 	m.mu.Lock()
 	sender := m.table.nodeOf(views[0])
-	news := m.table.Heard(m.clock.Now(), sender.GetIncarnation(), views)
+	news := m.table.ApplyViews(m.clock.Now(), sender.GetIncarnation(), views)
 	m.mu.Unlock()
 	m.record()
 	m.push(news)
 	return sender != nil
 }
 
-// Answer takes in a ping and returns the answer's views; none when the ping names its
+// HandlePing takes in a ping and returns the answer's views; none when the ping names its
 // sender by a number that isn't known here. A sender that wrote itself out may not know
 // this node either, so the answer does the same.
-func (m *Members) Answer(views []*fleetv1.PeerView) []*fleetv1.PeerView {
+func (m *Members) HandlePing(views []*fleetv1.PeerView) []*fleetv1.PeerView {
 	if len(views) == 0 {
 		return m.say(writtenOut)
 	}
 	m.mu.Lock()
 	sender := m.table.nodeOf(views[0])
-	newcomer := m.table.Newcomer(sender.GetIncarnation())
+	newcomer := m.table.IsNewcomer(sender.GetIncarnation())
 	m.mu.Unlock()
-	m.Heard(views)
+	m.HandleViews(views)
 	switch {
 	case sender == nil:
 		return nil
@@ -222,9 +222,9 @@
 	return m.say(short)
 }
 
-// Via pings a member for another one, which may not know who answers at the address now.
-func (m *Members) Via(ctx context.Context, r *fleetv1.PingVia) ([]*fleetv1.PeerView, error) {
-	m.Heard(r.GetViews())
+// HandlePingVia pings a member for another one, which may not know who answers at the address now.
+func (m *Members) HandlePingVia(ctx context.Context, r *fleetv1.PingVia) ([]*fleetv1.PeerView, error) {
+	m.HandleViews(r.GetViews())
 	ctx, cancel := clockwork.WithTimeout(ctx, m.clock, pingTimeout)
 	defer cancel()
 	answer, err := m.caller.Call(ctx, r.GetPeerAddress(), &fleetv1.Request{
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, result.New(result.PeerUnreachable, "%v", err)
 	}
-	m.Heard(answer.GetPong().GetViews())
+	m.HandleViews(answer.GetPong().GetViews())
 	return answer.GetPong().GetViews(), nil
 }
 
@@ -296,21 +296,21 @@
 	return len(silent)
 }
 
-// Announce tells every member at once what this node's view says now, so that none
+// AnnounceDrain tells every member at once what this node's view says now, so that none
 // hands its address out any more. It returns how many did not answer.
-func (m *Members) Announce(ctx context.Context) int {
+func (m *Members) AnnounceDrain(ctx context.Context) int {
 	m.mu.Lock()
-	m.table.Raise()
+	m.table.IncrementBeat()
 	m.mu.Unlock()
 	silent, told := m.tell(ctx)
 	m.events.Record(event.DrainAnnounced, "told", told, "silent", silent)
 	return silent
 }
 
-// Serves passes on, by way of the neighbours, that this node begins to serve.
-func (m *Members) Serves() {
+// AnnounceServing passes on, by way of the neighbours, that this node begins to serve.
+func (m *Members) AnnounceServing() {
 	m.mu.Lock()
-	m.table.Raise()
+	m.table.IncrementBeat()
 	m.mu.Unlock()
 	m.push(true)
 }
@@ -335,7 +335,7 @@
 
 func (m *Members) record() {
 	m.mu.Lock()
-	changes := m.table.Changes()
+	changes := m.table.TakeChanges()
 	m.mu.Unlock()
 	for _, c := range changes {
 		m.events.Record(changeEvents[c.Kind], "peer", c.Incarnation)
--- a/membership/members_test.go
+++ b/membership/members_test.go
@@ -115,9 +115,9 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	response := &fleetv1.Response{Body: &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: node.members.Answer(r.GetPing().GetViews())}}}
+	response := &fleetv1.Response{Body: &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: node.members.HandlePing(r.GetPing().GetViews())}}}
 	if via := r.GetPingVia(); via != nil {
-		views, err := node.members.Via(ctx, via)
+		views, err := node.members.HandlePingVia(ctx, via)
 		if err != nil {
 			return nil, errors.New("unreachable")
 		}
@@ -131,12 +131,12 @@
 }
 
 func (n *testNode) handsOut() int {
-	return len(n.members.Addresses(Asker{SelfServes: !n.draining.Load()}))
+	return len(n.members.Addresses(AddressQuery{SelfServing: !n.draining.Load()}))
 }
 
 // Three of seven instances die at the same time. Callers that ask any of the others
 // must soon be given the four that answer, and only these.
-func TestSeveralDieAtOnce(t *testing.T) {
+func TestConcurrentNodeFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -156,7 +156,7 @@
 
 // Messages from one node to another get lost, and only in that direction. Both are
 // alive and reachable for callers, so both must stay among the addresses.
-func TestOneWayCutTakesNobodyOut(t *testing.T) {
+func TestOneWayPartitionKeepsAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -173,7 +173,7 @@
 
 // One node is cut off from all others and comes back. It suspected everybody; were
 // that believed, no node would hand out any other for a while.
-func TestIsolatedNodeIsNotBelieved(t *testing.T) {
+func TestIsolatedNodeDoesNotSpreadSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -195,7 +195,7 @@
 // An instance is replaced at the same address while the log, which would tell, is
 // out of reach. The old incarnation must make room at the first word of the new one,
 // or callers are sent by a stale entry.
-func TestRestartAtTheSameAddress(t *testing.T) {
+func TestRestartAtSameAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -215,13 +215,13 @@
 
 // A node that drains tells all others at once. An address given out after that would
 // refuse its caller.
-func TestDrainLeavesAddressesAtOnce(t *testing.T) {
+func TestDrainingNodeIsNotHandedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
 		nodes := net.startAll(t, 7)
 		nodes[2].draining.Store(true)
-		is.Equal(nodes[2].members.Announce(t.Context()), 0)
+		is.Equal(nodes[2].members.AnnounceDrain(t.Context()), 0)
 		for _, node := range nodes {
 			is.Equal(node.handsOut(), 6)
 		}
@@ -230,7 +230,7 @@
 
 // What a node sends must not grow with the square of the fleet: in the quiet each
 // sends one ping a period, whatever the number of the others.
-func TestTrafficPerNodeIsFlat(t *testing.T) {
+func TestTrafficPerNodeIsConstant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, count := range []int{7, 60} {
--- a/membership/numbers_test.go
+++ b/membership/numbers_test.go
@@ -35,7 +35,7 @@
 // A node is cut from the log before others join, which name themselves by a number that
 // only the log explains. It must learn who they are all the same, or its callers are
 // given its own address alone.
-func TestNumberUnknownToALaggingNode(t *testing.T) {
+func TestLaggingNodeResolvesUnknownMemberID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -51,7 +51,7 @@
 // An instance is replaced at its address, and the new incarnation is in a log that the
 // other node is cut from. That one pings the old incarnation and is answered by a
 // number it doesn't know; it must not go on with the old one's entry.
-func TestNumberOfARestartedNode(t *testing.T) {
+func TestLaggingNodeLearnsOfRestartedNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := newNetwork()
@@ -70,13 +70,13 @@
 // A node that starts is spoken to by an instance just replaced, before it has read in
 // the log of the incarnation that came before at the same address. The late entry must
 // not end the one that answers, or this node never hands its address out.
-func TestLateEntryOfAReplacedIncarnation(t *testing.T) {
+func TestLateLogEntryOfReplacedIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table := NewTable(info("self", "a"))
 	old, fresh := info("b", "a1"), info("b-again", "a1")
 	table.Step(now, nil)
-	table.Heard(now, "b-again", []*fleetv1.PeerView{{Node: fresh, Beat: 1}})
+	table.ApplyViews(now, "b-again", []*fleetv1.PeerView{{Node: fresh, Beat: 1}})
 	table.Step(now.Add(time.Second), []*recordv1.NodeInfo{old})
 	table.Step(now.Add(2*time.Second), []*recordv1.NodeInfo{old, fresh})
 	table.Step(now.Add(3*time.Second), []*recordv1.NodeInfo{fresh})
@@ -86,10 +86,10 @@
 
 // Every node of a fleet that starts is news to every other. Were each written out, the
 // spread of the news would cost several times what a node may spend on control.
-func TestNewsOfWhatTheLogHoldsIsShort(t *testing.T) {
+func TestUpdatesOfOpenNodesAreCompact(t *testing.T) {
 	is := is.New(t)
 	table, _ := tableOf(time.Unix(1000, 0), 200)
-	table.Heard(time.Unix(1000, 0), "x", []*fleetv1.PeerView{{Node: info("x", "ax"), Beat: 1}})
+	table.ApplyViews(time.Unix(1000, 0), "x", []*fleetv1.PeerView{{Node: info("x", "ax"), Beat: 1}})
 	writtenOut := 0
 	for range 400 {
 		for _, view := range table.Views() {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -40,7 +40,7 @@
 
 func (t *Table) settle(now time.Time) {
 	for _, m := range t.members {
-		m.Settling = now.Before(m.settles)
+		m.Damped = now.Before(m.settles)
 		if m.flaps > 0 && !m.Suspect && now.Sub(m.settles) > calmAfter {
 			m.flaps /= 2
 			m.settles = now
@@ -60,15 +60,15 @@
 	m.flaps++
 	if m.flaps > firstFlap {
 		m.settles = now.Add(min(time.Second<<min(m.flaps, 10), maxSettle))
-		m.Settling = true
+		m.Damped = true
 	} else {
 		m.settles = now
 	}
 }
 
-// Failed takes in that a member answered neither this node nor the helpers, in an
+// ProbeFailed takes in that a member answered neither this node nor the helpers, in an
 // attempt that began at started. It returns whether that is news.
-func (t *Table) Failed(now, started time.Time, incarnation string) bool {
+func (t *Table) ProbeFailed(now, started time.Time, incarnation string) bool {
 	m := t.members[incarnation]
 	if m == nil || m.Suspect || !m.heard.Before(started) {
 		return false
--- a/membership/table.go
+++ b/membership/table.go
@@ -143,15 +143,15 @@
 	return m
 }
 
-// Grown tells whether the log opened a node since it was called last.
-func (t *Table) Grown() bool {
+// NodesAdded tells whether the log opened a node since it was called last.
+func (t *Table) NodesAdded() bool {
 	grown := t.grown
 	t.grown = false
 	return grown
 }
 
-// Knows tells whether a member holds a peer address.
-func (t *Table) Knows(address string) bool {
+// HasAddress tells whether a member holds a peer address.
+func (t *Table) HasAddress(address string) bool {
 	for _, m := range t.members {
 		if m.Node.GetPeerAddress() == address {
 			return true
@@ -163,8 +163,8 @@
 // Beat returns this node's own beat.
 func (t *Table) Beat() uint64 { return t.beat }
 
-// Raise makes this node's own view outweigh all earlier ones.
-func (t *Table) Raise() { t.beat++ }
+// IncrementBeat makes this node's own view outweigh all earlier ones.
+func (t *Table) IncrementBeat() { t.beat++ }
 
 // Suspects tells whether a node doesn't answer; true for one that isn't a member.
 func (t *Table) Suspects(incarnation string) bool {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -31,7 +31,7 @@
 	}
 	table.Step(now, open)
 	for _, node := range open {
-		table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
+		table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
 	}
 	return table, open
 }
@@ -49,39 +49,39 @@
 // A process is stopped for an hour, as a suspended machine is, in the middle of its
 // pings, and woken. It must not take the silence for the death of all others, or it
 // hands out nothing but itself.
-func TestWokenProcessSuspectsNobody(t *testing.T) {
+func TestResumedProcessSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table, open := tableOf(now, 6)
 	woken := now.Add(time.Hour)
-	is.Equal(table.Failed(woken, now.Add(time.Millisecond), "n1"), false) // the timeout fires first after waking
+	is.Equal(table.ProbeFailed(woken, now.Add(time.Millisecond), "n1"), false) // the timeout fires first after waking
 	table.Step(woken, open)
-	is.Equal(table.Failed(woken.Add(time.Second), now, "n2"), false)
+	is.Equal(table.ProbeFailed(woken.Add(time.Second), now, "n2"), false)
 	is.Equal(usable(table), 6)
 	later := woken.Add(time.Second)
 	table.Step(later, open)
-	table.Heard(later, "n5", []*fleetv1.PeerView{{Node: open[5], Beat: 1}})
-	is.Equal(table.Failed(later.Add(time.Second), later, "n1"), true) // a ping after waking counts
+	table.ApplyViews(later, "n5", []*fleetv1.PeerView{{Node: open[5], Beat: 1}})
+	is.Equal(table.ProbeFailed(later.Add(time.Second), later, "n1"), true) // a ping after waking counts
 	is.Equal(usable(table), 5)
 }
 
 // A node comes and goes every few seconds. Callers sent there are refused every time
 // it goes, so it is left out for longer each time, and trusted again once it is calm.
-func TestFlappingNodeSettles(t *testing.T) {
+func TestFlappingNodeIsDamped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table, open := tableOf(now, 3)
 	for range 8 {
 		now = now.Add(2 * time.Second)
 		table.Step(now, open)
-		table.Heard(now, "n1", []*fleetv1.PeerView{{Node: open[1], Beat: 1}})
-		table.Failed(now.Add(time.Second), now.Add(time.Millisecond), "n0")
-		table.Heard(now.Add(time.Second), "n0", []*fleetv1.PeerView{{Node: open[0], Beat: 1}})
+		table.ApplyViews(now, "n1", []*fleetv1.PeerView{{Node: open[1], Beat: 1}})
+		table.ProbeFailed(now.Add(time.Second), now.Add(time.Millisecond), "n0")
+		table.ApplyViews(now.Add(time.Second), "n0", []*fleetv1.PeerView{{Node: open[0], Beat: 1}})
 	}
 	for second := range 90 {
 		now = now.Add(time.Second)
 		for _, node := range open {
-			table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
+			table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 1}})
 		}
 		table.Step(now, open)
 		is.True(second >= 50 || usable(table) == 2)
@@ -91,7 +91,7 @@
 
 // Any messages in any order, of closed, draining, restarted and unknown nodes, lead
 // to a table whose addresses hold only nodes that answer and stay, one for each address.
-func TestTableKeepsItsRules(t *testing.T) {
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		table, open := tableOf(now, 4)
@@ -106,14 +106,14 @@
 				table.Step(now, open)
 			case 1:
 				view.Draining = draining[node.GetIncarnation()] != 0
-				table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{view})
+				table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{view})
 			case 2:
-				table.Heard(now, "n9", []*fleetv1.PeerView{{Node: info("n9", "a9"), Beat: beat}, view})
+				table.ApplyViews(now, "n9", []*fleetv1.PeerView{{Node: info("n9", "a9"), Beat: beat}, view})
 			case 3:
-				table.Failed(now, now.Add(-time.Second), node.GetIncarnation())
+				table.ProbeFailed(now, now.Add(-time.Second), node.GetIncarnation())
 			case 4:
 				draining[node.GetIncarnation()] = 9
-				table.Heard(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 9, Draining: true}})
+				table.ApplyViews(now, node.GetIncarnation(), []*fleetv1.PeerView{{Node: node, Beat: 9, Draining: true}})
 			}
 			checkTable(t, table, draining)
 		}
@@ -139,7 +139,7 @@
 // The callers of one client account ask different nodes. They must be sent to the same
 // few, or its budget is split over all nodes; a node far above the others' load is
 // passed over, and nodes of the asked node's region come first.
-func TestAccountStaysOnFewNodes(t *testing.T) {
+func TestAccountIsRoutedToFewNodes(t *testing.T) {
 	is := is.New(t)
 	var members []Member
 	for i := range 6 {
@@ -152,19 +152,19 @@
 	first := map[string]bool{}
 	for i, m := range members[:4] {
 		others := append(append([]Member(nil), members[:i]...), members[i+1:]...)
-		list := Rank(Asker{Account: "large", Self: m.Node, SelfServes: true}, others)
+		list := Rank(AddressQuery{Account: "large", Self: m.Node, SelfServing: true}, others)
 		first[list[0].Address] = true
 		is.Equal(list[4].Region, "there")
 		is.Equal(len(list), 6)
 	}
 	is.Equal(len(first), 1)
-	list := Rank(Asker{Account: "large", Self: members[5].Node}, members)
+	list := Rank(AddressQuery{Account: "large", Self: members[5].Node}, members)
 	is.Equal(list[0].Region, "there")
-	home := Rank(Asker{Account: "large", Self: members[0].Node}, members)[0].Address
+	home := Rank(AddressQuery{Account: "large", Self: members[0].Node}, members)[0].Address
 	for i := range members {
 		if members[i].Node.GetHttpAddress() == home {
 			members[i].InFlight = 100
 		}
 	}
-	is.True(Rank(Asker{Account: "large", Self: members[0].Node}, members)[0].Address != home)
+	is.True(Rank(AddressQuery{Account: "large", Self: members[0].Node}, members)[0].Address != home)
 }
--- a/membership/views.go
+++ b/membership/views.go
@@ -61,8 +61,8 @@
 	return views
 }
 
-// Newcomer tells whether a sender isn't known as answering.
-func (t *Table) Newcomer(sender string) bool {
+// IsNewcomer tells whether a sender isn't known as answering.
+func (t *Table) IsNewcomer(sender string) bool {
 	m := t.members[sender]
 	return m == nil || m.Suspect
 }
--- a/node/admission.go
+++ b/node/admission.go
@@ -46,7 +46,7 @@
 	slots := n.regionSlots(view.Upstreams(service))
 	settings := admission.DefaultSettings(slots)
 	if view.Service(service).GetKind() == operatorv1.ServiceKind_SERVICE_KIND_ENGINE {
-		settings.FirstLimit = max(1, slots/n.regionNodes())
+		settings.InitialLimit = max(1, slots/n.regionNodes())
 	}
 	return settings
 }
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -24,8 +24,8 @@
 	lender    *budget.Lender
 	borrower  *budget.Borrower
 	sizer     *budget.Sizer
-	memory    *witness.Memory
-	teller    *witness.Teller
+	memory    *witness.Store
+	teller    *witness.Replicator
 	watcher   *recovery.Watcher
 	recoverer *recovery.Recoverer
 	silent    *recovery.SilentSettler
@@ -38,12 +38,12 @@
 		lender:   budget.NewLender(n.holder, n.ledger, n.events),
 		borrower: budget.NewBorrower(n.Incarnation(), n.deps.Clock, n.deps.Peers, n.ledger, n.events),
 		stopped:  make(chan struct{}),
-		memory:   witness.NewMemory(),
+		memory:   witness.NewStore(),
 		teller:   n.newTeller(),
 		watcher:  recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
 	}
 	b.reserver = budget.NewReserver(budget.ReserverConfig{
-		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, Chunk: n.settings.ClaimChunk,
+		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, ClaimChunk: n.settings.ClaimChunk,
 		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.teller,
 		Stopped: b.stopped,
 	})
@@ -51,7 +51,7 @@
 	b.recoverer = n.newRecoverer(b)
 	b.silent = n.newSilentSettler(b)
 	b.copier = witness.NewCopier(witness.CopierConfig{
-		Clock: n.deps.Clock, Memory: b.memory, Candidates: n.witnesses, Suspect: n.isSuspect, Send: b.teller.PassTo,
+		Clock: n.deps.Clock, Store: b.memory, Candidates: n.witnesses, Suspect: n.isSuspect, Send: b.teller.SendRequests,
 	})
 	return b
 }
@@ -81,7 +81,7 @@
 	var peers []budget.Peer
 	for _, member := range n.members.All() {
 		peers = append(peers, budget.Peer{
-			Node: member.Node, Near: member.Node.GetRegion() == n.settings.Region, Suspect: member.Suspect,
+			Node: member.Node, SameRegion: member.Node.GetRegion() == n.settings.Region, Suspect: member.Suspect,
 		})
 	}
 	return peers
@@ -99,7 +99,7 @@
 		n.budgets.lender.Settle(body.Settle.GetId(), body.Settle.GetTokens())
 		response.Body = &fleetv1.Response_Settled{Settled: &fleetv1.Settled{}}
 	case *fleetv1.Request_ShareAsk:
-		response.Body = &fleetv1.Response_ShareAnswer{ShareAnswer: n.budgets.reserver.Move(r.GetFrom(), body.ShareAsk)}
+		response.Body = &fleetv1.Response_ShareAnswer{ShareAnswer: n.budgets.reserver.MoveShare(r.GetFrom(), body.ShareAsk)}
 	case *fleetv1.Request_Witness:
 		err = n.remember(r.GetFrom(), body.Witness)
 		response.Body = &fleetv1.Response_Witnessed{Witnessed: &fleetv1.Witnessed{}}
--- a/node/budgets_test.go
+++ b/node/budgets_test.go
@@ -204,7 +204,7 @@
 		f.log.SetDown(false)
 		f.awaitBilled(0)
 		for _, n := range f.nodes {
-			is.Equal(n.holder.Open(), 0)
+			is.Equal(n.holder.OpenReservations(), 0)
 		}
 	})
 }
@@ -228,7 +228,7 @@
 		f.log.SetDown(false)
 		f.awaitReleased(1, 0)
 		f.awaitBilled(1)
-		is.Equal(f.nodes[1].holder.Open()+f.nodes[2].holder.Open(), 0)
+		is.Equal(f.nodes[1].holder.OpenReservations()+f.nodes[2].holder.OpenReservations(), 0)
 	})
 }
 
--- a/node/calls.go
+++ b/node/calls.go
@@ -36,7 +36,7 @@
 }
 
 // Forward implements request.Peers.
-func (p nodePeers) Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallAnswer, error) {
+func (p nodePeers) Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallResponse, error) {
 	n := p.node
 	if address == "" {
 		address = n.ledger.Incarnations()[incarnation].Node.GetPeerAddress()
@@ -48,7 +48,7 @@
 		Body: &fleetv1.Request_CallForward{CallForward: call},
 	})
 	if err != nil {
-		return upstream.CallAnswer{}, p.unreachable(incarnation)
+		return upstream.CallResponse{}, p.unreachable(incarnation)
 	}
 	n.events.Clock().Observe(event.Stamp(response.GetHlc()))
 	return forwardedAnswer(response)
@@ -63,7 +63,7 @@
 	return result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
 
-func forwardedAnswer(response *fleetv1.Response) (upstream.CallAnswer, error) {
+func forwardedAnswer(response *fleetv1.Response) (upstream.CallResponse, error) {
 	forwarded := response.GetCallForwarded()
 	if code := result.Code(response.GetCode()); code != result.OK {
 		err := result.New(code, "%s", response.GetMessage())
@@ -73,9 +73,9 @@
 		if forwarded.GetRan() {
 			err = err.Doubt()
 		}
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
-	return upstream.CallAnswer{
+	return upstream.CallResponse{
 		Status: int(forwarded.GetStatus()), ContentType: forwarded.GetHeaders()[contentType], Body: forwarded.GetBody(),
 	}, nil
 }
@@ -85,7 +85,7 @@
 // handleForward runs a call that another node passed on.
 func (n *Node) handleForward(ctx context.Context, call *fleetv1.CallForward) *fleetv1.Response {
 	err := n.Serving()
-	var answer upstream.CallAnswer
+	var answer upstream.CallResponse
 	if err == nil {
 		answer, err = n.requests.HandleForwarded(ctx, call)
 	} else {
--- a/node/drain.go
+++ b/node/drain.go
@@ -36,7 +36,7 @@
 func (n *Node) drain(ctx context.Context) {
 	n.fire(triggerDrain)
 	kept := n.settings.AddressLifetime + keptMargin
-	if n.members.Announce(ctx) > 0 {
+	if n.members.AnnounceDrain(ctx) > 0 {
 		kept += unreachedMargin
 	}
 	n.wait(ctx, func() bool { return false }, kept)
@@ -48,7 +48,7 @@
 }
 
 // idle tells that nothing runs, for this node's callers or for its peers.
-func (n *Node) idle() bool { return n.requests.InFlight() == 0 && n.holder.Open() == 0 }
+func (n *Node) idle() bool { return n.requests.InFlight() == 0 && n.holder.OpenReservations() == 0 }
 
 // Drained is closed once the node has drained.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -52,13 +52,13 @@
 func (n *Node) ready() {
 	if n.State() == StateStarting && !n.drainOrdered() {
 		n.fire(triggerReady)
-		n.members.Serves()
+		n.members.AnnounceServing()
 	}
 }
 
 // settlements contributes what was settled since the last batch.
 func (n *Node) settlements() []*recordv1.Entry {
-	batch := n.holder.Settlements()
+	batch := n.holder.TakeSettlements()
 	if batch == nil {
 		return nil
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -52,15 +52,15 @@
 	total int
 }
 
-func (w *workRecorder) Call(_ context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallAnswer, error) {
+func (w *workRecorder) Call(_ context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	if r.Method != "POST" {
-		return upstream.CallAnswer{}, errors.New("nothing to report")
+		return upstream.CallResponse{}, errors.New("nothing to report")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.last[to.GetName()] = time.Now()
 	w.total++
-	return upstream.CallAnswer{Status: 200}, nil
+	return upstream.CallResponse{Status: 200}, nil
 }
 
 func (w *workRecorder) lastOf(name string) time.Time {
--- a/node/membership.go
+++ b/node/membership.go
@@ -20,7 +20,7 @@
 func (n *Node) newMembership() {
 	n.instances = membership.NewInstances(n.deps.Instances, n.deps.Clock, n.events)
 	n.members = membership.NewMembers(n.info, n.deps.Clock, n.deps.Peers, n.events, n.openNodes, n.view)
-	n.members.Listed(n.instances.Peers)
+	n.members.SetPlatformAddresses(n.instances.PeerAddresses)
 }
 
 // openNodes lists the nodes that the log holds open.
@@ -47,9 +47,9 @@
 // Addresses returns the nodes that a caller with a key should use, and for how long.
 // It needs neither the log nor the platform's list.
 func (n *Node) Addresses(key string) ([]membership.Address, time.Duration) {
-	asker := membership.Asker{
+	asker := membership.AddressQuery{
 		Account:      n.Config().AccountByKey(key).GetName(),
-		SelfServes:   n.State() == StateServing,
+		SelfServing:  n.State() == StateServing,
 		SelfInFlight: uint32(n.requests.InFlight()),
 	}
 	return n.members.Addresses(asker), n.settings.AddressLifetime
@@ -59,7 +59,7 @@
 func (n *Node) Members() *membership.Members { return n.members }
 
 func (n *Node) answerPingVia(ctx context.Context, r *fleetv1.PingVia, response *fleetv1.Response) {
-	views, err := n.members.Via(ctx, r)
+	views, err := n.members.HandlePingVia(ctx, r)
 	if err != nil {
 		refuse(response, err)
 		return
--- a/node/node.go
+++ b/node/node.go
@@ -45,7 +45,7 @@
 	config     *config.State
 	watchers   *watchers
 	ledger     *budget.Ledger
-	holder     *budget.Holder
+	holder     *budget.ShareHolder
 	budgets    budgets
 	writer     *recordlog.Writer
 	gatherer   *gather.Gatherer
@@ -53,7 +53,7 @@
 	forms      atomic.Pointer[formsFound]
 	follower   *recordlog.Follower
 	leaseTable *lease.Table
-	leases     *lease.Keeper
+	leases     *lease.Manager
 	members    *membership.Members
 	instances  *membership.Instances
 	remaining  stayingLists
@@ -95,11 +95,11 @@
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.configInForce)
 	n.ledger = budget.NewLedger()
-	n.holder = budget.NewHolder(n.info.GetIncarnation(), deps.Clock)
+	n.holder = budget.NewShareHolder(n.info.GetIncarnation(), deps.Clock)
 	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.Gather)
 	n.writer.AddSource(n.settlements)
 	n.leaseTable = lease.NewTable()
-	n.leases = lease.NewKeeper(n.info.GetIncarnation(), settings.LeaseTerm, n.leaseTable, n.writer, deps.Clock, n.events)
+	n.leases = lease.NewManager(n.info.GetIncarnation(), settings.LeaseTerm, n.leaseTable, n.writer, deps.Clock, n.events)
 	n.claims = idempotency.NewClaims(idempotency.DefaultLimits())
 	engine := fold.NewEngine(n.config, n.ledger, n.leaseTable, n.claims)
 	n.newMembership()
@@ -146,7 +146,7 @@
 func (n *Node) Settings() Settings { return n.settings }
 
 // Leases returns the leases that this node holds or wants.
-func (n *Node) Leases() lease.Lessor { return n.leases }
+func (n *Node) Leases() lease.Holder { return n.leases }
 
 // Journal returns the node's writer to the log.
 func (n *Node) Journal() *recordlog.Writer { return n.writer }
--- a/node/peers.go
+++ b/node/peers.go
@@ -15,7 +15,7 @@
 	response = &fleetv1.Response{}
 	switch body := r.GetBody().(type) {
 	case *fleetv1.Request_Ping:
-		response.Body = &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: n.members.Answer(body.Ping.GetViews())}}
+		response.Body = &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: n.members.HandlePing(body.Ping.GetViews())}}
 	case *fleetv1.Request_PingVia:
 		n.answerPingVia(ctx, body.PingVia, response)
 	case *fleetv1.Request_LogRead:
--- a/node/reclaim_test.go
+++ b/node/reclaim_test.go
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				policy, err := budget.PolicyNamed(name)
+				policy, err := budget.PolicyByName(name)
 				is.NoErr(err)
 				f := startFleet(t, policy, near, near)
 				f.topUp(50_000)
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -30,9 +30,9 @@
 func (n *Node) newRecoverer(b budgets) *recovery.Recoverer {
 	return recovery.New(recovery.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Journal: n.writer,
-		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Memory: b.memory, Teller: b.teller,
+		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Store: b.memory, Replicator: b.teller,
 		Engines: n.engines(), Suspect: n.isSuspect, LostAfter: n.settings.Policy.LostAfter,
-		Listed: n.instances.Entries, PeerAddress: n.settings.PeerAddress,
+		PlatformAddresses: n.instances.EntryAddresses, PeerAddress: n.settings.PeerAddress,
 	})
 }
 
@@ -40,7 +40,7 @@
 
 func (n *Node) newSilentSettler(b budgets) *recovery.SilentSettler {
 	return recovery.NewSilentSettler(recovery.SilentSettlerConfig{
-		Clock: n.deps.Clock, Ledger: n.ledger, Journal: n.writer, Memory: b.memory, Events: n.events,
+		Clock: n.deps.Clock, Ledger: n.ledger, Journal: n.writer, Store: b.memory, Events: n.events,
 		Suspect: n.isSuspect, MayWrite: func() bool { return n.logReachable() && n.allFoldWitnessed() },
 	})
 }
@@ -49,14 +49,14 @@
 // what its requests used. It then releases its own shares, which ends the recovery
 // by others. Did it stop at once, others would settle from what they were told.
 func (n *Node) settleClosed(ctx context.Context) {
-	n.wait(ctx, func() bool { return n.holder.Open() == 0 && n.budgets.borrower.Parts() == 0 }, closedFinish)
+	n.wait(ctx, func() bool { return n.holder.OpenReservations() == 0 && n.budgets.borrower.UnsettledParts() == 0 }, closedFinish)
 	finish, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		n.wait(finish, func() bool { return false }, closedFinish)
 		cancel()
 	}()
-	if n.holder.Open() == 0 && n.flushAll(finish) && n.passOnAll(finish) {
+	if n.holder.OpenReservations() == 0 && n.flushAll(finish) && n.passOnAll(finish) {
 		_, _ = n.writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{
 			Incarnation: n.Incarnation(),
 		}}}).Wait(finish)
@@ -82,7 +82,7 @@
 // settled: the account would be billed too little.
 func (n *Node) flushAll(ctx context.Context) bool {
 	for {
-		left := n.holder.Unsettled()
+		left := n.holder.PendingSettlements()
 		// The batch that carries this entry carries what the source has taken by then.
 		ticket := n.writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_Settlements{
 			Settlements: &recordv1.SettlementBatch{Incarnation: n.Incarnation()},
@@ -105,8 +105,8 @@
 	return e.node.Config().Upstream(name)
 }
 
-// Counts implements recovery.Engines.
-func (e namedEngines) Counts(name string) bool {
+// ReportsUsage implements recovery.Engines.
+func (e namedEngines) ReportsUsage(name string) bool {
 	found := e.find(name)
 	if found == nil {
 		return false
@@ -115,9 +115,9 @@
 	return service.GetKind() != operatorv1.ServiceKind_SERVICE_KIND_PLAIN
 }
 
-// InReach implements recovery.Engines. A region is cut off while nodes there are neither
+// Reachable implements recovery.Engines. A region is cut off while nodes there are neither
 // known to have ended nor answer.
-func (e namedEngines) InReach(name string) bool {
+func (e namedEngines) Reachable(name string) bool {
 	region := e.find(name).GetRegion()
 	if region == e.node.settings.Region {
 		return true
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -21,7 +21,7 @@
 // that write at the same time, as when a holder was paused, do no harm: their chunks
 // are told apart by their writers.
 func (n *Node) writeSnapshots(ctx context.Context) {
-	n.leases.Want(snapshotLease)
+	n.leases.Campaign(snapshotLease)
 	periodic.Run(ctx, n.deps.Clock, snapshotPoll, func(ctx context.Context) {
 		if _, held := n.leases.Held(snapshotLease); !held || !n.settings.Snapshots.Due(n.snapshots.Progress()) {
 			return
--- a/node/staying.go
+++ b/node/staying.go
@@ -33,13 +33,13 @@
 	if len(all) == 0 {
 		return all
 	}
-	service, changes := all[0].GetService(), instances.Changes()
+	service, changes := all[0].GetService(), instances.LeavingVersion()
 	if held, found := s.byService.Load(service); found && held.(*stayingList).isOf(all, changes) {
 		return held.(*stayingList).kept
 	}
 	// Read after changes: should the list change meanwhile, the next request makes it anew.
 	kept := all
-	leaves := func(u *operatorv1.Upstream) bool { return instances.Leaving(u.GetAddress()) }
+	leaves := func(u *operatorv1.Upstream) bool { return instances.IsLeaving(u.GetAddress()) }
 	if slices.ContainsFunc(all, leaves) {
 		kept = slices.DeleteFunc(slices.Clone(all), leaves)
 	}
--- a/node/streams_test.go
+++ b/node/streams_test.go
@@ -38,8 +38,8 @@
 }
 
 // Call answers no question about load: this engine only streams.
-func (s *streamer) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallAnswer, error) {
-	return upstream.CallAnswer{}, result.New(result.NoUpstream, "this engine only streams")
+func (s *streamer) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallResponse, error) {
+	return upstream.CallResponse{}, result.New(result.NoUpstream, "this engine only streams")
 }
 
 func (s *streamer) Chat(_ context.Context, _ *operatorv1.Upstream, r upstream.ChatRequest) (upstream.ChatStream, error) {
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -151,7 +151,7 @@
 	for _, n := range f.nodes {
 		line := n.Ledger().Budget(testBudget)
 		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, told %d, remembers %d", n.Incarnation(), n.State(),
-			line.Spent, f.engines.used(), line.Lost, n.holder.Open(), n.budgets.borrower.Parts(), n.budgets.teller.Len(), n.budgets.memory.Len())
+			line.Spent, f.engines.used(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.teller.Len(), n.budgets.memory.Len())
 		events, _ := n.events.Since("")
 		for _, e := range events {
 			if e.Number >= event.SpendRightLapsed && e.Number <= event.WitnessChanged && e.Number != event.RecoveryWaiting {
@@ -185,7 +185,7 @@
 	}}}})
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if !n.engines().Counts(testEngine) {
+			if !n.engines().ReportsUsage(testEngine) {
 				return false
 			}
 		}
--- a/node/witness.go
+++ b/node/witness.go
@@ -10,10 +10,10 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-func (n *Node) newTeller() *witness.Teller {
-	return witness.NewTeller(witness.Config{
+func (n *Node) newTeller() *witness.Replicator {
+	return witness.NewReplicator(witness.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Caller: n.deps.Peers, Events: n.events,
-		Candidates: n.witnesses, Alone: n.alone,
+		Candidates: n.witnesses, OnlyNode: n.alone,
 		LogReachable: n.logReachable, Required: n.settings.Policy.WitnessRequired,
 	})
 }
@@ -59,7 +59,7 @@
 	if n.State() != StateServing && n.State() != StateStarting {
 		return result.New(result.Draining, "the node is leaving")
 	}
-	return n.budgets.memory.Remember(from, said)
+	return n.budgets.memory.Update(from, said)
 }
 
 func (n *Node) witnessReport(query *fleetv1.WitnessQuery) (*fleetv1.WitnessReport, error) {
@@ -72,5 +72,5 @@
 // passOnWitnessed hands what this node remembers for others to another node.
 // Without it a crash before a graceful stop would leave requests that nobody knows.
 func (n *Node) passOnWitnessed(ctx context.Context) error {
-	return n.budgets.teller.Pass(ctx, n.budgets.memory.All())
+	return n.budgets.teller.HandOver(ctx, n.budgets.memory.All())
 }
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -24,10 +24,10 @@
 	roundInterval = 2 * time.Second
 	// callTimeout bounds one report or order.
 	callTimeout = 2 * time.Second
-	// QuietTime is how long a new holder leaves engines alone that ignore fencing
+	// TakeoverDelay is how long a new holder leaves engines alone that ignore fencing
 	// numbers: an order of the former holder, sent just before its lease ended,
 	// arrives within callTimeout, and several times that is waited.
-	QuietTime = 10 * time.Second
+	TakeoverDelay = 10 * time.Second
 	// patience is how long an engine may take to report an order as done before it
 	// is planned for anew.
 	patience = 2 * time.Minute
@@ -35,7 +35,7 @@
 
 // Executor gives orders while this node holds the lease.
 type Executor struct {
-	Lessor  lease.Lessor
+	Lessor  lease.Holder
 	Client  Client
 	Weights ports.Weights
 	Config  func() *config.View
@@ -59,12 +59,12 @@
 
 // Run gives orders until ctx ends.
 func (e *Executor) Run(ctx context.Context) {
-	e.Lessor.Want(LeaseName)
-	periodic.Run(ctx, e.Clock, roundInterval, e.Round)
+	e.Lessor.Campaign(LeaseName)
+	periodic.Run(ctx, e.Clock, roundInterval, e.Reconcile)
 }
 
-// Round looks at all engines once and gives the orders that are due.
-func (e *Executor) Round(ctx context.Context) {
+// Reconcile looks at all engines once and gives the orders that are due.
+func (e *Executor) Reconcile(ctx context.Context) {
 	held, ok := e.Lessor.Held(LeaseName)
 	if !ok {
 		return
@@ -155,7 +155,7 @@
 // falls between this check and the send; for the others see docs/design/06-orders.md.
 func (e *Executor) execute(ctx context.Context, step Step) {
 	engine := step.Engine.Upstream
-	if !engine.GetChecksFencing() && e.Clock.Since(e.taken) < QuietTime {
+	if !engine.GetChecksFencing() && e.Clock.Since(e.taken) < TakeoverDelay {
 		return
 	}
 	if !e.fetch(ctx, step.Fetch) {
--- a/orders/executor_test.go
+++ b/orders/executor_test.go
@@ -59,7 +59,7 @@
 
 // A new version is rolled out: it gets all its copies first, then the old one goes.
 // Callers see the model served all the while.
-func TestRollsOutANewVersion(t *testing.T) {
+func TestRolloutOfNewVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := twoRegions(true)
@@ -75,7 +75,7 @@
 // Every engine is full and holds the only copies. Room can't be made without
 // dropping a region's last copy, so nothing is dropped there; callers keep the old
 // version rather than none.
-func TestKeepsTheLastCopyOfARegion(t *testing.T) {
+func TestRetainsLastCopyInRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := newFakeEngines(engineIn("east", "east-1", true, oldModel))
@@ -92,7 +92,7 @@
 // The node that gives orders dies at its first, second, ... order, before or after
 // the order arrives, and another takes over. Whatever the step, the rollout ends
 // complete, and no region is without the model at any time.
-func TestHolderDiesAtEveryStep(t *testing.T) {
+func TestRolloutSurvivesHolderCrashAtEveryStep(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		for step := 1; step <= 6; step++ {
 			for _, arrives := range []bool{true, false} {
@@ -130,7 +130,7 @@
 // The holder is paused after it planned and wakes when another has taken over and
 // given orders. It must find out before it sends, or the engine would get orders of
 // two holders in turn.
-func TestPausedHolderSendsNothing(t *testing.T) {
+func TestPausedHolderSendsNoOrders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -139,8 +139,8 @@
 				view := viewOf(t, engines, 2)
 				lessor := &fakeLessor{epoch: 1}
 				paused := newExecutor(lessor, engines, view, time.Second)
-				paused.Round(t.Context())
-				time.Sleep(QuietTime + time.Second) // past the quiet time of its own epoch
+				paused.Reconcile(t.Context())
+				time.Sleep(TakeoverDelay + time.Second) // past the quiet time of its own epoch
 				questions := 0
 				lessor.onHeld = func() {
 					questions++
@@ -150,7 +150,7 @@
 					lessor.set(0)
 				}
 				before := engines.sent()
-				paused.Round(t.Context())
+				paused.Reconcile(t.Context())
 				is.Equal(engines.sent(), before)
 			})
 		})
@@ -192,7 +192,7 @@
 
 // The weight store admits one fetch in twenty seconds. Asking more often would use
 // up the rate that engines elsewhere wait for.
-func TestWeightStoreRateIsKept(t *testing.T) {
+func TestRespectsWeightStoreRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := newFakeEngines(engineIn("east", "east-1", true), engineIn("east", "east-2", true), engineIn("east", "east-3", true))
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -189,8 +189,8 @@
 	l.epoch = epoch
 }
 
-func (l *fakeLessor) Want(string)    {}
-func (l *fakeLessor) Release(string) {}
+func (l *fakeLessor) Campaign(string) {}
+func (l *fakeLessor) Release(string)  {}
 
 // sent returns how many orders left the executor.
 func (f *fakeEngines) sent() int {
--- a/orders/plan_test.go
+++ b/orders/plan_test.go
@@ -14,7 +14,7 @@
 
 // One hot report must not load another copy: reports lag, and a short burst would
 // be paid for with a fetch of the whole model.
-func TestOnlySteadyLoadAddsACopy(t *testing.T) {
+func TestOnlySustainedLoadAddsACopy(t *testing.T) {
 	is := is.New(t)
 	goals := []Goal{{Model: newModel, CopiesPerRegion: 1}}
 	hot, idle := planned(newModel), planned()
--- a/orders/roles_test.go
+++ b/orders/roles_test.go
@@ -75,7 +75,7 @@
 // Operators split a service into prefill and decode. The engines change their roles one
 // at a time, and while they do the region always has one that serves by itself or both
 // of the new roles; a region with too few engines for that keeps its last mixed one.
-func TestRolesChangeWithoutAGap(t *testing.T) {
+func TestRoleChangeKeepsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := mixedFleet(true)
@@ -92,7 +92,7 @@
 // The node that changes roles dies at each of its orders, before or after the order
 // arrives, and another takes over while the engine is still changing and reports its
 // old role. A region that lost its only serving engine to that would refuse callers.
-func TestHolderDiesAtEveryRoleChange(t *testing.T) {
+func TestRoleChangeSurvivesHolderCrash(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		for step := 1; step <= 4; step++ {
 			for _, arrives := range []bool{true, false} {
@@ -127,7 +127,7 @@
 // The answer to an order that changes a role is lost, and the engine is at it while it
 // still reports the old role. It must not count as serving there, or the next order
 // takes the engine that is left.
-func TestLostAnswerToARoleChange(t *testing.T) {
+func TestRoleChangeWithLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := mixedFleet(true)
@@ -153,7 +153,7 @@
 
 // An engine misses a few reports. Were another told to take its role at once, the two
 // would change places, and drop what they cached, at every hiccup.
-func TestRoleChangesOnlyForALastingLack(t *testing.T) {
+func TestRoleChangesOnlyForSustainedShortage(t *testing.T) {
 	is := is.New(t)
 	goals := []Goal{{Model: newModel, CopiesPerRegion: 1, Role: "decode"}}
 	decode, spare := planned(newModel), planned(newModel)
@@ -179,7 +179,7 @@
 
 // The load swings between two roles of a service. Engines that followed each swing would
 // spend their time changing, so none leaves a role for a while after it got one more.
-func TestEnginesRestInTheirRoles(t *testing.T) {
+func TestRoleChangeCooldown(t *testing.T) {
 	is := is.New(t)
 	goals := []Goal{{Model: newModel, CopiesPerRegion: 1, Role: "prefill"}, {Model: newModel, CopiesPerRegion: 1, Role: "decode"}}
 	engines := make([]Engine, 3)
--- a/orders/stopped_test.go
+++ b/orders/stopped_test.go
@@ -15,10 +15,10 @@
 // when another has taken over and given orders. An engine that ignores fencing numbers
 // takes the late order, which states what was right long ago. The region must keep a copy
 // of the model all the same, and the rollout must end as declared.
-func TestStopBetweenLookAndSend(t *testing.T) {
+func TestHolderPausedBetweenLeaseCheckAndSend(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		for step := 1; step <= 6; step++ {
-			for _, stop := range []time.Duration{QuietTime + 4*time.Second, 40 * time.Second, 100 * time.Second} {
+			for _, stop := range []time.Duration{TakeoverDelay + 4*time.Second, 40 * time.Second, 100 * time.Second} {
 				t.Run(fmt.Sprintf("checks=%v/step=%d/stop=%s", checks, step, stop), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { stopAtStep(t, checks, step, stop) })
 				})
@@ -69,7 +69,7 @@
 // Two full engines of a region hold the old version, and the former holder's order to make
 // room on the first is late. Were the second dropped by the new holder meanwhile, as either
 // order alone allows, callers of the region would be refused.
-func TestLateOrderMeetsNoSecondDrop(t *testing.T) {
+func TestLateOrderDoesNotCombineWithSecondDrop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := newFakeEngines(engineIn("east", "east-1", false, oldModel), engineIn("east", "east-2", false, oldModel))
@@ -82,7 +82,7 @@
 			if n == 1 {
 				lessor.set(0)
 				close(stopped)
-				time.Sleep(QuietTime + 4*time.Second) // while the new holder's first order is at work
+				time.Sleep(TakeoverDelay + 4*time.Second) // while the new holder's first order is at work
 			}
 			return true
 		}
--- a/placement/memory.go
+++ b/placement/memory.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Memory remembers which shared prompt parts this node sent to which engine. It is safe
+// CacheTracker remembers which shared prompt parts this node sent to which engine. It is safe
 // for concurrent use.
-type Memory struct {
+type CacheTracker struct {
 	keep time.Duration
 
 	mu   sync.Mutex
@@ -23,13 +23,13 @@
 // maxHeld bounds the memory; at 80 bytes an entry it is under 2 MB.
 const maxHeld = 20_000
 
-// NewMemory returns an empty memory that believes for keep.
-func NewMemory(keep time.Duration) *Memory {
-	return &Memory{keep: keep, seen: make(map[held]time.Duration)}
+// NewCacheTracker returns an empty memory that believes for keep.
+func NewCacheTracker(keep time.Duration) *CacheTracker {
+	return &CacheTracker{keep: keep, seen: make(map[held]time.Duration)}
 }
 
 // Observe notes that an engine has read the parts of a prompt.
-func (m *Memory) Observe(upstream string, born int64, parts []Part, now time.Duration) {
+func (m *CacheTracker) Observe(upstream string, born int64, parts []PromptPart, now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.seen) > maxHeld {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (m *Memory) forget(now time.Duration) {
+func (m *CacheTracker) forget(now time.Duration) {
 	for h, at := range m.seen {
 		if now-at > m.keep {
 			delete(m.seen, h)
@@ -52,7 +52,7 @@
 }
 
 // Cached returns how many tokens of the leading parts an engine probably holds.
-func (m *Memory) Cached(upstream string, born int64, parts []Part, now time.Duration) int {
+func (m *CacheTracker) Cached(upstream string, born int64, parts []PromptPart, now time.Duration) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	tokens := 0
--- a/placement/picker.go
+++ b/placement/picker.go
@@ -11,42 +11,42 @@
 // Picker chooses upstreams. It is safe for concurrent use.
 type Picker struct {
 	settings Settings
-	memory   *Memory
+	memory   *CacheTracker
 	// regions maps each data centre to its region.
 	regions map[string]string
 }
 
 // NewPicker returns a picker; regions maps each data centre to its region.
 func NewPicker(settings Settings, regions map[string]string) *Picker {
-	return &Picker{settings: settings, memory: NewMemory(settings.CacheFor), regions: regions}
+	return &Picker{settings: settings, memory: NewCacheTracker(settings.CacheTTL), regions: regions}
 }
 
-// Choice is a chosen upstream with what decided it, for logs.
-type Choice struct {
+// PickResult is a chosen upstream with what decided it, for logs.
+type PickResult struct {
 	Upstream *directory.Upstream
 	// Expected is the score: the expected time to the answer.
 	Expected time.Duration
-	// Unread is how many of the prompt's tokens the upstream probably has to read.
-	Unread int
+	// Uncached is how many of the prompt's tokens the upstream probably has to read.
+	Uncached int
 	// Candidates is how many upstreams were weighed.
 	Candidates int
 }
 
 // Pick returns the upstream with the lowest score, or false if there is none. Upstreams
 // that don't answer at all are passed over while another is left.
-func (p *Picker) Pick(q *Query, upstreams []*directory.Upstream) (Choice, bool) {
-	best := Choice{}
+func (p *Picker) Pick(q *Request, upstreams []*directory.Upstream) (PickResult, bool) {
+	best := PickResult{}
 	for _, lastResort := range []bool{false, true} {
 		home := p.home(q, upstreams)
 		for _, u := range upstreams {
-			if q.tried(u) || u.Dark(q.Now) != lastResort {
+			if q.tried(u) || u.InBackoff(q.Now) != lastResort {
 				continue
 			}
 			best.Candidates++
 			missing := p.missing(q, u, u == home)
 			if score := p.score(q, u, missing); best.Upstream == nil || score < best.Expected {
 				best.Upstream, best.Expected = u, score
-				best.Unread = q.PromptTokens - sharedTokens(q.shared()) + missing
+				best.Uncached = q.PromptTokens - sharedTokens(q.shared()) + missing
 			}
 		}
 		if best.Upstream != nil {
@@ -57,25 +57,25 @@
 }
 
 // Observe notes that an upstream read a request's prompt.
-func (p *Picker) Observe(q *Query, u *directory.Upstream) {
-	p.memory.Observe(u.ID, u.Born, q.shared(), q.Now)
+func (p *Picker) Observe(q *Request, u *directory.Upstream) {
+	p.memory.Observe(u.ID, u.StartedAt, q.shared(), q.Now)
 }
 
 // home is the engine that all nodes send a shared prompt to, so that they find it in one
 // engine's memory without telling each other. It is chosen by rendezvous hashing: when an
 // engine comes or goes, only its own prompts move. A long shared prompt has one home in
 // the fleet, a short one a home in each data centre.
-func (p *Picker) home(q *Query, upstreams []*directory.Upstream) *directory.Upstream {
+func (p *Picker) home(q *Request, upstreams []*directory.Upstream) *directory.Upstream {
 	shared := q.shared()
 	if len(shared) == 0 {
 		return nil
 	}
-	anywhere := sharedTokens(shared) >= p.settings.FleetHome
+	anywhere := sharedTokens(shared) >= p.settings.FleetAffinityTokens
 	key := shared[len(shared)-1].ID
 	var home *directory.Upstream
 	var top uint64
 	for _, u := range upstreams {
-		if !anywhere && u.DataCentre != q.DataCentre || u.Dark(q.Now) || u.DoubtedUntil != 0 {
+		if !anywhere && u.DataCentre != q.DataCentre || u.InBackoff(q.Now) || u.StaleUntil != 0 {
 			continue
 		}
 		if rank := xxhash.Sum64String(key + "\x00" + u.ID); home == nil || rank > top {
@@ -85,7 +85,7 @@
 	return home
 }
 
-func sharedTokens(parts []Part) int {
+func sharedTokens(parts []PromptPart) int {
 	tokens := 0
 	for _, part := range parts {
 		tokens += part.Tokens
@@ -98,9 +98,9 @@
 // a request of some hundred milliseconds loses a small part of the seconds left.
 const warmupPart = 8
 
-func (p *Picker) score(q *Query, u *directory.Upstream, missing int) time.Duration {
+func (p *Picker) score(q *Request, u *directory.Upstream, missing int) time.Duration {
 	s := &p.settings
-	score := time.Duration(u.Failure(q.Now) * float64(s.Failure))
+	score := time.Duration(u.FailureScore(q.Now) * float64(s.FailurePenalty))
 	switch {
 	case u.DataCentre == q.DataCentre:
 	case p.regions[u.DataCentre] == q.Region:
@@ -108,8 +108,8 @@
 	default:
 		score += s.OtherRegion
 	}
-	if u.DoubtedUntil != 0 {
-		score += s.Doubted
+	if u.StaleUntil != 0 {
+		score += s.SuspectPenalty
 	}
 	score += u.Warmup / warmupPart
 	score += p.loadTime(u)
@@ -128,23 +128,23 @@
 	own := int(u.InFlight.Load())
 	running := max(load.Running, min(own, u.Slots))
 	waiting := max(load.Waiting, own-u.Slots)
-	return time.Duration(running)*p.settings.PerRunning + time.Duration(waiting)*p.settings.PerWaiting
+	return time.Duration(running)*p.settings.PerRunningRequest + time.Duration(waiting)*p.settings.PerWaitingRequest
 }
 
 // missing returns how many shared prompt tokens the upstream probably lacks.
-func (p *Picker) missing(q *Query, u *directory.Upstream, home bool) int {
+func (p *Picker) missing(q *Request, u *directory.Upstream, home bool) int {
 	if home || q.PromptTokens == 0 {
 		return 0
 	}
-	return sharedTokens(q.shared()) - p.memory.Cached(u.ID, u.Born, q.shared(), q.Now)
+	return sharedTokens(q.shared()) - p.memory.Cached(u.ID, u.StartedAt, q.shared(), q.Now)
 }
 
 // promptTime is the time to read the prompts ahead and what the engine lacks of this one.
-func (p *Picker) promptTime(q *Query, u *directory.Upstream, missing int) time.Duration {
+func (p *Picker) promptTime(q *Request, u *directory.Upstream, missing int) time.Duration {
 	if q.PromptTokens == 0 {
 		return 0
 	}
 	own := q.PromptTokens - sharedTokens(q.shared())
-	ahead := p.settings.UnseenPrompts * float64(u.PromptInFlight.Load())
-	return time.Duration(float64(p.settings.PerPromptToken)*(ahead+float64(own))) + time.Duration(missing)*p.settings.PerSharedToken
+	ahead := p.settings.PendingPromptFactor * float64(u.PromptInFlight.Load())
+	return time.Duration(float64(p.settings.PerPromptToken)*(ahead+float64(own))) + time.Duration(missing)*p.settings.PerUncachedSharedToken
 }
--- a/placement/picker_test.go
+++ b/placement/picker_test.go
@@ -24,15 +24,15 @@
 	return list
 }
 
-func query(dataCentre string, parts ...Part) *Query {
-	q := &Query{Now: time.Hour, DataCentre: dataCentre, Region: regions[dataCentre], Prefix: parts}
+func query(dataCentre string, parts ...PromptPart) *Request {
+	q := &Request{Now: time.Hour, DataCentre: dataCentre, Region: regions[dataCentre], Prefix: parts}
 	for _, p := range parts {
 		q.PromptTokens += p.Tokens
 	}
 	return q
 }
 
-func picked(t *testing.T, p *Picker, q *Query, list []*directory.Upstream) *directory.Upstream {
+func picked(t *testing.T, p *Picker, q *Request, list []*directory.Upstream) *directory.Upstream {
 	t.Helper()
 	c, ok := p.Pick(q, list)
 	if !ok {
@@ -43,10 +43,10 @@
 
 // Nodes of three data centres send prompts that share a long part. Unless they all choose
 // the same engine without asking each other, each reads the part once more.
-func TestLongSharedPromptHasOneHome(t *testing.T) {
+func TestLongSharedPromptUsesOneUpstreamFleetWide(t *testing.T) {
 	is := is.New(t)
 	list := nine()
-	shared, own := Part{"shared", 5_000}, Part{"own", 800}
+	shared, own := PromptPart{"shared", 5_000}, PromptPart{"own", 800}
 	first := picked(t, NewPicker(DefaultSettings(), regions), query("a", shared, own), list)
 	for _, dc := range []string{"b", "c"} {
 		is.Equal(picked(t, NewPicker(DefaultSettings(), regions), query(dc, shared, own), list).ID, first.ID)
@@ -55,18 +55,18 @@
 
 // A short shared part is cheaper to read once more than each request is to carry to
 // another data centre.
-func TestShortPromptStaysNear(t *testing.T) {
+func TestShortSharedPromptStaysInDataCentre(t *testing.T) {
 	is := is.New(t)
-	is.Equal(picked(t, NewPicker(DefaultSettings(), regions), query("b", Part{"shared", 100}, Part{"own", 50}), nine()).DataCentre, "b")
+	is.Equal(picked(t, NewPicker(DefaultSettings(), regions), query("b", PromptPart{"shared", 100}, PromptPart{"own", 50}), nine()).DataCentre, "b")
 }
 
 // One subject suddenly gets most of the traffic. Its home engine must not take it all
 // while eight others idle.
-func TestBusyHomeSpills(t *testing.T) {
+func TestBusyAffinityUpstreamSpills(t *testing.T) {
 	is := is.New(t)
 	list := nine()
 	p := NewPicker(DefaultSettings(), regions)
-	q := query("a", Part{"hot", 5_000}, Part{"own", 6_000})
+	q := query("a", PromptPart{"hot", 5_000}, PromptPart{"own", 6_000})
 	home := picked(t, p, q, list)
 	home.PromptInFlight.Add(60_000)
 	is.True(picked(t, p, q, list).ID != home.ID)
@@ -74,11 +74,11 @@
 
 // An engine fails some of its requests while its health check is good. After a few
 // failures requests go elsewhere, and after a while it gets another chance.
-func TestFailingUpstreamIsAvoidedForAWhile(t *testing.T) {
+func TestFailingUpstreamIsAvoidedTemporarily(t *testing.T) {
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("bad", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
-	list[0].Fail(time.Hour)
+	list[0].RecordFailure(time.Hour)
 	is.Equal(picked(t, p, query("a"), list).ID, "far")
 	later := query("a")
 	later.Now = time.Hour + 30*time.Second
@@ -87,11 +87,11 @@
 
 // All upstreams of a service look dark, as after a short cut. One is tried all the same:
 // refusing everything would be wrong as soon as one is back.
-func TestDarkUpstreamsAreTheLastResort(t *testing.T) {
+func TestUnreachableUpstreamIsLastResort(t *testing.T) {
 	is := is.New(t)
 	list := []*directory.Upstream{upstream("dark", "a"), upstream("far", "c")}
 	p := NewPicker(DefaultSettings(), regions)
-	list[0].Unreachable(time.Hour)
+	list[0].RecordUnreachable(time.Hour)
 	is.Equal(picked(t, p, query("a"), list).ID, "far")
 	q := query("a")
 	q.Tried = []*directory.Upstream{list[1]}
@@ -108,7 +108,7 @@
 		list = append(list, upstream(fmt.Sprintf("u%d", i), string(rune('a'+i%3))))
 	}
 	p := NewPicker(DefaultSettings(), regions)
-	q := query("a", Part{"one", 512}, Part{"two", 4_870}, Part{"own", 6_000})
+	q := query("a", PromptPart{"one", 512}, PromptPart{"two", 4_870}, PromptPart{"own", 6_000})
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Pick(q, list)
--- a/recovery/absence.go
+++ b/recovery/absence.go
@@ -7,9 +7,9 @@
 // paused or cut off stays in it.
 const GoneAfter = 10 * time.Minute
 
-// Absence notes since when the platform's list shows nothing at an address. Note must
+// AbsenceTracker notes since when the platform's list shows nothing at an address. Note must
 // not run beside Gone.
-type Absence struct {
+type AbsenceTracker struct {
 	self string
 	// list returns the addresses that the last answer shows, and when that came.
 	list  func() (addresses map[string]bool, at time.Time)
@@ -17,15 +17,15 @@
 	since map[string]time.Time
 }
 
-// NewAbsence returns notes for the node at the peer address self.
-func NewAbsence(self string, list func() (map[string]bool, time.Time)) *Absence {
-	return &Absence{self: self, list: list, since: map[string]time.Time{}}
+// NewAbsenceTracker returns notes for the node at the peer address self.
+func NewAbsenceTracker(self string, list func() (map[string]bool, time.Time)) *AbsenceTracker {
+	return &AbsenceTracker{self: self, list: list, since: map[string]time.Time{}}
 }
 
-// Note looks at the last answer for each address. An answer that doesn't show this
+// Update looks at the last answer for each address. An answer that doesn't show this
 // node itself doesn't show the fleet, or not yet: taken for the truth it would end
 // nodes that live behind a cut.
-func (a *Absence) Note(addresses []string) {
+func (a *AbsenceTracker) Update(addresses []string) {
 	shown, at := a.list()
 	if !shown[a.self] {
 		clear(a.since)
@@ -47,7 +47,7 @@
 
 // Gone tells whether the list has shown nothing at an address for GoneAfter. While the
 // list doesn't answer that doesn't change.
-func (a *Absence) Gone(address string) bool {
+func (a *AbsenceTracker) Gone(address string) bool {
 	began, absent := a.since[address]
 	return absent && a.last.Sub(began) >= GoneAfter
 }
--- a/recovery/engines.go
+++ b/recovery/engines.go
@@ -8,11 +8,11 @@
 
 // Engines asks upstreams by name about requests of a dead node.
 type Engines interface {
-	// Counts tells whether the upstream counts requests; plain services don't.
-	Counts(upstream string) bool
-	// InReach is false while the upstream's region is cut off: the upstream then may be
+	// ReportsUsage tells whether the upstream counts requests; plain services don't.
+	ReportsUsage(upstream string) bool
+	// Reachable is false while the upstream's region is cut off: the upstream then may be
 	// well and answer once the cut ends.
-	InReach(upstream string) bool
+	Reachable(upstream string) bool
 	Usage(ctx context.Context, upstream, request string) (upstream.UsageReport, error)
 	Cancel(ctx context.Context, upstream, request string) error
 }
--- a/recovery/inquiry.go
+++ b/recovery/inquiry.go
@@ -50,7 +50,7 @@
 // newInquiry asks all nodes that the log holds, for a subject that was closed at an offset.
 func (r *Recoverer) newInquiry(subject string, closed uint64) *inquiry {
 	q := &inquiry{
-		r: r, subject: subject, closed: closed, started: r.c.Clock.Now(), silence: r.c.Watcher.Silence(subject),
+		r: r, subject: subject, closed: closed, started: r.c.Clock.Now(), silence: r.c.Watcher.SinceLastBatch(subject),
 		unasked: map[string]string{}, later: map[string]bool{},
 		found: map[string]*fleetv1.OpenRequest{}, outcomes: map[string]outcome{},
 	}
@@ -214,7 +214,7 @@
 // the worst case would bill more than it produced.
 func (q *inquiry) outcomeNow(ctx context.Context, open *fleetv1.OpenRequest) outcome {
 	engines := q.r.c.Engines
-	cut := engines.Counts(open.GetUpstream()) && !engines.InReach(open.GetUpstream())
+	cut := engines.ReportsUsage(open.GetUpstream()) && !engines.Reachable(open.GetUpstream())
 	switch {
 	case q.overdue():
 		return outcomeOf(ctx, engines, open, EngineWait)
--- a/recovery/outcome.go
+++ b/recovery/outcome.go
@@ -44,7 +44,7 @@
 	if known := factOf(ctx, engines, open); known.from != undecided {
 		return known
 	}
-	if !engines.Counts(open.GetUpstream()) {
+	if !engines.ReportsUsage(open.GetUpstream()) {
 		return outcome{open.GetReserved(), worstCase}
 	}
 	report, err := engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
@@ -57,7 +57,7 @@
 		return orWorst(open, waited)
 	}
 	if report, err = engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs()); err == nil && report.State == upstream.UsageFinished {
-		return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+		return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 	}
 	return orWorst(open, waited)
 }
@@ -66,16 +66,16 @@
 // when neither has finished it.
 func factOf(ctx context.Context, engines Engines, open *fleetv1.OpenRequest) outcome {
 	if open.GetFinished() {
-		return outcome{budget.BilledTo(open, open.GetUsed()), fromNode}
+		return outcome{budget.BilledTokens(open, open.GetUsed()), fromNode}
 	}
-	if !engines.Counts(open.GetUpstream()) {
+	if !engines.ReportsUsage(open.GetUpstream()) {
 		return outcome{}
 	}
 	report, err := engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
 	if err != nil || report.State != upstream.UsageFinished {
 		return outcome{}
 	}
-	return outcome{budget.BilledTo(open, report.Total()), fromEngine}
+	return outcome{budget.BilledTokens(open, report.Total()), fromEngine}
 }
 
 func orWorst(open *fleetv1.OpenRequest, waited time.Duration) outcome {
--- a/recovery/outcome_test.go
+++ b/recovery/outcome_test.go
@@ -19,9 +19,9 @@
 	cancelled                bool
 }
 
-func (e *fakeEngine) Counts(string) bool { return !e.plain }
+func (e *fakeEngine) ReportsUsage(string) bool { return !e.plain }
 
-func (e *fakeEngine) InReach(string) bool { return true }
+func (e *fakeEngine) Reachable(string) bool { return true }
 
 func (e *fakeEngine) Usage(context.Context, string, string) (upstream.UsageReport, error) {
 	if e.down {
--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -41,15 +41,15 @@
 	Caller      peer.Caller
 	Events      *event.Recorder
 	Watcher     *Watcher
-	Memory      *witness.Memory
-	Teller      *witness.Teller
+	Store       *witness.Store
+	Replicator  *witness.Replicator
 	Engines     Engines
 	// Suspect tells whether a node doesn't answer.
 	Suspect func(incarnation string) bool
-	// Listed returns the peer addresses that the platform's list shows, and when it
+	// PlatformAddresses returns the peer addresses that the platform's list shows, and when it
 	// answered; PeerAddress is this node's own.
-	Listed      func() (addresses map[string]bool, at time.Time)
-	PeerAddress string
+	PlatformAddresses func() (addresses map[string]bool, at time.Time)
+	PeerAddress       string
 	// LostAfter is how long recovery waits for nodes that may know more, the closed one
 	// among them, before it writes off what is left.
 	LostAfter time.Duration
@@ -63,7 +63,7 @@
 	// orphans holds an inquiry for each borrower that is gone.
 	orphans map[string]*inquiry
 	closes  []*recordlog.Ticket
-	absence *Absence
+	absence *AbsenceTracker
 }
 
 // recoveryCase is the recovery of one closed incarnation by this node.
@@ -88,7 +88,7 @@
 func New(config Config) *Recoverer {
 	return &Recoverer{
 		c: config, cases: map[string]*recoveryCase{}, orphans: map[string]*inquiry{},
-		absence: NewAbsence(config.PeerAddress, config.Listed),
+		absence: NewAbsenceTracker(config.PeerAddress, config.PlatformAddresses),
 	}
 }
 
@@ -111,7 +111,7 @@
 	for _, i := range r.c.Ledger.Incarnations() {
 		addresses = append(addresses, i.Node.GetPeerAddress())
 	}
-	r.absence.Note(addresses)
+	r.absence.Update(addresses)
 }
 
 // hasEnded tells whether an incarnation's process has surely ended: another one has its
@@ -137,7 +137,7 @@
 // Report returns what this node knows of requests billed to an incarnation: what
 // others told it, and the parts that it borrowed there itself.
 func (r *Recoverer) Report(incarnation string) []*fleetv1.OpenRequest {
-	return append(r.c.Memory.Report(incarnation), r.c.Teller.Report(incarnation)...)
+	return append(r.c.Store.Report(incarnation), r.c.Replicator.Report(incarnation)...)
 }
 
 func (r *Recoverer) recoverClosed(ctx context.Context) {
@@ -302,22 +302,22 @@
 // countSilent asks engines about requests of nodes that don't answer, long before
 // those are closed: an engine remembers a finished request only for a while.
 func (r *Recoverer) countSilent(ctx context.Context) {
-	for _, incarnation := range r.c.Memory.Incarnations() {
+	for _, incarnation := range r.c.Store.Incarnations() {
 		if !r.c.Suspect(incarnation) {
 			continue
 		}
-		for _, open := range r.c.Memory.Report(incarnation) {
+		for _, open := range r.c.Store.Report(incarnation) {
 			r.count(ctx, open)
 		}
 	}
 }
 
 func (r *Recoverer) count(ctx context.Context, open *fleetv1.OpenRequest) {
-	if open.GetFinished() || !r.c.Engines.Counts(open.GetUpstream()) {
+	if open.GetFinished() || !r.c.Engines.ReportsUsage(open.GetUpstream()) {
 		return
 	}
 	report, err := r.c.Engines.Usage(ctx, open.GetUpstream(), open.GetDispatchedAs())
 	if err == nil && report.State == upstream.UsageFinished {
-		r.c.Memory.Counted(open.GetRequest(), report.Total())
+		r.c.Store.SetEngineUsage(open.GetRequest(), report.Total())
 	}
 }
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -25,7 +25,7 @@
 	Clock   clockwork.Clock
 	Ledger  *budget.Ledger
 	Journal budget.Submitter
-	Memory  *witness.Memory
+	Store   *witness.Store
 	Events  *event.Recorder
 	// Suspect tells whether a node doesn't answer.
 	Suspect func(incarnation string) bool
@@ -57,7 +57,7 @@
 }
 
 func (s *SilentSettler) step() {
-	remembered := s.c.Memory.Incarnations()
+	remembered := s.c.Store.Incarnations()
 	maps.DeleteFunc(s.pending, func(incarnation string, _ *recordlog.Ticket) bool {
 		return !slices.Contains(remembered, incarnation)
 	})
@@ -87,8 +87,8 @@
 // settle writes one entry; what doesn't fit follows once its verdict is known.
 func (s *SilentSettler) settle(incarnation string) {
 	var settlements []*recordv1.Settlement
-	for _, open := range s.c.Memory.Finished(incarnation) {
-		if billed := budget.BilledTo(open, open.GetUsed()); billed > 0 {
+	for _, open := range s.c.Store.Finished(incarnation) {
+		if billed := budget.BilledTokens(open, open.GetUsed()); billed > 0 {
 			settlements = append(settlements, &recordv1.Settlement{Request: open.GetRequest(), Budget: open.GetBudget(), Tokens: billed})
 		}
 	}
--- a/recovery/silentsettler_test.go
+++ b/recovery/silentsettler_test.go
@@ -28,12 +28,12 @@
 	is := is.New(t)
 	w := newWatcherTest()
 	w.beat(1)
-	memory, written := witness.NewMemory(), &journal{}
+	memory, written := witness.NewStore(), &journal{}
 	silent, mayWrite := false, false
-	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Memory: memory,
+	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Store: memory,
 		Events:  event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "self", 10, log.NewNopLogger()),
 		Suspect: func(string) bool { return silent }, MayWrite: func() bool { return mayWrite }})
-	is.NoErr(memory.Remember("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
+	is.NoErr(memory.Update("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
 		{Request: "n.1", Budget: "b", Reserved: 10, Finished: true, Used: 7}, {Request: "n.2", Budget: "b", Reserved: 10},
 	}}))
 	s.step()
--- a/recovery/watcher.go
+++ b/recovery/watcher.go
@@ -76,9 +76,9 @@
 	w.heard[batch.GetWriter()] = h
 }
 
-// Silence returns how long ago an incarnation built the last batch that the log
+// SinceLastBatch returns how long ago an incarnation built the last batch that the log
 // holds of it, by the wall clocks. It is very long when this node never folded one.
-func (w *Watcher) Silence(incarnation string) time.Duration {
+func (w *Watcher) SinceLastBatch(incarnation string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.clock.Now().Sub(w.heard[incarnation].wrote)
--- a/recovery/watcher_test.go
+++ b/recovery/watcher_test.go
@@ -39,7 +39,7 @@
 
 // A node falls silent. Closing it before its right has run out, by its own clock
 // that may be a little slow, would let two nodes spend the same tokens.
-func TestClosesOnlyAfterTheRightAndTheMargin(t *testing.T) {
+func TestClosesOnlyAfterSpendRightAndMargin(t *testing.T) {
 	is := is.New(t)
 	w := newWatcherTest()
 	is.Equal(len(w.Due()), 0)
@@ -55,7 +55,7 @@
 
 // The log comes back after an outage longer than the right. All nodes are alive and
 // their heartbeats are on the way; were they closed now, the whole fleet would stop.
-func TestWaitsForASteadyLog(t *testing.T) {
+func TestWaitsForStableLog(t *testing.T) {
 	is := is.New(t)
 	w := newWatcherTest()
 	w.Due()
@@ -73,7 +73,7 @@
 
 // A node joins with a snapshot and never folded the heartbeats itself. It must
 // count from then on, not from the beginning of time.
-func TestCountsFromASnapshot(t *testing.T) {
+func TestCountsFromSnapshot(t *testing.T) {
 	is := is.New(t)
 	w := newWatcherTest()
 	w.Due()
--- a/relay/source.go
+++ b/relay/source.go
@@ -228,7 +228,7 @@
 		return nil, errors.Trace(err)
 	}
 	if state.GetOffset() <= ahead {
-		return nil, errors.Trace(fold.ErrBackwards)
+		return nil, errors.Trace(fold.ErrStaleState)
 	}
 	return state, nil
 }
--- a/repeats/budget.go
+++ b/repeats/budget.go
@@ -42,17 +42,17 @@
 	return &Budget{limits: limits, clock: clock}
 }
 
-// Request counts a caller's request.
-func (b *Budget) Request() {
+// RecordRequest counts a caller's request.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slide()
 	b.requests[b.at%buckets]++
 }
 
-// TryRepeat takes one repeat out; false if the budget is spent. nodes is how many nodes
+// TryRetry takes one repeat out; false if the budget is spent. nodes is how many nodes
 // share the fixed number.
-func (b *Budget) TryRepeat(nodes int) bool {
+func (b *Budget) TryRetry(nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slide()
--- a/repeats/budget_test.go
+++ b/repeats/budget_test.go
@@ -14,7 +14,7 @@
 
 // Every engine fails. Without a bound each request would be sent again and again, and
 // the load would double just when there is least to spare.
-func TestRepeatsStayWithinTheFleetsBudget(t *testing.T) {
+func TestRetriesStayWithinFleetBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 7
 		clock := &bootclock.Fake{}
@@ -26,9 +26,9 @@
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
-			b.Request()
+			b.RecordRequest()
 			requests = append(requests, clock.Now())
-			for b.TryRepeat(nodes) {
+			for b.TryRetry(nodes) {
 				repeats = append(repeats, clock.Now())
 			}
 			from := clock.Now() - testLimits.Window
@@ -51,13 +51,13 @@
 }
 
 // A window without failures must not be lost: the budget is there again after it.
-func TestBudgetComesBack(t *testing.T) {
+func TestBudgetRefillsAfterWindow(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	b := NewBudget(testLimits, clock)
-	for b.TryRepeat(1) {
+	for b.TryRetry(1) {
 	}
-	is.True(!b.TryRepeat(1))
+	is.True(!b.TryRetry(1))
 	clock.Advance(testLimits.Window + time.Second)
-	is.True(b.TryRepeat(1))
+	is.True(b.TryRetry(1))
 }
--- a/request/admission.go
+++ b/request/admission.go
@@ -10,12 +10,12 @@
 // It fails with Overloaded and a retry delay, or when ctx ends.
 type Admission interface {
 	// Admit returns a function that must be called once when the request ends.
-	Admit(ctx context.Context, ask routing.Ask) (release func(), err error)
+	Admit(ctx context.Context, ask routing.Request) (release func(), err error)
 }
 
 // admit asks the node's admission controller, if there is one. It runs before the
 // reservation, so that a queued request holds no tokens that another could use.
-func (s *Server) admit(ctx context.Context, ask routing.Ask) (release func(), err error) {
+func (s *Server) admit(ctx context.Context, ask routing.Request) (release func(), err error) {
 	if s.Admission == nil {
 		return func() {}, nil
 	}
--- a/request/ask.go
+++ b/request/ask.go
@@ -11,15 +11,15 @@
 )
 
 // routingAsk returns the routing input for the next attempt.
-func (r *chatRun) routingAsk(tried map[string]bool) routing.Ask {
+func (r *chatRun) routingAsk(tried map[string]bool) routing.Request {
 	ask := r.prompt
 	ask.Tried = tried
 	return ask
 }
 
 // newRoutingAsk returns the admission and routing input for a request of an account.
-func (s *Server) newRoutingAsk(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Ask {
-	ask := routing.Ask{Service: service.GetName(), Region: s.Region,
+func (s *Server) newRoutingAsk(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Request {
+	ask := routing.Request{Service: service.GetName(), Region: s.Region,
 		Account: account.GetName(), Team: account.GetTeam(), Weight: account.GetWeight(), Priority: int(account.GetPriority())}
 	ask.Deadline, _ = ctx.Deadline()
 	return ask
@@ -27,7 +27,7 @@
 
 // describePrompt adds the prompt's prefix hashes and token estimate to ask. The prompt
 // text is the contents of all messages, concatenated.
-func (b *chatBody) describePrompt(ask *routing.Ask) {
+func (b *chatBody) describePrompt(ask *routing.Request) {
 	var text prefix.Hasher
 	for _, raw := range b.messages {
 		text.Write(messageText(raw))
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -47,7 +47,7 @@
 
 func newFixture(t testing.TB, engines ...standin.EngineOptions) *fixture {
 	is := is.New(t)
-	client, err := upstream.NewHTTPClientWithSilence(testSilenceTimeout)
+	client, err := upstream.NewHTTPClientWithReadTimeout(testSilenceTimeout)
 	is.NoErr(err)
 	t.Cleanup(client.Close)
 	s := &fixture{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
@@ -100,12 +100,12 @@
 // testServer is the request server of one node with its share of the budget.
 type testServer struct {
 	*Server
-	holder *budget.Holder
+	holder *budget.ShareHolder
 }
 
 func (s *fixture) newServer(name string) *testServer {
 	clock := clockwork.NewRealClock()
-	holder := budget.NewHolder(name, clock)
+	holder := budget.NewShareHolder(name, clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	holder.Credit("budget", testTokens)
 	return &testServer{holder: holder, Server: &Server{
@@ -115,7 +115,7 @@
 	}}
 }
 
-type holderReserver struct{ holder *budget.Holder }
+type holderReserver struct{ holder *budget.ShareHolder }
 
 func (h holderReserver) Reserve(_ context.Context, name string, tokens uint64) (budget.Grant, error) {
 	reservation, err := h.holder.Reserve(name, tokens)
@@ -128,38 +128,38 @@
 // holderGrant is a grant from the node's own share, without a witness.
 type holderGrant struct {
 	*budget.Reservation
-	holder *budget.Holder
+	holder *budget.ShareHolder
 }
 
 func (g holderGrant) Request() budget.RequestID { return g.ID }
 
 func (g holderGrant) Dispatch(context.Context, string) error {
-	if g.holder.RightLeft() <= 0 {
+	if g.holder.RightRemaining() <= 0 {
 		return result.New(result.SpendRightLapsed, "the right to spend has lapsed")
 	}
 	return nil
 }
 
-func (g holderGrant) NotAfter() time.Time { return time.Now().Add(g.holder.RightLeft()) }
+func (g holderGrant) NotAfter() time.Time { return time.Now().Add(g.holder.RightRemaining()) }
 
 func (g holderGrant) Progress(uint64) {}
 
 // firstUntriedPicker picks the first upstream by name that has not been tried.
 type firstUntriedPicker struct{}
 
-func (firstUntriedPicker) Pick(ask routing.Ask, candidates []*operatorv1.Upstream) (routing.Pick, error) {
+func (firstUntriedPicker) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	for _, c := range candidates {
 		if !ask.Tried[c.GetName()] {
-			return routing.Pick{Upstream: c, Done: func(error) {}}, nil
+			return routing.PickResult{Upstream: c, Done: func(error) {}}, nil
 		}
 	}
-	return routing.Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
+	return routing.PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
 }
 
 // billedTokens returns the number of billed tokens and checks that nothing stays reserved.
 func (s *testServer) billedTokens(t testing.TB) uint64 {
 	is := is.New(t)
-	is.Equal(s.holder.Open(), 0)                                               // no reservation is open
+	is.Equal(s.holder.OpenReservations(), 0)                                   // no reservation is open
 	is.Equal(s.holder.Available("budget"), testTokens-s.holder.Used("budget")) // all other tokens are available again
 	return s.holder.Used("budget")
 }
--- a/request/call.go
+++ b/request/call.go
@@ -37,7 +37,7 @@
 // Call runs a call of a plain service. An idempotent call may be retried at another
 // upstream. Any other call is sent once, and if its outcome is unknown, the error says so.
 // docs/design/03-at-most-once.md describes each answer.
-func (s *Server) Call(ctx context.Context, call ServiceCall) (upstream.CallAnswer, error) {
+func (s *Server) Call(ctx context.Context, call ServiceCall) (upstream.CallResponse, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	s.countFirstAttempt()
@@ -45,7 +45,7 @@
 	defer cancel()
 	prepared, err := s.authenticateCall(call)
 	if err != nil {
-		return upstream.CallAnswer{}, call.clearNotRun(err)
+		return upstream.CallResponse{}, call.clearNotRun(err)
 	}
 	if call.atMostOnce() {
 		return s.callOnce(ctx, prepared, s.callForwarder(prepared))
@@ -96,16 +96,16 @@
 }
 
 // runCall admits a call, reserves its tokens, sends it and settles it.
-func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallAnswer, error) {
+func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallResponse, error) {
 	account := p.account.GetName()
 	release, err := s.admit(ctx, s.newRoutingAsk(ctx, p.account, p.service))
 	if err != nil {
-		return upstream.CallAnswer{}, s.recordRefusal(account, err)
+		return upstream.CallResponse{}, s.recordRefusal(account, err)
 	}
 	defer release()
 	grant, err := s.reserve(ctx, s.Config(), account, p.service.GetName(), p.rule.GetTokens())
 	if err != nil {
-		return upstream.CallAnswer{}, s.recordRefusal(account, err)
+		return upstream.CallResponse{}, s.recordRefusal(account, err)
 	}
 	// Releases the tokens after a panic; a second Finish has no effect.
 	defer grant.Finish(0)
@@ -120,7 +120,7 @@
 	return answer, nil
 }
 
-func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallAnswer, error) {
+func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallResponse, error) {
 	ask := s.newRoutingAsk(ctx, p.account, p.service)
 	ask.Tried = map[string]bool{}
 	retryBackoff := newRetryBackoff()
@@ -131,7 +131,7 @@
 		}
 		pick, err := s.Picker.Pick(ask, s.candidateUpstreams(p.service.GetName()))
 		if err != nil {
-			return upstream.CallAnswer{}, firstError(last, err)
+			return upstream.CallResponse{}, firstError(last, err)
 		}
 		answer, err := s.callAttempt(ctx, grant, p, pick.Upstream)
 		pick.Done(err)
@@ -144,19 +144,19 @@
 			break
 		}
 	}
-	return upstream.CallAnswer{}, last
+	return upstream.CallResponse{}, last
 }
 
 // callAttempt sends a call to one upstream.
-func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, target *operatorv1.Upstream) (upstream.CallAnswer, error) {
+func (s *Server) callAttempt(ctx context.Context, grant budget.Grant, p *preparedCall, target *operatorv1.Upstream) (upstream.CallResponse, error) {
 	if err := grant.Dispatch(ctx, target.GetName()); err != nil {
-		return upstream.CallAnswer{}, err
+		return upstream.CallResponse{}, err
 	}
 	id := grant.Request().String()
 	s.Events.Record(event.RequestDispatched, "request", id, "upstream", target.GetName())
 	answer, err := s.Client.Call(ctx, target, upstream.CallRequest{
 		ID: id, Method: p.call.Method, Path: p.call.Path, Headers: p.call.Headers, Body: p.call.Body,
-		Once: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
+		NoResend: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
 	})
 	switch {
 	case err == nil || rejectedBeforeExecution(err):
