--- a/request/callonce.go
+++ b/request/callonce.go
@@ -36,9 +36,9 @@
 type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Answer, error)
 
 // callOnce runs a call that carries an idempotency key or a ticket.
-func (s *Server) callOnce(ctx context.Context, p *preparedCall, forward forwardFunc) (upstream.CallAnswer, error) {
+func (s *Server) callOnce(ctx context.Context, p *preparedCall, forward forwardFunc) (upstream.CallResponse, error) {
 	if err := s.validateKeyOrTicket(p.call); err != nil {
-		return upstream.CallAnswer{}, s.recordRefusal(p.account.GetName(), err)
+		return upstream.CallResponse{}, s.recordRefusal(p.account.GetName(), err)
 	}
 	run := func(ctx context.Context) (idempotency.Answer, error) {
 		answer, err := s.runCall(ctx, p)
@@ -51,7 +51,7 @@
 	} else {
 		answer, err = s.runWithKey(ctx, p, run, forward)
 	}
-	return upstream.CallAnswer(answer), err
+	return upstream.CallResponse(answer), err
 }
 
 func (s *Server) validateKeyOrTicket(call ServiceCall) error {
@@ -127,13 +127,13 @@
 
 // HandleForwarded runs a call that another node forwarded. That node has authenticated the
 // caller.
-func (s *Server) HandleForwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
+func (s *Server) HandleForwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallResponse, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	view := s.Config()
 	account := view.Account(f.GetAccount())
 	if account == nil {
-		return upstream.CallAnswer{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).Doubt()
+		return upstream.CallResponse{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).Doubt()
 	}
 	if f.GetService() == "" {
 		return s.forwardedChat(ctx, account, f)
@@ -143,7 +143,7 @@
 		IdempotencyKey: f.GetKey(), Ticket: f.GetTicket(),
 	})
 	if err != nil {
-		return upstream.CallAnswer{}, result.From(err).Doubt()
+		return upstream.CallResponse{}, result.From(err).Doubt()
 	}
 	return s.callOnce(ctx, prepared, nil)
 }
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -124,8 +124,8 @@
 }
 
 // forwardedChat runs a completion that another node forwarded, or returns its saved answer.
-func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallAnswer, error) {
+func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallResponse, error) {
 	call := ChatCall{Body: f.GetBody(), IdempotencyKey: f.GetKey()}
 	answer, err := s.runKeyedChat(ctx, account, call, newRecording(false), nil)
-	return upstream.CallAnswer(answer), err
+	return upstream.CallResponse(answer), err
 }
--- a/request/chatrun.go
+++ b/request/chatrun.go
@@ -33,8 +33,8 @@
 	started bool
 	usage   upstream.Usage
 	// prompt is the routing input of the request.
-	prompt routing.Ask
-	pick   routing.Pick
+	prompt routing.Request
+	pick   routing.PickResult
 	// target is the upstream that runs the completion now; nil before the first attempt.
 	target *operatorv1.Upstream
 	// deliveredHashes holds the hash of each delivered chunk, indexed by chunk number.
--- a/request/peers.go
+++ b/request/peers.go
@@ -11,7 +11,7 @@
 type Peers interface {
 	// Forward sends a call to the only incarnation that may run it. address is empty if
 	// the state replicated from the log has it.
-	Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallAnswer, error)
+	Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallResponse, error)
 	// MoveStream tells the node at a peer address that the caller of a completion now
 	// reads it through this node.
 	MoveStream(ctx context.Context, address, request string)
--- a/request/retryload_test.go
+++ b/request/retryload_test.go
@@ -20,9 +20,9 @@
 	sent atomic.Int64
 }
 
-func (c *failingClient) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallAnswer, error) {
+func (c *failingClient) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallResponse, error) {
 	c.sent.Add(1)
-	return upstream.CallAnswer{}, result.New(result.UpstreamFailed, "sick")
+	return upstream.CallResponse{}, result.New(result.UpstreamFailed, "sick")
 }
 
 func TestRetriesAddAtMostTenPercentLoad(t *testing.T) {
--- a/request/tokenbound_measure_test.go
+++ b/request/tokenbound_measure_test.go
@@ -54,7 +54,7 @@
 func simulateBudget(seed uint64, limits tokenLimits, two bool, total *budgetTotals) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	clock := clockwork.NewFakeClock()
-	holder := budget.NewHolder("a", clock)
+	holder := budget.NewShareHolder("a", clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	holder.Credit("budget", simPrepaid)
 	var running simHeap
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -28,7 +28,7 @@
 	gaps     atomic.Uint64
 
 	mu      sync.Mutex
-	holders [cache.MaxHolders]*target
+	holders [cache.MaxEngines]*target
 }
 
 var _ Picker = (*Balancer)(nil)
@@ -36,7 +36,7 @@
 // NewBalancer returns a balancer that knows no upstream yet. random must be safe for
 // concurrent use if the balancer is used so; changed may be nil.
 func NewBalancer(settings Settings, clock clockwork.Clock, random func() uint64, changed func(upstream string, state health.State)) *Balancer {
-	b := &Balancer{settings: settings, clock: clock, random: random, changed: changed, index: cache.NewIndex(settings.PrefixMemory)}
+	b := &Balancer{settings: settings, clock: clock, random: random, changed: changed, index: cache.NewIndex(settings.PrefixTTL)}
 	b.tickets.New = func() any {
 		t := &ticket{balancer: b}
 		t.done = t.finish
@@ -50,7 +50,7 @@
 func (b *Balancer) EventGaps() uint64 { return b.gaps.Load() }
 
 // Pick implements Picker.
-func (b *Balancer) Pick(ask Ask, candidates []*operatorv1.Upstream) (Pick, error) {
+func (b *Balancer) Pick(ask Request, candidates []*operatorv1.Upstream) (PickResult, error) {
 	s := (*b.services.Load())[ask.Service]
 	if s == nil || !s.table.Load().of(candidates) {
 		s = b.rebuild(ask.Service, candidates)
@@ -58,13 +58,13 @@
 	c := choice{balancer: b, service: s, table: s.table.Load(), ask: ask, now: b.clock.Now()}
 	at := c.choose()
 	if at < 0 {
-		return Pick{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service).After(c.comeBack())
+		return PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service).After(c.comeBack())
 	}
 	return b.issue(&c, at), nil
 }
 
 // issue books the request on the chosen upstream.
-func (b *Balancer) issue(c *choice, at int) Pick {
+func (b *Balancer) issue(c *choice, at int) PickResult {
 	t := c.table.entries[at].target
 	held := b.tickets.Get().(*ticket)
 	held.target, held.at, held.probe, held.answered = t, c.now, c.probe, false
@@ -85,7 +85,7 @@
 			b.index.Add(hash, t.holder, c.now)
 		}
 	}
-	return Pick{Upstream: c.table.candidates[at], Done: held.done, ticket: held, generation: held.generation.Load()}
+	return PickResult{Upstream: c.table.candidates[at], Done: held.done, ticket: held, generation: held.generation.Load()}
 }
 
 // rebuild replaces a service's table. Upstreams that stay keep what is known of them.
@@ -191,7 +191,7 @@
 		}
 		s.left(t)
 		if t.holder != noHolder {
-			b.index.Forget(t.holder)
+			b.index.RemoveEngine(t.holder)
 			b.holders[t.holder] = nil
 		}
 	}
@@ -230,7 +230,7 @@
 	last := t.events.Swap(sequence)
 	switch {
 	case sequence <= last:
-		b.index.Forget(t.holder)
+		b.index.RemoveEngine(t.holder)
 	case sequence != last+1 && last != 0:
 		b.gaps.Add(1)
 	}
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -30,10 +30,10 @@
 	return NewBalancer(DefaultSettings(), clock, rand.New(rand.NewPCG(1, 2)).Uint64, nil), clock
 }
 
-func ask() Ask { return Ask{Service: chat, Region: "north", PromptTokens: 1000} }
+func ask() Request { return Request{Service: chat, Region: "north", PromptTokens: 1000} }
 
 // picks counts where n requests go that end at once.
-func picks(t *testing.T, b *Balancer, a Ask, list []*operatorv1.Upstream, n int) map[string]int {
+func picks(t *testing.T, b *Balancer, a Request, list []*operatorv1.Upstream, n int) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for range n {
@@ -47,7 +47,7 @@
 
 // An operator takes an engine out of service, or a request failed there already.
 // Work sent there would fail again.
-func TestDrainingAndTriedUpstreamsAreLeftOut(t *testing.T) {
+func TestDrainingAndTriedUpstreamsExcluded(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 3)
@@ -60,7 +60,7 @@
 	is.Equal(result.CodeOf(err), result.NoUpstream)
 }
 
-func TestTheOtherRegionServesOnlyWhenThisOneIsFarBehind(t *testing.T) {
+func TestRemoteRegionUsedOnlyWhenLocalIsOverloaded(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := append(engines("north", 2), engines("south", 2)...)
@@ -76,7 +76,7 @@
 // All callers of one region come at once while the other region idles. Refusing them
 // would be a false refusal; what this region can't take goes over the link, but only
 // to a region that is heard of.
-func TestWhatThisRegionCannotTakeSpills(t *testing.T) {
+func TestLocalLimitSpillsToRemoteRegion(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := append(engines("north", 2), engines("south", 2)...)
@@ -91,13 +91,13 @@
 		regions[p.Upstream.GetRegion()]++
 	}
 	is.Equal(regions, map[string]int{"north": 3, "south": 7})
-	clock.Advance(DefaultSettings().FreshReport + time.Second)
+	clock.Advance(DefaultSettings().MaxReportAge + time.Second)
 	p, err := b.Pick(ask(), list)
 	is.NoErr(err)
 	is.Equal(p.Upstream.GetRegion(), "north")
 }
 
-func TestAPromptGoesWhereItsPrefixIs(t *testing.T) {
+func TestPromptGoesToEngineWithCachedPrefix(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 10)
@@ -111,7 +111,7 @@
 
 // An engine restarts with an empty cache. Its callers would wait for whole prompts to
 // be prefilled if all went on being sent to it.
-func TestARestartedEngineLosesItsPrefixes(t *testing.T) {
+func TestEngineRestartClearsItsPrefixes(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 10)
@@ -126,13 +126,13 @@
 
 // An engine takes requests and never answers. Until their timeouts pass no request
 // fails, so without the watch for owed tokens callers would go on being sent there.
-func TestAHangingUpstreamIsLeftOutBeforeAnythingFails(t *testing.T) {
+func TestStalledUpstreamExcludedBeforeTimeouts(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := engines("north", 4)
 	p, err := b.Pick(ask(), list)
 	is.NoErr(err)
-	clock.Advance(DefaultSettings().StallAfter + time.Second)
+	clock.Advance(DefaultSettings().StallTimeout + time.Second)
 	for range 60 { // the others get so busy that it would look best
 		other, err := b.Pick(ask(), list)
 		is.NoErr(err)
@@ -142,7 +142,7 @@
 
 // This node was paused for seconds: every engine seems to owe answers. Were all but
 // one left out, that one would be flooded.
-func TestAPauseOfThisNodeDoesNotRuleOutEveryUpstream(t *testing.T) {
+func TestNodePauseDoesNotExcludeAllUpstreams(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := engines("north", 4)
@@ -156,7 +156,7 @@
 
 // An engine hands out other callers' answers. One is enough: it gets no work until
 // its pause is over.
-func TestACrossedAnswerRulesOutItsUpstream(t *testing.T) {
+func TestCrossedAnswerExcludesUpstream(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 4)
@@ -168,7 +168,7 @@
 
 // Every engine failed, as when this node's own network is cut. Refusing everything
 // until the pauses end would turn a blink into seconds of false refusals.
-func TestAllUnhealthyIsBetterThanNone(t *testing.T) {
+func TestAllUnhealthyUpstreamsAreStillUsed(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 2)
@@ -182,7 +182,7 @@
 
 // Another node filled an engine that this node's report shows idle. The report is old,
 // so it must not draw everything.
-func TestNoHerdOnTheEngineThatLooksBest(t *testing.T) {
+func TestNoHerdingOnLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 10)
@@ -199,7 +199,7 @@
 
 // An engine hangs with requests waiting; its last report says so for ever. Were it
 // believed, admission would sink to nothing while the other engines idle.
-func TestOldReportsDoNotHoldAdmissionDown(t *testing.T) {
+func TestOldReportsExcludedFromPressure(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := engines("north", 2)
@@ -207,13 +207,13 @@
 	b.Report(chat, "north-0", LoadReport{Running: 16, Waiting: 40})
 	here, _ := b.Pressure(chat, "north")
 	is.Equal(here, Pressure{Running: 16, Waiting: 16, Slots: 16})
-	clock.Advance(DefaultSettings().FreshReport + time.Second)
+	clock.Advance(DefaultSettings().MaxReportAge + time.Second)
 	b.Report(chat, "north-1", LoadReport{Running: 3})
 	here, _ = b.Pressure(chat, "north")
 	is.Equal(here, Pressure{Running: 3, Slots: 16})
 }
 
-func TestAnEngineWithoutTheModelIsLeftOut(t *testing.T) {
+func TestEngineWithoutModelExcluded(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 2)
@@ -224,7 +224,7 @@
 	is.Equal(picks(t, b, a, list, 50), map[string]int{"north-1": 50})
 }
 
-func TestAJoiningEngineIsSparedAtFirst(t *testing.T) {
+func TestJoiningEngineIsSlowStarted(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := engines("north", 4)
@@ -236,7 +236,7 @@
 	is.True(picks(t, b, ask(), grown, 1000)["fresh-0"] > 100)
 }
 
-func TestALateFirstTokenTouchesNoOtherRequest(t *testing.T) {
+func TestLateFirstTokenDoesNotAffectReusedAttempt(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 1)
--- a/routing/cache/index.go
+++ b/routing/cache/index.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// MaxHolders is the most engines that the index tells apart.
-	MaxHolders  = 256
-	holderWords = MaxHolders / 64
+	// MaxEngines is the most engines that the index tells apart.
+	MaxEngines  = 256
+	holderWords = MaxEngines / 64
 	ways        = 4
 	buckets     = 1 << 14
 	// touchEvery bounds how often asking for a block writes to its entry.
 	touchEvery = time.Second
 )
 
-// Depths holds, for each engine, how many leading blocks of a prompt it holds.
-type Depths [MaxHolders]uint8
+// MatchLengths holds, for each engine, how many leading blocks of a prompt it holds.
+type MatchLengths [MaxEngines]uint8
 
-// MaxDepth is the most leading blocks that are looked at.
-const MaxDepth = 255
+// MaxMatchLength is the most leading blocks that are looked at.
+const MaxMatchLength = 255
 
 // Index maps block hashes to engines. Its memory is fixed and it is safe for
 // concurrent use without locks; a race between two writers can leave a wrong hint.
@@ -87,8 +87,8 @@
 	}
 }
 
-// Forget drops everything known of an engine.
-func (x *Index) Forget(holder int) {
+// RemoveEngine drops everything known of an engine.
+func (x *Index) RemoveEngine(holder int) {
 	for b := range x.entries {
 		for w := range x.entries[b] {
 			x.entries[b][w].holders[holder/64].And(^uint64(1 << (holder % 64)))
@@ -96,15 +96,15 @@
 	}
 }
 
-// Depths fills in how many leading blocks of the prefix each engine holds. A block
+// Match fills in how many leading blocks of the prefix each engine holds. A block
 // that is asked for is heard of.
-func (x *Index) Depths(prefix []uint64, now time.Time, into *Depths) {
+func (x *Index) Match(prefix []uint64, now time.Time, into *MatchLengths) {
 	alive := [holderWords]uint64{}
 	for w := range alive {
 		alive[w] = ^uint64(0)
 	}
 	depth := 0
-	for ; depth < min(len(prefix), MaxDepth); depth++ {
+	for ; depth < min(len(prefix), MaxMatchLength); depth++ {
 		e := x.find(prefix[depth])
 		if e == nil || x.old(e, now) {
 			break
@@ -128,7 +128,7 @@
 	}
 }
 
-func set(into *Depths, word int, holders uint64, depth int) {
+func set(into *MatchLengths, word int, holders uint64, depth int) {
 	if depth == 0 {
 		return
 	}
--- a/routing/cache/index_test.go
+++ b/routing/cache/index_test.go
@@ -11,7 +11,7 @@
 var now = time.Unix(1000, 0)
 
 // The depths must agree with sets kept plainly, whatever was added and removed.
-func TestDepthsAgreeWithPlainSets(t *testing.T) {
+func TestMatchLengthsAgreeWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex(time.Hour)
 		held := map[[2]int]bool{}
@@ -25,9 +25,9 @@
 				delete(held, [2]int{hash, holder})
 			}
 		}
-		var depths Depths
-		index.Depths([]uint64{1, 2, 3, 4, 5, 6, 7, 8}, now, &depths)
-		for holder := range MaxHolders {
+		var depths MatchLengths
+		index.Match([]uint64{1, 2, 3, 4, 5, 6, 7, 8}, now, &depths)
+		for holder := range MaxEngines {
 			want := 0
 			for want < 8 && held[[2]int{want + 1, holder}] {
 				want++
@@ -42,11 +42,11 @@
 // An engine drops a block under memory pressure and the event is lost in a gap. A
 // user would notice slower first tokens, as requests go on being sent to an engine
 // that must prefill the whole prompt.
-func TestABlockNotHeardOfIsForgotten(t *testing.T) {
+func TestUnusedBlockExpires(t *testing.T) {
 	is := is.New(t)
 	index := NewIndex(time.Minute)
 	index.Add(1, 3, now)
-	var depths Depths
-	index.Depths([]uint64{1}, now.Add(2*time.Minute), &depths)
+	var depths MatchLengths
+	index.Match([]uint64{1}, now.Add(2*time.Minute), &depths)
 	is.Equal(int(depths[3]), 0)
 }
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -18,9 +18,9 @@
 	balancer *Balancer
 	service  *service
 	table    *table
-	ask      Ask
+	ask      Request
 	now      time.Time
-	depths   cache.Depths
+	depths   cache.MatchLengths
 	// probe is set when the choice is to try out an unhealthy upstream.
 	probe      bool
 	sawStalled bool
@@ -30,7 +30,7 @@
 // choose returns the index of the upstream to take, or -1.
 func (c *choice) choose() int {
 	if len(c.ask.Prefix) > 0 {
-		c.balancer.index.Depths(c.ask.Prefix, c.now, &c.depths)
+		c.balancer.index.Match(c.ask.Prefix, c.now, &c.depths)
 	}
 	c.seed = c.balancer.random()
 	if at := c.draw(); at >= 0 {
@@ -48,11 +48,11 @@
 func (c *choice) tooManyStalled() bool {
 	stalled := 0
 	for i := range c.table.entries {
-		if c.table.entries[i].target.stalled(c.balancer.settings.StallAfter, c.now) {
+		if c.table.entries[i].target.stalled(c.balancer.settings.StallTimeout, c.now) {
 			stalled++
 		}
 	}
-	limit := c.balancer.settings.MaxStalled * float64(len(c.table.entries))
+	limit := c.balancer.settings.MaxStalledShare * float64(len(c.table.entries))
 	return float64(stalled) > max(1, limit)
 }
 
@@ -121,7 +121,7 @@
 		i := candidates[(first+n)%len(candidates)]
 		t := c.table.entries[i].target
 		u := c.state(t)
-		cost := c.balancer.settings.Costs.FirstToken(u, c.uncached(t)) + c.balancer.settings.Costs.Burden(u, c.uncached(t))
+		cost := c.balancer.settings.Costs.TimeToFirstToken(u, c.uncached(t)) + c.balancer.settings.Costs.Interference(u, c.uncached(t))
 		if best.at < 0 || cost < best.cost {
 			best = ranked{at: i, cost: cost, full: u.Requests+1 > u.Slots}
 		}
@@ -131,7 +131,7 @@
 
 // predict returns when the first token is expected from an upstream.
 func (c *choice) predict(t *target) time.Duration {
-	return c.balancer.settings.Costs.FirstToken(c.state(t), c.uncached(t))
+	return c.balancer.settings.Costs.TimeToFirstToken(c.state(t), c.uncached(t))
 }
 
 // state returns what is known of an upstream, for scoring.
@@ -140,14 +140,14 @@
 	r := t.report.Load()
 	trust := 0.0
 	if r != nil {
-		trust = score.Trust(c.now.Sub(r.sampled), settings.Fade)
+		trust = score.ReportWeight(c.now.Sub(r.sampled), settings.ReportDecay)
 	}
 	return score.Upstream{
-		Requests: t.requestLoad(r, t.region.requests.load()).Estimate(trust) + c.spare(t),
-		Pending:  t.pendingLoad(r, t.region.pending.load()).Estimate(trust),
-		Slots:    t.slots,
-		Service:  time.Duration(t.service.load() * float64(time.Second)),
-		Pace:     t.currentPace(c.now),
+		Requests:    t.requestLoad(r, t.region.requests.load()).Estimate(trust) + c.spare(t),
+		Pending:     t.pendingLoad(r, t.region.pending.load()).Estimate(trust),
+		Slots:       t.slots,
+		ServiceTime: time.Duration(t.service.load() * float64(time.Second)),
+		Slowdown:    t.currentPace(c.now),
 	}
 }
 
@@ -178,7 +178,7 @@
 // prompt crosses the link, never KV cache: that would fill it for seconds.
 func (c *choice) linkCost() time.Duration {
 	settings := &c.balancer.settings
-	return settings.LinkPenalty + time.Duration(c.ask.PromptTokens)*settings.LinkPerToken
+	return settings.CrossRegionPenalty + time.Duration(c.ask.PromptTokens)*settings.CrossRegionPerToken
 }
 
 // spills tells whether the request goes to another region because this one has all
@@ -191,7 +191,7 @@
 // looks idle in old ones.
 func (c *choice) heardLately(at int) bool {
 	r := c.table.entries[at].target.report.Load()
-	return r != nil && c.now.Sub(r.sampled) <= c.balancer.settings.FreshReport
+	return r != nil && c.now.Sub(r.sampled) <= c.balancer.settings.MaxReportAge
 }
 
 // roll returns the next random number of this pick (SplitMix64).
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -42,7 +42,7 @@
 	if len(c.ask.Prefix) == 0 {
 		return true
 	}
-	var memory [cache.MaxHolders]int
+	var memory [cache.MaxEngines]int
 	deepest := g.deepest(&c.depths, &memory)
 	return c.take(&s.deep, deepest, min(deepChoices, len(deepest)))
 }
@@ -59,7 +59,7 @@
 			continue
 		}
 		e := &c.table.entries[at]
-		if !e.target.breaker.Passing() || e.target.stalled(c.balancer.settings.StallAfter, c.now) {
+		if !e.target.breaker.IsClosed() || e.target.stalled(c.balancer.settings.StallTimeout, c.now) {
 			return false
 		}
 		if c.eligible(e) {
--- a/routing/draw_test.go
+++ b/routing/draw_test.go
@@ -10,7 +10,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func TestManyEnginesShareTheWorkEvenly(t *testing.T) {
+func TestLoadSpreadsEvenlyOverManyEngines(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := append(engines("north", 100), engines("south", 100)...)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestTheEngineThatHoldsThePromptIsFoundAmongMany(t *testing.T) {
+func TestCachedPrefixFoundAmongManyEngines(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 100)
@@ -45,14 +45,14 @@
 
 // One engine of many fails and recovers. Drawn at random among a hundred it would wait
 // for its probes as long as for a hundred requests' luck, and stay out of use.
-func TestAFailedEngineAmongManyIsProbedSoon(t *testing.T) {
+func TestFailedEngineAmongManyIsProbedSoon(t *testing.T) {
 	is := is.New(t)
 	b, clock := newTestBalancer()
 	list := engines("north", 100)
 	_ = picks(t, b, ask(), list, 1)
 	s, sick := b.find(chat, "north-0")
 	fail := func() {
-		sick.breaker.Failed(clock.Now(), false, true)
+		sick.breaker.RecordFailure(clock.Now(), false, true)
 		is.Equal(s.sick.Load(), int64(1))
 	}
 	fail()
@@ -65,13 +65,13 @@
 	fail()
 	_ = picks(t, b, ask(), list[1:], 1)
 	is.Equal(s.sick.Load(), int64(0))
-	sick.breaker.Failed(clock.Now(), true, true)
+	sick.breaker.RecordFailure(clock.Now(), true, true)
 	is.Equal(s.sick.Load(), int64(0))
 }
 
 // Of many engines nearly all drain, lack the model or failed the request. The few that
 // are left must be found all the same, and their absence be refused truly.
-func TestTheFewUsableOfManyAreFound(t *testing.T) {
+func TestFewUsableUpstreamsAmongManyAreFound(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBalancer()
 	list := engines("north", 100)
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -17,10 +17,10 @@
 	if demand == healthAny {
 		return true
 	}
-	if !t.breaker.Passing() {
+	if !t.breaker.IsClosed() {
 		return false
 	}
-	if demand == healthStrict && t.stalled(c.balancer.settings.StallAfter, c.now) {
+	if demand == healthStrict && t.stalled(c.balancer.settings.StallTimeout, c.now) {
 		c.sawStalled = true
 		return false
 	}
@@ -30,7 +30,7 @@
 // takeProbe claims the probe of an upstream whose breaker may let one through. Only a
 // first attempt is risked on it.
 func (c *choice) takeProbe(t *target, demand healthDemand) bool {
-	if t.breaker.Passing() || demand == healthAny || len(c.ask.Tried) > 0 || !t.breaker.MayProbe(c.now) {
+	if t.breaker.IsClosed() || demand == healthAny || len(c.ask.Tried) > 0 || !t.breaker.MayProbe(c.now) {
 		return false
 	}
 	c.probe = t.breaker.BeginProbe()
--- a/routing/group.go
+++ b/routing/group.go
@@ -50,7 +50,7 @@
 }
 
 // deepest lists the members that hold most of the prompt, as indexes in the table.
-func (g *group) deepest(depths *cache.Depths, into *[cache.MaxHolders]int) []int {
+func (g *group) deepest(depths *cache.MatchLengths, into *[cache.MaxEngines]int) []int {
 	most, n := uint8(1), 0
 	for i, holder := range g.holders {
 		depth := depths[holder]
--- a/routing/health/breaker.go
+++ b/routing/health/breaker.go
@@ -83,8 +83,8 @@
 	return b.machine.MustState().(State)
 }
 
-// Passing tells whether the breaker is closed.
-func (b *Breaker) Passing() bool { return b.passing.Load() }
+// IsClosed tells whether the breaker is closed.
+func (b *Breaker) IsClosed() bool { return b.passing.Load() }
 
 // MayProbe tells whether an open breaker's pause is over and no probe is out.
 func (b *Breaker) MayProbe(now time.Time) bool {
@@ -105,9 +105,9 @@
 // AbandonProbe frees the probe without a verdict, as when its caller left.
 func (b *Breaker) AbandonProbe() { b.probing.Store(false) }
 
-// Succeeded notes a good answer. Only probes count while the breaker isn't closed:
+// RecordSuccess notes a good answer. Only probes count while the breaker isn't closed:
 // a request sent before the trouble proves nothing.
-func (b *Breaker) Succeeded(now time.Time, probe bool) {
+func (b *Breaker) RecordSuccess(now time.Time, probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.machine.MustState() == Closed {
@@ -128,9 +128,9 @@
 	b.passing.Store(true)
 }
 
-// Failed notes a failure. A grave one, such as another request's answer, opens the
+// RecordFailure notes a failure. A grave one, such as another request's answer, opens the
 // breaker at once.
-func (b *Breaker) Failed(now time.Time, probe, grave bool) {
+func (b *Breaker) RecordFailure(now time.Time, probe, grave bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.machine.MustState() != Closed {
--- a/routing/health/flapping_test.go
+++ b/routing/health/flapping_test.go
@@ -22,22 +22,22 @@
 	})
 	for now := start; now.Before(start.Add(10 * time.Minute)); now = now.Add(100 * time.Millisecond) {
 		probe := b.MayProbe(now) && b.BeginProbe()
-		if !probe && !b.Passing() {
+		if !probe && !b.IsClosed() {
 			continue
 		}
 		if random.IntN(2) == 0 {
-			b.Succeeded(now, probe)
+			b.RecordSuccess(now, probe)
 			continue
 		}
 		failed++
-		b.Failed(now, probe, false)
+		b.RecordFailure(now, probe, false)
 	}
 	return openings, closings, failed
 }
 
 // An engine fails half of what it gets for ten minutes. Let in and out every few seconds
 // it would hurt a caller each time; of 6,000 requests some 3,000 would fail there.
-func TestAHalfDeadUpstreamHardlyFlaps(t *testing.T) {
+func TestHalfFailingUpstreamRarelyFlaps(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(50) {
 		openings, closings, failed := halfDead(seed)
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -6,8 +6,8 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Ask describes the request that an upstream is wanted for.
-type Ask struct {
+// Request describes the request that an upstream is wanted for.
+type Request struct {
 	Service string
 	Model   string
 	// Version and Adapter, when set, restrict the choice to engines that report them.
@@ -33,9 +33,9 @@
 	Tried map[string]bool
 }
 
-// Pick is an upstream chosen. Done must be called exactly once when the request
+// PickResult is an upstream chosen. Done must be called exactly once when the request
 // leaves it.
-type Pick struct {
+type PickResult struct {
 	Upstream *operatorv1.Upstream
 	Done     func(err error)
 
@@ -45,7 +45,7 @@
 
 // FirstToken tells that the upstream has begun to answer. Callers that never say so
 // are judged by Done alone.
-func (p Pick) FirstToken() {
+func (p PickResult) FirstToken() {
 	if p.ticket != nil {
 		p.ticket.firstToken(p.generation)
 	}
@@ -54,5 +54,5 @@
 // Picker chooses an upstream among candidates; it fails with NoUpstream. The
 // candidates of a service must be the same slice until its configuration changes.
 type Picker interface {
-	Pick(ask Ask, candidates []*operatorv1.Upstream) (Pick, error)
+	Pick(ask Request, candidates []*operatorv1.Upstream) (PickResult, error)
 }
--- a/routing/prefix/hash_test.go
+++ b/routing/prefix/hash_test.go
@@ -9,7 +9,7 @@
 )
 
 // However a text is cut into pieces, its blocks have the same names.
-func TestPiecesDoNotMatter(t *testing.T) {
+func TestHashesDoNotDependOnChunking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Repeat(rapid.StringN(1, 40, 80).Draw(t, "text"), 30)
 		var whole, pieces Hasher
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestABlockIsNamedByAllThatComesBefore(t *testing.T) {
+func TestHashCoversPrecedingBlocks(t *testing.T) {
 	is := is.New(t)
 	a, b := strings.Repeat("a", BlockBytes), strings.Repeat("b", BlockBytes)
 	var first, second, other Hasher
--- a/routing/pressure.go
+++ b/routing/pressure.go
@@ -24,10 +24,10 @@
 	for i := range table.entries {
 		e := &table.entries[i]
 		r := e.target.report.Load()
-		if e.draining || r == nil || now.Sub(r.sampled) > b.settings.FreshReport {
+		if e.draining || r == nil || now.Sub(r.sampled) > b.settings.MaxReportAge {
 			continue
 		}
-		if !e.target.breaker.Passing() || e.target.stalled(b.settings.StallAfter, now) {
+		if !e.target.breaker.IsClosed() || e.target.stalled(b.settings.StallTimeout, now) {
 			continue
 		}
 		p := &elsewhere
--- a/routing/score/load.go
+++ b/routing/score/load.go
@@ -9,24 +9,24 @@
 // reported ones are those of the latest report.
 type Load struct {
 	Own float64
-	// OwnThen is the node's own count at the time of the report's sample.
-	OwnThen  float64
-	Reported float64
-	// Mean of the foreign load over the region's upstreams.
-	Mean float64
+	// OwnAtSample is the node's own count at the time of the report's sample.
+	OwnAtSample float64
+	Reported    float64
+	// MeanOtherNodes of the foreign load over the region's upstreams.
+	MeanOtherNodes float64
 }
 
-// Trust returns how much a report's sample of that age is worth, from 1 to 0, with the
+// ReportWeight returns how much a report's sample of that age is worth, from 1 to 0, with the
 // time constant fade.
-func Trust(age, fade time.Duration) float64 { return math.Exp(-float64(age) / float64(fade)) }
+func ReportWeight(age, fade time.Duration) float64 { return math.Exp(-float64(age) / float64(fade)) }
 
 // Estimate returns own load plus that of other nodes. What a report says of other
 // nodes gives way to the mean as it is trusted less: an old report of an idle engine
 // would draw every node to it, seen as bursts of waiting requests on one engine after
 // another.
 func (l Load) Estimate(trust float64) float64 {
-	return l.Own + trust*l.Foreign() + (1-trust)*l.Mean
+	return l.Own + trust*l.OtherNodes() + (1-trust)*l.MeanOtherNodes
 }
 
-// Foreign returns the part of the reported load that wasn't this node's own.
-func (l Load) Foreign() float64 { return max(0, l.Reported-l.OwnThen) }
+// OtherNodes returns the part of the reported load that wasn't this node's own.
+func (l Load) OtherNodes() float64 { return max(0, l.Reported-l.OwnAtSample) }
--- a/routing/score/predict.go
+++ b/routing/score/predict.go
@@ -10,15 +10,15 @@
 	// UncachedWeight is how much more than its own time an uncached prompt token counts:
 	// its prefill also delays every request that runs there.
 	UncachedWeight float64
-	// PerRunning is the time that each running request adds.
-	PerRunning time.Duration
+	// PerRunningRequest is the time that each running request adds.
+	PerRunningRequest time.Duration
 	// Base is the time to a first token on an idle engine, without prefill.
 	Base time.Duration
 }
 
 // DefaultCosts returns assumed costs of one engine.
 func DefaultCosts() Costs {
-	return Costs{PerPromptToken: 150 * time.Microsecond, UncachedWeight: 4, PerRunning: 4 * time.Millisecond, Base: 25 * time.Millisecond}
+	return Costs{PerPromptToken: 150 * time.Microsecond, UncachedWeight: 4, PerRunningRequest: 4 * time.Millisecond, Base: 25 * time.Millisecond}
 }
 
 // Upstream is the state of one upstream as far as a prediction looks at it.
@@ -27,24 +27,24 @@
 	Requests float64
 	Pending  float64
 	Slots    float64
-	// Service is the mean time of a request.
-	Service time.Duration
-	// Pace is how many times slower than its peers the upstream proved to be.
-	Pace float64
+	// ServiceTime is the mean time of a request.
+	ServiceTime time.Duration
+	// Slowdown is how many times slower than its peers the upstream proved to be.
+	Slowdown float64
 }
 
-// FirstToken predicts the time to the first token of a prompt of which uncached
+// TimeToFirstToken predicts the time to the first token of a prompt of which uncached
 // tokens must be prefilled.
-func (c Costs) FirstToken(u Upstream, uncached float64) time.Duration {
-	work := float64(c.Base) + (u.Pending+uncached)*float64(c.PerPromptToken) + u.Requests*float64(c.PerRunning)
+func (c Costs) TimeToFirstToken(u Upstream, uncached float64) time.Duration {
+	work := float64(c.Base) + (u.Pending+uncached)*float64(c.PerPromptToken) + u.Requests*float64(c.PerRunningRequest)
 	wait := 0.0
 	if over := u.Requests + 1 - u.Slots; over > 0 {
-		wait = over / u.Slots * float64(u.Service)
+		wait = over / u.Slots * float64(u.ServiceTime)
 	}
-	return time.Duration(u.Pace*work + wait)
+	return time.Duration(u.Slowdown*work + wait)
 }
 
-// Burden returns what taking the prompt costs others on the upstream.
-func (c Costs) Burden(u Upstream, uncached float64) time.Duration {
-	return time.Duration(c.UncachedWeight * u.Pace * uncached * float64(c.PerPromptToken))
+// Interference returns what taking the prompt costs others on the upstream.
+func (c Costs) Interference(u Upstream, uncached float64) time.Duration {
+	return time.Duration(c.UncachedWeight * u.Slowdown * uncached * float64(c.PerPromptToken))
 }
--- a/routing/score/score_test.go
+++ b/routing/score/score_test.go
@@ -9,30 +9,30 @@
 
 // Reports stop coming from an engine that was idle. Every node would send it all
 // new work for as long as the old report counts in full.
-func TestAnOldReportFadesToTheMean(t *testing.T) {
+func TestOldReportDecaysToMean(t *testing.T) {
 	is := is.New(t)
-	l := Load{Own: 1, Reported: 0, Mean: 8}
-	is.Equal(l.Estimate(Trust(0, time.Second)), 1.0)
-	is.True(l.Estimate(Trust(time.Minute, time.Second)) > 8.9)
+	l := Load{Own: 1, Reported: 0, MeanOtherNodes: 8}
+	is.Equal(l.Estimate(ReportWeight(0, time.Second)), 1.0)
+	is.True(l.Estimate(ReportWeight(time.Minute, time.Second)) > 8.9)
 }
 
-func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
+func TestOwnRequestsNotCountedTwice(t *testing.T) {
 	is := is.New(t)
-	l := Load{Own: 5, OwnThen: 3, Reported: 4}
+	l := Load{Own: 5, OwnAtSample: 3, Reported: 4}
 	is.Equal(l.Estimate(1), 6.0)
 }
 
-func TestPredictionGrowsWithEachKindOfLoad(t *testing.T) {
+func TestPredictionGrowsWithLoad(t *testing.T) {
 	is := is.New(t)
 	c := DefaultCosts()
-	idle := Upstream{Slots: 4, Service: time.Second, Pace: 1}
-	base := c.FirstToken(idle, 100)
-	is.True(c.FirstToken(idle, 200) > base)
+	idle := Upstream{Slots: 4, ServiceTime: time.Second, Slowdown: 1}
+	base := c.TimeToFirstToken(idle, 100)
+	is.True(c.TimeToFirstToken(idle, 200) > base)
 	for _, worse := range []Upstream{
-		{Slots: 4, Service: time.Second, Pace: 2},
-		{Slots: 4, Service: time.Second, Pace: 1, Pending: 100},
-		{Slots: 4, Service: time.Second, Pace: 1, Requests: 4},
+		{Slots: 4, ServiceTime: time.Second, Slowdown: 2},
+		{Slots: 4, ServiceTime: time.Second, Slowdown: 1, Pending: 100},
+		{Slots: 4, ServiceTime: time.Second, Slowdown: 1, Requests: 4},
 	} {
-		is.True(c.FirstToken(worse, 100) > base)
+		is.True(c.TimeToFirstToken(worse, 100) > base)
 	}
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -83,21 +83,21 @@
 	if r == nil {
 		return 0, 0, false
 	}
-	return t.requestLoad(r, 0).Foreign(), t.pendingLoad(r, 0).Foreign(), true
+	return t.requestLoad(r, 0).OtherNodes(), t.pendingLoad(r, 0).OtherNodes(), true
 }
 
 func (t *target) requestLoad(r *heardReport, mean float64) score.Load {
-	l := score.Load{Own: float64(t.requests.now()), Mean: mean}
+	l := score.Load{Own: float64(t.requests.now()), MeanOtherNodes: mean}
 	if r != nil {
-		l.OwnThen, l.Reported = r.ownRequests, float64(r.Running+r.Waiting)
+		l.OwnAtSample, l.Reported = r.ownRequests, float64(r.Running+r.Waiting)
 	}
 	return l
 }
 
 func (t *target) pendingLoad(r *heardReport, mean float64) score.Load {
-	l := score.Load{Own: float64(t.pending.now()), Mean: mean}
+	l := score.Load{Own: float64(t.pending.now()), MeanOtherNodes: mean}
 	if r != nil {
-		l.OwnThen, l.Reported = r.ownPending, float64(r.PendingTokens)
+		l.OwnAtSample, l.Reported = r.ownPending, float64(r.PendingTokens)
 	}
 	return l
 }
@@ -127,7 +127,7 @@
 
 // holds tells whether the upstream can serve the model asked for. One that doesn't
 // say what it holds is taken to hold it.
-func (t *target) holds(ask *Ask) bool {
+func (t *target) holds(ask *Request) bool {
 	r := t.report.Load()
 	if r == nil || len(r.Models) == 0 || ask.Model == "" {
 		return true
@@ -140,7 +140,7 @@
 	return false
 }
 
-func (m *LoadedModel) serves(ask *Ask) bool {
+func (m *LoadedModel) serves(ask *Request) bool {
 	if m.Model != ask.Model || (ask.Version != "" && ask.Version != m.Version) {
 		return false
 	}
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -64,15 +64,15 @@
 func (t *ticket) judge(err error, now time.Time) {
 	breaker := t.target.breaker
 	if err == nil {
-		breaker.Succeeded(now, t.probe)
+		breaker.RecordSuccess(now, t.probe)
 		t.target.service.observe(now.Sub(t.at).Seconds(), serviceWeight)
 		return
 	}
 	switch result.CodeOf(err) {
 	case result.NoUpstream, result.UpstreamFailed, result.AnswerCut, result.OutcomeUnknown:
-		breaker.Failed(now, t.probe, false)
+		breaker.RecordFailure(now, t.probe, false)
 	case result.AnswerCrossed:
-		breaker.Failed(now, t.probe, true)
+		breaker.RecordFailure(now, t.probe, true)
 	default:
 		if t.probe {
 			breaker.AbandonProbe()
--- a/shedding/policy_test.go
+++ b/shedding/policy_test.go
@@ -19,20 +19,20 @@
 
 // One upstream of several is late. Refusing for it would turn callers away from the others,
 // which are free.
-func TestOneLateUpstreamRefusesNobody(t *testing.T) {
+func TestOneSlowUpstreamDoesNotShed(t *testing.T) {
 	is := is.New(t)
-	is.True(DefaultPolicy().Admit(Usual(seconds(9, 0.1, 0.2, 0)), objective, 1))
-	is.True(DefaultPolicy().Admit(Usual(nil), objective, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(seconds(9, 0.1, 0.2, 0)), objective, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(nil), objective, 1))
 }
 
 // Most upstreams are late under a crowd. The later they are, the fewer are let in, and some
 // always are: without them nobody would notice that the crowd is over.
-func TestFewerAreLetInTheLaterUpstreamsAre(t *testing.T) {
+func TestAdmittedShareFallsWithWait(t *testing.T) {
 	is := is.New(t)
 	admitted := func(wait float64) int {
 		n := 0
 		for draw := 0.0; draw < 1; draw += 0.001 {
-			if DefaultPolicy().Admit(Usual(seconds(wait, wait, wait)), objective, draw) {
+			if DefaultPolicy().Admit(MedianWait(seconds(wait, wait, wait)), objective, draw) {
 				n++
 			}
 		}
@@ -46,15 +46,15 @@
 
 // A thousand callers are refused within a second. Told to return together, they would be the
 // next crowd.
-func TestRefusedCallersReturnSpread(t *testing.T) {
+func TestRetryDelaysAreSpread(t *testing.T) {
 	is := is.New(t)
 	p := DefaultPolicy()
-	is.Equal(p.Return(0), p.Soonest)
-	is.Equal(p.Return(1)-p.Return(0), p.Spread)
+	is.Equal(p.RetryAfter(0), p.MinRetryDelay)
+	is.Equal(p.RetryAfter(1)-p.RetryAfter(0), p.RetryJitter)
 }
 
 // A route without an objective is never late.
-func TestNoObjectiveRefusesNobody(t *testing.T) {
+func TestNoObjectiveNeverSheds(t *testing.T) {
 	is := is.New(t)
-	is.True(DefaultPolicy().Admit(Usual(seconds(9, 9)), 0, 1))
+	is.True(DefaultPolicy().Admit(MedianWait(seconds(9, 9)), 0, 1))
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -72,14 +72,14 @@
 	Path    string
 	Headers map[string]string
 	Body    []byte
-	// Once is set for a call that must not be sent twice.
-	Once bool
+	// NoResend is set for a call that must not be sent twice.
+	NoResend bool
 	// NotAfter is as in ChatRequest.
 	NotAfter time.Time
 }
 
-// CallAnswer is a plain service's whole answer.
-type CallAnswer struct {
+// CallResponse is a plain service's whole answer.
+type CallResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -90,7 +90,7 @@
 // OutcomeUnknown when something may have run.
 type Client interface {
 	Chat(ctx context.Context, to *operatorv1.Upstream, r ChatRequest) (ChatStream, error)
-	Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallAnswer, error)
+	Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallResponse, error)
 	// Usage asks an engine what it counted for a request, after the node that ran
 	// it died. An engine remembers finished requests for a while.
 	Usage(ctx context.Context, to *operatorv1.Upstream, id string) (UsageReport, error)
--- a/upstream/http.go
+++ b/upstream/http.go
@@ -55,11 +55,11 @@
 var _ Client = (*HTTPClient)(nil)
 
 // NewHTTPClient returns a client with its own connection pool.
-func NewHTTPClient() (*HTTPClient, error) { return NewHTTPClientWithSilence(readTimeout) }
+func NewHTTPClient() (*HTTPClient, error) { return NewHTTPClientWithReadTimeout(readTimeout) }
 
-// NewHTTPClientWithSilence returns a client that gives an upstream up after it was
+// NewHTTPClientWithReadTimeout returns a client that gives an upstream up after it was
 // silent for so long within an answer.
-func NewHTTPClientWithSilence(silence time.Duration) (*HTTPClient, error) {
+func NewHTTPClientWithReadTimeout(silence time.Duration) (*HTTPClient, error) {
 	kept, err := newClient(client.WithClientReadTimeout(silence))
 	if err != nil {
 		return nil, errors.Annotate(err, "upstream client")
@@ -166,7 +166,7 @@
 }
 
 // Call implements Client.
-func (c *HTTPClient) Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallAnswer, error) {
+func (c *HTTPClient) Call(ctx context.Context, to *operatorv1.Upstream, r CallRequest) (CallResponse, error) {
 	request := protocol.AcquireRequest()
 	request.SetMethod(r.Method)
 	request.SetRequestURI("http://" + to.GetAddress() + r.Path)
@@ -177,25 +177,25 @@
 	request.SetBody(r.Body)
 	setNotAfter(request, r.NotAfter)
 	by := c.client
-	if r.Once {
+	if r.NoResend {
 		by = c.once
 	}
 	response, err := send(ctx, by, request)
 	if err != nil {
-		return CallAnswer{}, sendError(to, err)
+		return CallResponse{}, sendError(to, err)
 	}
 	defer protocol.ReleaseResponse(response)
 	if late := expired(to, response, r.NotAfter); late != nil {
-		return CallAnswer{}, late
+		return CallResponse{}, late
 	}
 	body, err := readAnswer(response)
 	if err != nil {
-		return CallAnswer{}, result.New(result.AnswerCut, "%s: %v", to.GetName(), err)
+		return CallResponse{}, result.New(result.AnswerCut, "%s: %v", to.GetName(), err)
 	}
 	if echoed := response.Header.Get(HeaderRequestID); echoed != r.ID {
-		return CallAnswer{}, result.New(result.AnswerCrossed, "%s answered for %q", to.GetName(), echoed)
+		return CallResponse{}, result.New(result.AnswerCrossed, "%s answered for %q", to.GetName(), echoed)
 	}
-	return CallAnswer{
+	return CallResponse{
 		Status:      response.StatusCode(),
 		ContentType: string(response.Header.ContentType()),
 		Body:        body,
--- a/upstream/load_test.go
+++ b/upstream/load_test.go
@@ -17,7 +17,7 @@
 
 // What an engine says of its cache must name blocks as the router does, or no request
 // would ever be sent to where its prefix is.
-func TestAnEnginesCacheEventsNameTheRoutersBlocks(t *testing.T) {
+func TestCacheEventHashesMatchRouterBlocks(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/upstream/notafter_test.go
+++ b/upstream/notafter_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a call that runs though its sender was stopped until its right had ended.
-func TestLateCallDoesNotRun(t *testing.T) {
+func TestLateCallIsRejected(t *testing.T) {
 	is := is.New(t)
 	listener := listen(t)
 	service := standin.NewService(listener, 0)
@@ -43,7 +43,7 @@
 	client, to := newTestClient(t), &operatorv1.Upstream{Name: "orders", Address: listener.Addr().String()}
 	call := func(body string, left time.Duration) error {
 		_, err := client.Call(context.Background(), to, CallRequest{
-			ID: "a.1", Method: "POST", Path: "/", Body: []byte(body), Once: true, NotAfter: time.Now().Add(left)})
+			ID: "a.1", Method: "POST", Path: "/", Body: []byte(body), NoResend: true, NotAfter: time.Now().Add(left)})
 		return err
 	}
 	is.Equal(result.CodeOf(call("late", past)), result.RequestExpired)
@@ -54,7 +54,7 @@
 
 // Guards against a completion that runs though its sender was stopped until its right had
 // ended.
-func TestLateCompletionDoesNotRun(t *testing.T) {
+func TestLateChatIsRejected(t *testing.T) {
 	is := is.New(t)
 	listener := listen(t)
 	engine := standin.NewEngine(listener, standin.EngineOptions{})
@@ -68,14 +68,14 @@
 
 // Guards against an upstream whose clock is ahead being taken for one that works: each
 // of its refusals would end a caller's request.
-func TestUpstreamWithAClockAheadCountsAsOutOfReach(t *testing.T) {
+func TestUpstreamWithFastClockIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	err := callAnswered(t, ahead, HeaderExpired)
 	is.Equal(result.CodeOf(err), result.NoUpstream)
 }
 
 // Guards against a service's own status 408 being taken for "not run".
-func TestServicesOwnTimeoutIsItsAnswer(t *testing.T) {
+func TestServiceStatus408IsAResponse(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(callAnswered(t, past, "X-Other"))
 }
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -45,7 +45,7 @@
 // An engine hangs within an answer and its caller leaves. The request must end now and
 // the engine learn of it: else the caller's tokens stay reserved, and the engine's slot
 // taken, until the engine is given up on.
-func TestCallerLeavesAnEngineThatHangs(t *testing.T) {
+func TestCancelClosesAHangingStream(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
 	stream, left := openStream(t, ctx, "")
@@ -62,13 +62,13 @@
 
 // An answer is given up in the middle, as when another engine's repetition differs.
 // Were its connection kept, it would be read to the end for nobody.
-func TestAStreamGivenUpClosesItsConnection(t *testing.T) {
+func TestCloseDropsAnUnfinishedStreamsConnection(t *testing.T) {
 	stream, left := openStream(t, context.Background(), "")
 	stream.Close()
 	<-left
 }
 
-func TestAWholeAnswerEndsOnce(t *testing.T) {
+func TestCompleteStreamEndsWithEOF(t *testing.T) {
 	is := is.New(t)
 	stream, _ := openStream(t, context.Background(),
 		"id: 1\ndata: {\"id\":\"a.1\",\"choices\":[],\"usage\":{\"prompt_tokens\":1,\"completion_tokens\":1}}\n\nid: 2\ndata: [DONE]\n\n")
--- a/witness/copier.go
+++ b/witness/copier.go
@@ -12,8 +12,8 @@
 
 // CopierConfig is what a Copier works with.
 type CopierConfig struct {
-	Clock  clockwork.Clock
-	Memory *Memory
+	Clock clockwork.Clock
+	Store *Store
 	// Candidates lists the nodes that answer, best first.
 	Candidates func() []Candidate
 	// Suspect tells whether a node doesn't answer.
@@ -50,7 +50,7 @@
 
 func (c *Copier) step(ctx context.Context) {
 	silent := map[string]bool{}
-	for _, incarnation := range c.c.Memory.Incarnations() {
+	for _, incarnation := range c.c.Store.Incarnations() {
 		if c.c.Suspect(incarnation) {
 			silent[incarnation] = true
 			c.copy(ctx, incarnation)
@@ -71,7 +71,7 @@
 		return
 	}
 	last := c.copies[incarnation]
-	remembered := c.c.Memory.Report(incarnation)
+	remembered := c.c.Store.Report(incarnation)
 	now := copied{to: candidates[0], requests: len(remembered), finished: countFinished(remembered)}
 	if slices.Contains(candidates, last.to) {
 		now.to = last.to
--- a/witness/copier_test.go
+++ b/witness/copier_test.go
@@ -27,11 +27,11 @@
 	return nil
 }
 
-func newCopies(candidates ...string) (*Copier, *Memory, *copies) {
+func newCopies(candidates ...string) (*Copier, *Store, *copies) {
 	c := &copies{silent: map[string]bool{}}
 	c.offer(candidates...)
-	memory := NewMemory()
-	return NewCopier(CopierConfig{Clock: clockwork.NewFakeClock(), Memory: memory, Send: c.send,
+	memory := NewStore()
+	return NewCopier(CopierConfig{Clock: clockwork.NewFakeClock(), Store: memory, Send: c.send,
 		Candidates: func() []Candidate { return c.candidates },
 		Suspect:    func(incarnation string) bool { return c.silent[incarnation] }}), memory, c
 }
@@ -44,10 +44,10 @@
 }
 
 // Guards against the last requests of a dead node being known to one node only.
-func TestCopiesWhatASilentNodeSaid(t *testing.T) {
+func TestCopiesRequestsOfSilentNode(t *testing.T) {
 	is := is.New(t)
 	copier, memory, c := newCopies("w1", "w2")
-	is.NoErr(memory.Remember("", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{openRequest("n.1")}}))
+	is.NoErr(memory.Update("", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{openRequest("n.1")}}))
 	copier.step(t.Context())
 	is.Equal(len(c.sent), 0) // it answers and tells its witnesses itself
 	c.silent["n"] = true
@@ -57,7 +57,7 @@
 	copier.step(t.Context())
 	copier.step(t.Context())
 	is.Equal(c.sent, []string{"w1"}) // once, after the failure
-	memory.Counted("n.1", 5)
+	memory.SetEngineUsage("n.1", 5)
 	copier.step(t.Context())
 	is.Equal(c.sent, []string{"w1", "w1"}) // an engine's count is news
 	c.offer("w2")
--- a/witness/memory.go
+++ b/witness/memory.go
@@ -16,9 +16,9 @@
 // memory refuses, and the sender turns to another node.
 const maxRemembered = 500_000
 
-// Memory is what other nodes told this one of their open requests, by the
+// Store is what other nodes told this one of their open requests, by the
 // incarnation that a request is billed to. It is safe for concurrent use.
-type Memory struct {
+type Store struct {
 	mu      sync.Mutex
 	entries map[string]map[string]remembered
 	count   int
@@ -31,13 +31,13 @@
 	own bool
 }
 
-// NewMemory returns an empty memory.
-func NewMemory() *Memory {
-	return &Memory{entries: map[string]map[string]remembered{}}
+// NewStore returns an empty memory.
+func NewStore() *Store {
+	return &Store{entries: map[string]map[string]remembered{}}
 }
 
-// Remember takes in what an incarnation said of its own requests or passed on of others'.
-func (m *Memory) Remember(from string, said *fleetv1.Witness) error {
+// Update takes in what an incarnation said of its own requests or passed on of others'.
+func (m *Store) Update(from string, said *fleetv1.Witness) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, request := range said.GetForget() {
@@ -55,7 +55,7 @@
 // put keeps the first word that a request has finished: messages can overtake each
 // other, and an older "open" must not undo it. The word of its own node goes before an
 // engine's count: the node may have billed less than the engine produced.
-func (m *Memory) put(from string, open *fleetv1.OpenRequest) {
+func (m *Store) put(from string, open *fleetv1.OpenRequest) {
 	id, ok := budget.ParseRequestID(open.GetRequest())
 	if !ok {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-func (m *Memory) forget(request string) {
+func (m *Store) forget(request string) {
 	id, ok := budget.ParseRequestID(request)
 	if _, known := m.entries[id.Incarnation][request]; !ok || !known {
 		return
@@ -88,16 +88,16 @@
 }
 
 // Report returns what is remembered of requests billed to an incarnation.
-func (m *Memory) Report(incarnation string) []*fleetv1.OpenRequest {
+func (m *Store) Report(incarnation string) []*fleetv1.OpenRequest {
 	return m.report(incarnation, func(remembered) bool { return true })
 }
 
 // Finished returns the requests that an incarnation itself said to have finished.
-func (m *Memory) Finished(incarnation string) []*fleetv1.OpenRequest {
+func (m *Store) Finished(incarnation string) []*fleetv1.OpenRequest {
 	return m.report(incarnation, func(r remembered) bool { return r.own })
 }
 
-func (m *Memory) report(incarnation string, wanted func(remembered) bool) []*fleetv1.OpenRequest {
+func (m *Store) report(incarnation string, wanted func(remembered) bool) []*fleetv1.OpenRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var requests []*fleetv1.OpenRequest
@@ -110,7 +110,7 @@
 }
 
 // Incarnations returns for which incarnations something is remembered.
-func (m *Memory) Incarnations() []string {
+func (m *Store) Incarnations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var all []string
@@ -121,7 +121,7 @@
 }
 
 // All returns everything that is remembered.
-func (m *Memory) All() []*fleetv1.OpenRequest {
+func (m *Store) All() []*fleetv1.OpenRequest {
 	var all []*fleetv1.OpenRequest
 	for _, incarnation := range m.Incarnations() {
 		all = append(all, m.Report(incarnation)...)
@@ -130,14 +130,14 @@
 }
 
 // Len returns how many requests are remembered.
-func (m *Memory) Len() int {
+func (m *Store) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.count
 }
 
 // Folded forgets what the log shows to be settled.
-func (m *Memory) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (m *Store) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, verdict := range verdicts {
@@ -164,7 +164,7 @@
 
 // forgetBelow forgets requests that were billed nothing: they never show in the
 // log, except by the counter below which nothing is open.
-func (m *Memory) forgetBelow(incarnation string, oldestOpen uint64) {
+func (m *Store) forgetBelow(incarnation string, oldestOpen uint64) {
 	for request := range m.entries[incarnation] {
 		if id, ok := budget.ParseRequestID(request); ok && id.Counter < oldestOpen {
 			m.forget(request)
@@ -172,9 +172,9 @@
 	}
 }
 
-// Counted notes what an engine says of a request whose node is silent, before the
+// SetEngineUsage notes what an engine says of a request whose node is silent, before the
 // engine forgets it.
-func (m *Memory) Counted(request string, used uint64) {
+func (m *Store) SetEngineUsage(request string, used uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	id, ok := budget.ParseRequestID(request)
@@ -189,7 +189,7 @@
 	}
 }
 
-func (m *Memory) forgetAll(incarnation string) {
+func (m *Store) forgetAll(incarnation string) {
 	m.count -= len(m.entries[incarnation])
 	delete(m.entries, incarnation)
 }
--- a/witness/recipient.go
+++ b/witness/recipient.go
@@ -30,7 +30,7 @@
 // recipient is what one witness of a Teller has been told and is yet to be told. Its
 // fields but wake are guarded by the teller's lock.
 type recipient struct {
-	teller *Teller
+	teller *Replicator
 	// candidates lists who may be this witness, best first.
 	candidates func() []Candidate
 	// gather is how long news is gathered before it is sent.
@@ -45,7 +45,7 @@
 	failing bool
 }
 
-func newRecipient(teller *Teller, candidates func() []Candidate, gather time.Duration) *recipient {
+func newRecipient(teller *Replicator, candidates func() []Candidate, gather time.Duration) *recipient {
 	return &recipient{
 		teller: teller, candidates: candidates, gather: gather, wake: make(chan struct{}, 1), dirty: map[string]struct{}{},
 	}
@@ -118,7 +118,7 @@
 			break
 		}
 	}
-	r.setFailing(err != nil && !r.teller.c.Alone())
+	r.setFailing(err != nil && !r.teller.c.OnlyNode())
 	for _, done := range waiting {
 		done <- err
 	}
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (t *Teller) exchange(ctx context.Context, to Candidate, message *fleetv1.Witness) error {
+func (t *Replicator) exchange(ctx context.Context, to Candidate, message *fleetv1.Witness) error {
 	ctx, cancel := clockwork.WithTimeout(ctx, t.c.Clock, sendTimeout)
 	defer cancel()
 	response, err := t.c.Caller.Call(ctx, to.Address, &fleetv1.Request{
--- a/witness/teller.go
+++ b/witness/teller.go
@@ -34,9 +34,9 @@
 	// Candidates lists the nodes that answer, best first: another data centre of the
 	// region, then the own one, then other regions.
 	Candidates func() []Candidate
-	// Alone tells whether the log holds no other node open. A fleet of one node has
+	// OnlyNode tells whether the log holds no other node open. A fleet of one node has
 	// no witness and dispatches without.
-	Alone func() bool
+	OnlyNode func() bool
 	// LogReachable tells whether settlements reach the log at once.
 	LogReachable func() bool
 	// Required refuses to dispatch what nobody could be told of, even while the log is
@@ -44,13 +44,13 @@
 	Required bool
 }
 
-// Teller tells two other nodes of this node's open requests. A request waits for the
+// Replicator tells two other nodes of this node's open requests. A request waits for the
 // first one before its dispatch; requests that come while an exchange is under way go
 // together with the next one. The second is told the same without anybody waiting:
 // did the node die together with its only witness, whatever neither had put into the
 // log yet would be billed to nobody. It implements budget.Witness and is safe for
 // concurrent use.
-type Teller struct {
+type Replicator struct {
 	c Config
 
 	mu sync.Mutex
@@ -59,11 +59,11 @@
 	first, second *recipient
 }
 
-var _ budget.Witness = (*Teller)(nil)
+var _ budget.Witness = (*Replicator)(nil)
 
-// NewTeller returns a teller; Run must be running for Tell to succeed.
-func NewTeller(config Config) *Teller {
-	t := &Teller{c: config, entries: map[string]*fleetv1.OpenRequest{}}
+// NewReplicator returns a teller; Run must be running for Tell to succeed.
+func NewReplicator(config Config) *Replicator {
+	t := &Replicator{c: config, entries: map[string]*fleetv1.OpenRequest{}}
 	t.first = newRecipient(t, config.Candidates, 0)
 	t.second = newRecipient(t, t.secondCandidates, copyGather)
 	return t
@@ -71,7 +71,7 @@
 
 // secondCandidates leaves out the first witness and puts those last that stand in its
 // data centre: the loss of one data centre must not take the node and both witnesses.
-func (t *Teller) secondCandidates() []Candidate {
+func (t *Replicator) secondCandidates() []Candidate {
 	first := t.first.current()
 	var elsewhere, beside []Candidate
 	for _, candidate := range t.c.Candidates() {
@@ -89,9 +89,9 @@
 // Tell implements budget.Witness. It fails with NoWitness when nobody could be told
 // and the policy requires that, or the log is out of reach too: the node could then
 // spend for hours what the fleet would never learn of if it died.
-func (t *Teller) Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error {
+func (t *Replicator) Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error {
 	done := t.queue(open)
-	if t.c.Alone() {
+	if t.c.OnlyNode() {
 		return nil
 	}
 	if err := t.wait(ctx, done); err == nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (t *Teller) queue(open []*fleetv1.OpenRequest) <-chan error {
+func (t *Replicator) queue(open []*fleetv1.OpenRequest) <-chan error {
 	done := make(chan error, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,12 +117,12 @@
 }
 
 // change has both witnesses told of a request; the lock is held.
-func (t *Teller) change(request string) {
+func (t *Replicator) change(request string) {
 	t.first.change(request)
 	t.second.change(request)
 }
 
-func (t *Teller) wait(ctx context.Context, done <-chan error) error {
+func (t *Replicator) wait(ctx context.Context, done <-chan error) error {
 	ctx, cancel := clockwork.WithTimeout(ctx, t.c.Clock, tellTimeout)
 	defer cancel()
 	select {
@@ -135,14 +135,14 @@
 
 // Ended implements budget.Witness. A request that is billed nothing never shows in
 // the log, so the witness is told to forget it.
-func (t *Teller) Ended(request string, used uint64) {
+func (t *Replicator) Ended(request string, used uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held := t.entries[request]
 	if held == nil {
 		return
 	}
-	if budget.BilledTo(held, used) == 0 {
+	if budget.BilledTokens(held, used) == 0 {
 		t.drop(request)
 		t.first.forgets(request)
 		t.second.forgets(request)
@@ -155,7 +155,7 @@
 	t.change(request)
 }
 
-func (t *Teller) drop(request string) {
+func (t *Replicator) drop(request string) {
 	delete(t.entries, request)
 	delete(t.first.dirty, request)
 	delete(t.second.dirty, request)
@@ -163,7 +163,7 @@
 
 // Report returns what this node itself has open of requests billed to another
 // incarnation: parts that it borrowed there.
-func (t *Teller) Report(incarnation string) []*fleetv1.OpenRequest {
+func (t *Replicator) Report(incarnation string) []*fleetv1.OpenRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var open []*fleetv1.OpenRequest
@@ -176,7 +176,7 @@
 }
 
 // Len returns how many requests aren't known to be settled in the log.
-func (t *Teller) Len() int {
+func (t *Replicator) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
@@ -184,7 +184,7 @@
 
 // Folded forgets what the log shows to be settled. The witness folds the same
 // entries, so it need not be told.
-func (t *Teller) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (t *Replicator) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, verdict := range verdicts {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (t *Teller) dropAll(incarnation string) {
+func (t *Replicator) dropAll(incarnation string) {
 	for request := range t.entries {
 		if id, ok := budget.ParseRequestID(request); ok && id.Incarnation == incarnation {
 			t.drop(request)
@@ -208,29 +208,29 @@
 }
 
 // Run sends until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Replicator) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { t.first.run(ctx) })
 	wait.Go(func() { t.second.run(ctx) })
 	wait.Wait()
 }
 
-// Pass hands what this node remembers for others to another node, before it leaves.
-func (t *Teller) Pass(ctx context.Context, remembered []*fleetv1.OpenRequest) error {
+// HandOver hands what this node remembers for others to another node, before it leaves.
+func (t *Replicator) HandOver(ctx context.Context, remembered []*fleetv1.OpenRequest) error {
 	if len(remembered) == 0 {
 		return nil
 	}
 	err := error(result.New(result.NoWitness, "no other node answers"))
 	for _, candidate := range t.c.Candidates() {
-		if err = t.PassTo(ctx, candidate, remembered); err == nil {
+		if err = t.SendRequests(ctx, candidate, remembered); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// PassTo hands requests to one node, in as many messages as they need.
-func (t *Teller) PassTo(ctx context.Context, to Candidate, remembered []*fleetv1.OpenRequest) error {
+// SendRequests hands requests to one node, in as many messages as they need.
+func (t *Replicator) SendRequests(ctx context.Context, to Candidate, remembered []*fleetv1.OpenRequest) error {
 	for len(remembered) > 0 {
 		n := min(maxPerMessage, len(remembered))
 		if err := t.exchange(ctx, to, &fleetv1.Witness{Open: remembered[:n]}); err != nil {
--- a/witness/teller_test.go
+++ b/witness/teller_test.go
@@ -22,7 +22,7 @@
 // memories are other nodes by address, each with how long it takes to answer.
 type memories struct {
 	mu    sync.Mutex
-	nodes map[string]*Memory
+	nodes map[string]*Store
 	delay map[string]time.Duration
 	sent  map[string]int
 }
@@ -34,7 +34,7 @@
 	m.mu.Unlock()
 	select {
 	case <-time.After(delay):
-		return &fleetv1.Response{}, node.Remember(r.GetFrom(), r.GetWitness())
+		return &fleetv1.Response{}, node.Update(r.GetFrom(), r.GetWitness())
 	case <-ctx.Done():
 		return nil, errors.Trace(ctx.Err())
 	}
@@ -66,14 +66,14 @@
 }
 
 // startTeller runs a teller whose first witness is near and whose second is far.
-func startTeller(t *testing.T) (*Teller, *memories) {
+func startTeller(t *testing.T) (*Replicator, *memories) {
 	clock := clockwork.NewRealClock()
-	m := &memories{nodes: map[string]*Memory{"near": NewMemory(), "far": NewMemory()},
+	m := &memories{nodes: map[string]*Store{"near": NewStore(), "far": NewStore()},
 		delay: map[string]time.Duration{"near": 3 * time.Millisecond, "far": far}, sent: map[string]int{}}
-	teller := NewTeller(Config{
+	teller := NewReplicator(Config{
 		Incarnation: "n", Clock: clock, Caller: m, Events: event.NewRecorder(event.NewHLC(clock), "n", 100, log.NewNopLogger()),
 		Candidates: func() []Candidate { return []Candidate{{"near", "near", "a"}, {"far", "far", "b"}} },
-		Alone:      func() bool { return false }, LogReachable: func() bool { return true }, Required: true,
+		OnlyNode:   func() bool { return false }, LogReachable: func() bool { return true }, Required: true,
 	})
 	go teller.Run(t.Context())
 	return teller, m
@@ -82,7 +82,7 @@
 // A node and the witness that its requests wait for die at the same moment. A third
 // node must know of the request by then, though nobody waited for it, and though it is
 // slow or was out of reach for a while. Otherwise the answer is billed to nobody.
-func TestSecondWitnessKnowsWithoutBeingWaitedFor(t *testing.T) {
+func TestSecondWitnessIsUpdatedAsynchronously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
@@ -116,7 +116,7 @@
 
 // Requests that come within one gathering go to the second witness in one message: it
 // may stand in another region, over the link that is billed by volume.
-func TestSecondWitnessIsToldInBulk(t *testing.T) {
+func TestSecondWitnessGetsBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
@@ -137,10 +137,10 @@
 
 // A data centre is lost, with a node in it and the witness that its requests wait for.
 // The second one must stand elsewhere while any node does.
-func TestSecondWitnessStandsInAnotherDataCentre(t *testing.T) {
+func TestSecondWitnessIsInAnotherDataCentre(t *testing.T) {
 	is := is.New(t)
 	all := []Candidate{{"1", "1", "a"}, {"2", "2", "a"}, {"3", "3", "b"}, {"4", "4", "c"}}
-	teller := NewTeller(Config{Candidates: func() []Candidate { return all }})
+	teller := NewReplicator(Config{Candidates: func() []Candidate { return all }})
 	teller.first.witness = all[0]
 	is.Equal(teller.secondCandidates(), []Candidate{all[2], all[3], all[1]})
 	all = all[:2]
