--- a/node/relay.go
+++ b/node/relay.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) answerLogRead(ctx context.Context, r *fleetv1.LogRead, response *fleetv1.Response) {
-	slice, err := n.relay.Answer(ctx, r)
+	slice, err := n.relay.HandleLogRead(ctx, r)
 	if err != nil {
 		refuse(response, err)
 		return
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay brings the log's records to every node while the log itself is read
-// by one node of each region only, so that a change crosses the link between regions
-// once.
+// Package relay distributes the log's records from node to node: only one node of each
+// region reads the log itself, so that a change crosses the link between regions once.
 //
-// Nobody is appointed: each node works out from its own view of the members whom it
-// reads from, and falls back to the log by itself when that peer is silent or behind.
+// No node is elected: each node computes its parent, the peer that it reads from, from
+// its own view of the members, and reads the log itself while the parent is silent or
+// behind.
 package relay
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -28,18 +28,18 @@
 	remote = "cz-morava"
 )
 
-// group is followers that relay to each other in the fake time of a synctest bubble.
-// It counts the records that cross between the regions; the log stands in home.
-type group struct {
+// cluster runs followers that relay to each other in the fake time of a synctest bubble.
+// It counts the records that cross between the regions; the log is in region home.
+type cluster struct {
 	t   *testing.T
 	log *standin.Log
 
-	mu      sync.Mutex
-	members map[string]*member
-	cut     map[string]bool
-	dead    string
-	crossed int
-	calls   int
+	mu                 sync.Mutex
+	members            map[string]*member
+	cutOff             map[string]bool
+	deadAddress        string
+	crossRegionRecords int
+	calls              int
 }
 
 type member struct {
@@ -49,112 +49,112 @@
 	cancel   context.CancelFunc
 }
 
-func newGroup(t *testing.T) *group {
-	return &group{t: t, log: standin.NewLog(), members: map[string]*member{}, cut: map[string]bool{}}
+func newCluster(t *testing.T) *cluster {
+	return &cluster{t: t, log: standin.NewLog(), members: map[string]*member{}, cutOff: map[string]bool{}}
 }
 
-// logFrom is the log as a member of a region reads it.
-type logFrom struct {
+// memberLog is one member's connection to the log.
+type memberLog struct {
 	ports.Log
-	group  *group
-	member Peer
+	cluster *cluster
+	member  Peer
 }
 
-func (l logFrom) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	if l.group.isCut(l.member.Address) {
+func (l memberLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+	if l.cluster.isCutOff(l.member.Address) {
 		<-ctx.Done()
 		return ports.Slice{}, ctx.Err()
 	}
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
-	l.group.count(home, l.member.Region, len(slice.Records))
+	l.cluster.countCrossing(home, l.member.Region, len(slice.Records))
 	return slice, err
 }
 
-func (g *group) isCut(address string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.cut[address]
+func (c *cluster) isCutOff(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cutOff[address]
 }
 
-func (g *group) setCut(address string, cut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.cut[address] = cut
+func (c *cluster) setCutOff(address string, cutOff bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cutOff[address] = cutOff
 }
 
-func (g *group) count(from, to string, records int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (c *cluster) countCrossing(from, to string, records int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if from != to {
-		g.crossed += records
+		c.crossRegionRecords += records
 	}
 }
 
-// callerOf is the peer transport of one member.
-type callerOf struct {
-	group *group
-	self  Peer
+// memberCaller is the peer transport of one member.
+type memberCaller struct {
+	cluster *cluster
+	self    Peer
 }
 
-func (c callerOf) Call(ctx context.Context, address string, r *fleetv1.Request) (*fleetv1.Response, error) {
-	c.group.mu.Lock()
-	to, dead := c.group.members[address], address == c.group.dead
-	c.group.calls++
-	c.group.mu.Unlock()
+func (c memberCaller) Call(ctx context.Context, address string, r *fleetv1.Request) (*fleetv1.Response, error) {
+	c.cluster.mu.Lock()
+	to, dead := c.cluster.members[address], address == c.cluster.deadAddress
+	c.cluster.calls++
+	c.cluster.mu.Unlock()
 	if to == nil || dead {
 		<-ctx.Done()
-		return nil, errors.New("nobody there")
+		return nil, errors.New("no such node")
 	}
-	if err := travel(ctx, time.Millisecond); err != nil {
+	if err := delayMessage(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	slice, err := to.server.Answer(ctx, r.GetLogRead())
+	slice, err := to.server.HandleLogRead(ctx, r.GetLogRead())
 	if err != nil {
 		return nil, err
 	}
-	if err := travel(ctx, 2*time.Millisecond); err != nil {
+	if err := delayMessage(ctx, 2*time.Millisecond); err != nil {
 		return nil, err
 	}
-	c.group.count(to.peer.Region, c.self.Region, len(slice.GetRecords()))
+	c.cluster.countCrossing(to.peer.Region, c.self.Region, len(slice.GetRecords()))
 	return &fleetv1.Response{Body: &fleetv1.Response_LogSlice{LogSlice: slice}}, nil
 }
 
-// travel is the way of a message.
-func travel(ctx context.Context, length time.Duration) error {
+// delayMessage simulates the network delay of a message.
+func delayMessage(ctx context.Context, delay time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(length):
+	case <-time.After(delay):
 		return nil
 	}
 }
 
-func (g *group) start(name, region, centre string, peers func() []Peer) *member {
+func (c *cluster) start(name, region, centre string, peers func() []Peer) *member {
 	clock := clockwork.NewRealClock()
 	self := Peer{Incarnation: name, Address: name, Region: region, DataCentre: centre, Offset: 1}
 	if peers == nil {
-		peers = func() []Peer { return g.others(name) }
+		peers = func() []Peer { return c.others(name) }
 	}
 	source := &Source{
-		Self: self, Log: recordlog.NewLogSource(logFrom{g.log, g, self}, "fleet"), Caller: callerOf{g, self}, Clock: clock,
+		Self: self, Log: recordlog.NewLogSource(memberLog{c.log, c, self}, "fleet"), Caller: memberCaller{c, self}, Clock: clock,
 		Events: event.NewRecorder(event.NewHLC(clock), name, 100, golog.NewNopLogger()), Peers: peers,
 	}
 	m := &member{peer: self, follower: recordlog.NewSourceFollower(source, clock, fold.NewEngine())}
 	m.server = NewServer(m.follower, source, clock)
-	ctx, cancel := context.WithCancel(g.t.Context())
+	ctx, cancel := context.WithCancel(c.t.Context())
 	m.cancel = cancel
-	g.mu.Lock()
-	g.members[name] = m
-	g.mu.Unlock()
+	c.mu.Lock()
+	c.members[name] = m
+	c.mu.Unlock()
 	go m.follower.Run(ctx)
 	return m
 }
 
-func (g *group) others(name string) []Peer {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (c *cluster) others(name string) []Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var others []Peer
-	for _, m := range g.members {
+	for _, m := range c.members {
 		if m.peer.Incarnation != name {
 			others = append(others, m.peer)
 		}
@@ -162,32 +162,32 @@
 	return others
 }
 
-func (g *group) startAll() []*member {
+func (c *cluster) startAll() []*member {
 	var members []*member
 	for i, centre := range []string{"praha-a", "praha-a", "plzen-a", "plzen-a"} {
-		members = append(members, g.start(fmt.Sprint("h", i), home, centre, nil))
+		members = append(members, c.start(fmt.Sprint("h", i), home, centre, nil))
 	}
 	for i := range 3 {
-		members = append(members, g.start(fmt.Sprint("r", i), remote, "brno-a", nil))
+		members = append(members, c.start(fmt.Sprint("r", i), remote, "brno-a", nil))
 	}
-	time.Sleep(2 * avoidPeer) // those that start first find nobody to read from
+	time.Sleep(2 * parentBackoff) // the first to start have no parent yet
 	return members
 }
 
-func (g *group) append(is *is.I, n int) {
+func (c *cluster) append(is *is.I, n int) {
 	is.Helper()
 	for i := range n {
 		data, err := proto.Marshal(&recordv1.Batch{Writer: fmt.Sprint("w", i), Seq: 1})
 		is.NoErr(err)
-		_, err = g.log.Append(context.Background(), "fleet", data)
+		_, err = c.log.Append(context.Background(), "fleet", data)
 		is.NoErr(err)
 	}
 }
 
-func (g *group) reader(region string) *member {
-	for _, m := range g.members {
+func (c *cluster) regionReader(region string) *member {
+	for _, m := range c.members {
 		if m.peer.Region == region {
-			if _, relayed := readsFrom(m.peer, g.others(m.peer.Incarnation)); !relayed {
+			if _, relayed := selectParent(m.peer, c.others(m.peer.Incarnation)); !relayed {
 				return m
 			}
 		}
@@ -195,115 +195,116 @@
 	return nil
 }
 
-// Changes are made while all is well. The link between the regions is narrow and billed
-// by volume: each change must cross it once, not once for every node there.
-func TestChangeCrossesTheLinkOnce(t *testing.T) {
+// The link between the regions is narrow and billed by volume: without faults each change
+// must cross it once, not once for every node in the region.
+func TestChangeCrossesRegionLinkOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newGroup(t)
-		members := g.startAll()
+		c := newCluster(t)
+		members := c.startAll()
 		for range 50 {
-			g.append(is, 1)
+			c.append(is, 1)
 			time.Sleep(100 * time.Millisecond)
 		}
 		for _, m := range members {
 			is.Equal(m.follower.Offset(), uint64(50))
 		}
-		is.Equal(g.crossed, 50)
+		is.Equal(c.crossRegionRecords, 50)
 	})
 }
 
-// Nothing happens for minutes in a deep tree of readers. Were the waits of the hops added
-// up, the lowest nodes would take the log as silent, and read it by themselves over the
-// narrow link; and each read is paid for in bytes, so there must be one a wait.
-func TestIdleChainStaysFresh(t *testing.T) {
+// No records arrive for over a minute in a deep tree. If the waits of the hops added up,
+// the lowest nodes would take the log as silent and read it over the narrow link. Each
+// read costs bytes, so there must be only one per wait.
+func TestIdleReadTreeStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newGroup(t)
+		c := newCluster(t)
 		for i := range 60 {
-			g.start(fmt.Sprint("r", i), remote, "brno-a", nil)
+			c.start(fmt.Sprint("r", i), remote, "brno-a", nil)
 		}
-		time.Sleep(2 * avoidPeer)
-		g.mu.Lock()
-		before := g.calls
-		g.mu.Unlock()
+		time.Sleep(2 * parentBackoff)
+		c.mu.Lock()
+		before := c.calls
+		c.mu.Unlock()
 		for range 100 {
 			time.Sleep(700 * time.Millisecond)
-			for _, m := range g.members {
-				is.True(m.follower.SinceRead() <= idleWait+answerTime)
+			for _, m := range c.members {
+				is.True(m.follower.SinceRead() <= logReadWait+peerReadMargin)
 			}
 		}
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		is.True(g.calls-before <= 59*(70+1))
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		is.True(c.calls-before <= 59*(70+1))
 	})
 }
 
-// The log fails for minutes, and they read from each other. An answer that
-// brings nothing must not wake those who wait for the node that got it, or they wake each
-// other as fast as the network goes and spend their processors and the link on it.
-func TestOutageDoesNotSpin(t *testing.T) {
+// The log is down for over a minute, and the nodes read from each other. A response
+// without news must not wake the readers of the node that received it, or the nodes wake
+// each other as fast as the network allows and waste CPU and the link.
+func TestLogOutageDoesNotBusyLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newGroup(t)
-		members := g.startAll()
-		g.append(is, 1)
+		c := newCluster(t)
+		members := c.startAll()
+		c.append(is, 1)
 		time.Sleep(time.Second)
-		g.log.SetDown(true)
+		c.log.SetDown(true)
 		time.Sleep(10 * time.Second)
-		g.mu.Lock()
-		before := g.calls
-		g.mu.Unlock()
+		c.mu.Lock()
+		before := c.calls
+		c.mu.Unlock()
 		time.Sleep(time.Minute)
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		is.True(g.calls-before <= 3*60*len(members))
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		is.True(c.calls-before <= 3*60*len(members))
 	})
 }
 
-// The node that reads the log for its region dies, and another one is cut from the log
-// but still answers its peers. The others must get the changes by themselves, soon.
-func TestReaderDiesOrLags(t *testing.T) {
+// The node that reads the log for its region dies, and the one of the other region is cut
+// off from the log but still answers its peers. All others must get the changes within
+// seconds.
+func TestRegionReaderDeadOrCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newGroup(t)
-		members := g.startAll()
-		dead, lagging := g.reader(remote), g.reader(home)
+		c := newCluster(t)
+		members := c.startAll()
+		dead, cutOff := c.regionReader(remote), c.regionReader(home)
 		dead.cancel()
-		g.mu.Lock()
-		g.dead = dead.peer.Address // the others still take it as alive
-		g.mu.Unlock()
-		g.setCut(lagging.peer.Address, true)
-		g.append(is, 5)
+		c.mu.Lock()
+		c.deadAddress = dead.peer.Address // the others still consider it alive
+		c.mu.Unlock()
+		c.setCutOff(cutOff.peer.Address, true)
+		c.append(is, 5)
 		time.Sleep(8 * time.Second)
 		for _, m := range members {
 			if m != dead {
-				is.Equal(m.follower.Offset(), uint64(5)) // the cut one gets them from its peers
+				is.Equal(m.follower.Offset(), uint64(5)) // the one cut off gets them from its peers
 			}
 		}
 	})
 }
 
 // Two nodes have different views of the members, so that each reads from the other.
-// Neither would ever hear of a change again, and both would look healthy.
-func TestReadersInARing(t *testing.T) {
+// Without the fallback neither would receive any change, and both would look healthy.
+func TestReadCycleFallsBackToLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newGroup(t)
-		// Each knows the other under a name that ranks before its own.
-		before := func(name, address string) func() []Peer {
+		c := newCluster(t)
+		// Each knows the other under a name that sorts before its own.
+		peerRankedBefore := func(name, address string) func() []Peer {
 			for i := 0; ; i++ {
 				alias := Peer{Incarnation: fmt.Sprint("alias", i), Address: address, Region: home, DataCentre: "praha-a", Offset: 1}
 				self := Peer{Incarnation: name, Region: home, DataCentre: "praha-a"}
-				if _, relayed := readsFrom(self, []Peer{alias}); relayed {
+				if _, relayed := selectParent(self, []Peer{alias}); relayed {
 					return func() []Peer { return []Peer{alias} }
 				}
 			}
 		}
-		one := g.start("one", home, "praha-a", before("one", "two"))
-		two := g.start("two", home, "praha-a", before("two", "one"))
+		one := c.start("one", home, "praha-a", peerRankedBefore("one", "two"))
+		two := c.start("two", home, "praha-a", peerRankedBefore("two", "one"))
 		time.Sleep(time.Minute)
-		g.append(is, 3)
+		c.append(is, 3)
 		time.Sleep(8 * time.Second)
 		is.Equal(one.follower.Offset(), uint64(3))
 		is.Equal(two.follower.Offset(), uint64(3))
--- a/relay/server.go
+++ b/relay/server.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// maxServedWait and maxServedRecords bound what one read may ask for.
+	// maxServedWait and maxServedRecords limit the wait and the records of one request.
 	maxServedWait    = 5 * time.Second
 	maxServedRecords = 1000
 )
 
-// Server answers other nodes out of what this node folded.
+// Server serves the records and the state that this node has applied to other nodes.
 type Server struct {
 	follower *recordlog.Follower
 	source   *Source
 	clock    clockwork.Clock
 }
 
-// NewServer returns a server over a follower and the source that it reads.
+// NewServer returns a server for a follower and the source that the follower reads.
 func NewServer(follower *recordlog.Follower, source *Source, clock clockwork.Clock) *Server {
 	return &Server{follower: follower, source: source, clock: clock}
 }
 
-// Answer returns the records asked for, after waiting for the first one, or until this
-// node's own read came back with nothing: the answer then tells how fresh that is.
-func (s *Server) Answer(ctx context.Context, r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
+// HandleLogRead returns the requested records. It waits for the first one, or until this
+// node's own read returned no records; the response then reports how old that read is.
+func (s *Server) HandleLogRead(ctx context.Context, r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxServedWait)
 	slice, err := s.read(ctx, r.GetFrom(), min(int(r.GetMaxRecords()), maxServedRecords), wait)
 	if errors.Is(err, ports.ErrAgedOut) {
-		return s.agedOut(r)
+		return s.handleAgedOut(r)
 	}
-	answer := &fleetv1.LogSlice{Oldest: slice.Oldest, Next: slice.Next, AgeMs: uint64(s.follower.SinceRead().Milliseconds())}
+	response := &fleetv1.LogSlice{Oldest: slice.Oldest, Next: slice.Next, AgeMs: uint64(s.follower.SinceRead().Milliseconds())}
 	for _, record := range slice.Records {
-		answer.Records = append(answer.Records, &fleetv1.LogEntry{Offset: record.Offset, Data: record.Data})
+		response.Records = append(response.Records, &fleetv1.LogEntry{Offset: record.Offset, Data: record.Data})
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
 	idle := s.source.idle.wait()
-	slice, grown, err := s.follower.Recent().Read(from, max)
+	slice, appended, err := s.follower.Recent().Read(from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
 		return slice, err
 	}
 	select {
-	case <-grown:
+	case <-appended:
 	case <-idle:
 	case <-s.clock.After(wait):
 	case <-ctx.Done():
@@ -63,7 +63,7 @@
 	return slice, err
 }
 
-func (s *Server) agedOut(r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
+func (s *Server) handleAgedOut(r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
 	if !r.GetWantState() {
 		return nil, result.New(result.RecordsAgedOut, "offset %d is no longer held", r.GetFrom())
 	}
