--- a/gather/appender.go
+++ b/gather/appender.go
@@ -18,116 +18,117 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Config is what an Appender needs.
+// Config holds the dependencies of an Appender.
 type Config struct {
 	Self *recordv1.NodeInfo
 	// Members returns the other nodes as this one sees them.
 	Members func() []membership.Member
-	// Local is this node's own gatherer, Direct appends for this node alone.
+	// Local is this node's own gatherer, Direct appends this node's batches to the log.
 	Local  *Gatherer
 	Direct recordlog.Appender
 	Peers  peer.Caller
 	Clock  clockwork.Clock
 	Events *event.Recorder
 	Policy Policy
-	// AllRead tells whether every open node reads gathered records (record.Forms).
-	AllRead func() bool
+	// GatheredSupported tells whether every open node reads gathered records
+	// (record.Forms).
+	GatheredSupported func() bool
 }
 
-// Appender takes one writer's batches to the log by way of the data centre's gatherer,
-// and for itself where that doesn't answer. It is a recordlog.Appender.
+// Appender appends one writer's batches to the log through the data centre's gatherer,
+// or directly when the gatherer doesn't respond. It implements recordlog.Appender.
 type Appender struct {
-	c Config
+	config Config
 
-	mu    sync.Mutex
-	rest  time.Duration
-	until time.Time
+	mu           sync.Mutex
+	backoff      time.Duration
+	backoffUntil time.Time
 
-	handedOn atomic.Uint64
-	failed   atomic.Uint64
+	forwarded atomic.Uint64
+	fallbacks atomic.Uint64
 }
 
 var _ recordlog.Appender = (*Appender)(nil)
 
 // NewAppender returns an appender.
-func NewAppender(c Config) *Appender { return &Appender{c: c} }
+func NewAppender(config Config) *Appender { return &Appender{config: config} }
 
-// HandedOn returns how many batches a gatherer took to the log.
-func (a *Appender) HandedOn() uint64 { return a.handedOn.Load() }
+// Forwarded returns how many batches a gatherer appended.
+func (a *Appender) Forwarded() uint64 { return a.forwarded.Load() }
 
-// Failed returns how many batches were appended here after a gatherer had failed.
-func (a *Appender) Failed() uint64 { return a.failed.Load() }
+// Fallbacks returns how many batches were appended directly after a gatherer failed.
+func (a *Appender) Fallbacks() uint64 { return a.fallbacks.Load() }
 
 // Append implements recordlog.Appender.
 //
-// A batch that a gatherer didn't answer for is appended again here, under the same
-// sequence. A gatherer may be dead, paused, cut off, or have appended it and lost the
-// answer; whichever it was, the first of the two that reaches the log counts and the
-// other is void. Another sequence would need to wait until the batch is known to be
-// void, or its settlements would be billed twice.
+// A batch that a gatherer didn't confirm is appended directly, under the same sequence.
+// The gatherer may be dead, paused, cut off, or have appended it and lost the response;
+// in each case the copy that reaches the log first counts and the other is void. A new
+// sequence would have to wait until the batch is known to be void, or its settlements
+// would be billed twice.
 func (a *Appender) Append(ctx context.Context, batch []byte) error {
-	gatherer := Choose(a.c.Self, a.c.Members(), a.c.Policy)
-	if gatherer == nil || !gathers(batch) || a.resting() || !a.c.AllRead() {
-		return a.c.Direct.Append(ctx, batch)
+	gatherer := ChooseGatherer(a.config.Self, a.config.Members(), a.config.Policy)
+	if gatherer == nil || !mayShareRecord(batch) || a.inBackoff() || !a.config.GatheredSupported() {
+		return a.config.Direct.Append(ctx, batch)
 	}
-	err := a.handOn(ctx, gatherer, batch)
+	err := a.forward(ctx, gatherer, batch)
 	if err == nil || errors.Is(context.Cause(ctx), recordlog.ErrReadBack) {
-		a.succeeded()
+		a.recordSuccess()
 		return nil
 	}
 	if ctx.Err() != nil {
 		return errors.Trace(err)
 	}
-	a.gaveUp(gatherer, err)
-	return a.c.Direct.Append(ctx, batch)
+	a.recordFailure(gatherer, err)
+	return a.config.Direct.Append(ctx, batch)
 }
 
-func (a *Appender) handOn(ctx context.Context, gatherer *recordv1.NodeInfo, batch []byte) error {
-	if gatherer.GetIncarnation() == a.c.Self.GetIncarnation() {
-		_, err := a.c.Local.Append(ctx, batch, a.c.Policy.Answer)
+func (a *Appender) forward(ctx context.Context, gatherer *recordv1.NodeInfo, batch []byte) error {
+	if gatherer.GetIncarnation() == a.config.Self.GetIncarnation() {
+		_, err := a.config.Local.Append(ctx, batch, a.config.Policy.Timeout)
 		return errors.Trace(err)
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, a.c.Clock, a.c.Policy.Answer)
+	ctx, cancel := clockwork.WithTimeout(ctx, a.config.Clock, a.config.Policy.Timeout)
 	defer cancel()
-	response, err := a.c.Peers.Call(ctx, gatherer.GetPeerAddress(), &fleetv1.Request{
-		From: a.c.Self.GetIncarnation(), Hlc: uint64(a.c.Events.Clock().Now()),
-		Body: &fleetv1.Request_HandOn{HandOn: &fleetv1.HandOn{Batch: batch, WaitMs: uint32(a.c.Policy.Answer.Milliseconds())}},
+	response, err := a.config.Peers.Call(ctx, gatherer.GetPeerAddress(), &fleetv1.Request{
+		From: a.config.Self.GetIncarnation(), Hlc: uint64(a.config.Events.Clock().Now()),
+		Body: &fleetv1.Request_HandOn{HandOn: &fleetv1.HandOn{Batch: batch, WaitMs: uint32(a.config.Policy.Timeout.Milliseconds())}},
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	a.c.Events.Clock().Observe(event.Stamp(response.GetHlc()))
+	a.config.Events.Clock().Observe(event.Stamp(response.GetHlc()))
 	if code := result.Code(response.GetCode()); code != result.OK {
 		return result.New(code, "%s", response.GetMessage())
 	}
 	if response.GetHandedOn().GetOffset() == 0 {
-		return errors.New("the gatherer answered without an offset")
+		return errors.New("the gatherer's response lacks an offset")
 	}
 	return nil
 }
 
-func (a *Appender) resting() bool {
+func (a *Appender) inBackoff() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.c.Clock.Now().Before(a.until)
+	return a.config.Clock.Now().Before(a.backoffUntil)
 }
 
-func (a *Appender) succeeded() {
-	a.handedOn.Add(1)
+func (a *Appender) recordSuccess() {
+	a.forwarded.Add(1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.rest = 0
+	a.backoff = 0
 }
 
-// gaveUp lets the node append for itself for a while. Without it each batch would first
-// wait for the silent gatherer, and each claim with it, until the members' views show
-// that it is gone; a paused one they may not show at all.
-func (a *Appender) gaveUp(gatherer *recordv1.NodeInfo, why error) {
-	a.failed.Add(1)
+// recordFailure makes the node append directly for the backoff time. Otherwise each batch,
+// and each claim in it, would first wait for the silent gatherer until the members' views
+// show that it is gone; they may never show a paused one.
+func (a *Appender) recordFailure(gatherer *recordv1.NodeInfo, cause error) {
+	a.fallbacks.Add(1)
 	a.mu.Lock()
-	a.rest = min(max(2*a.rest, a.c.Policy.LeastRest), a.c.Policy.MostRest)
-	rest := a.rest
-	a.until = a.c.Clock.Now().Add(rest)
+	a.backoff = min(max(2*a.backoff, a.config.Policy.MinBackoff), a.config.Policy.MaxBackoff)
+	backoff := a.backoff
+	a.backoffUntil = a.config.Clock.Now().Add(backoff)
 	a.mu.Unlock()
-	a.c.Events.Record(event.GathererFailed, "peer", gatherer.GetIncarnation(), "why", why, "rest", rest)
+	a.config.Events.Record(event.GathererFailed, "peer", gatherer.GetIncarnation(), "why", cause, "rest", backoff)
 }
--- a/gather/choose.go
+++ b/gather/choose.go
@@ -7,12 +7,12 @@
 	"lavenderpin.dev/lavenderpin/membership"
 )
 
-// Choose returns who gathers for a node: the one of its data centre with the highest
-// hash (rendezvous hashing), the node itself included. Nodes with the same view
-// choose the same, and when one leaves only what it gathered moves. It returns nil
-// where the policy has each node append for itself.
-func Choose(self *recordv1.NodeInfo, members []membership.Member, policy Policy) *recordv1.NodeInfo {
-	if len(members)+1 < policy.Fleet {
+// ChooseGatherer returns the gatherer of a node: the node of its data centre with the
+// highest hash (rendezvous hashing), the node itself included. Nodes with the same view
+// choose the same one, and when a node leaves, only the batches that it gathered move. It
+// returns nil when the fleet or the data centre has too few nodes to gather.
+func ChooseGatherer(self *recordv1.NodeInfo, members []membership.Member, policy Policy) *recordv1.NodeInfo {
+	if len(members)+1 < policy.MinFleetNodes {
 		return nil
 	}
 	chosen, count := self, 1
@@ -21,17 +21,17 @@
 			continue
 		}
 		count++
-		if above(m.Node, chosen) {
+		if ranksHigher(m.Node, chosen) {
 			chosen = m.Node
 		}
 	}
-	if count < policy.From {
+	if count < policy.MinDataCentreNodes {
 		return nil
 	}
 	return chosen
 }
 
-func above(a, b *recordv1.NodeInfo) bool {
+func ranksHigher(a, b *recordv1.NodeInfo) bool {
 	hashA, hashB := xxhash.Sum64String(a.GetIncarnation()), xxhash.Sum64String(b.GetIncarnation())
 	if hashA != hashB {
 		return hashA > hashB
--- a/gather/doc.go
+++ b/gather/doc.go
@@ -1,8 +1,7 @@
-// Package gather saves appends to the platform's log: the nodes of a data centre hand
-// their batches to one of them, which appends many as one record.
+// Package gather reduces the appends to the platform's log: the nodes of a data centre
+// forward their batches to one of them, the gatherer, which appends many as one record.
 //
-// Which one is chosen by each node for itself, from its own view of the members.
-// Nobody need agree on it: any node may gather, several may at once, and what one of
-// them does with a batch that its writer has appended itself meanwhile is void by the
-// batch's sequence.
+// Each node chooses its gatherer from its own view of the members. No agreement is
+// needed: any node may gather, several may at once, and when both a gatherer and the
+// writer itself append a batch, its sequence number voids the second copy.
 package gather
--- a/gather/failure_test.go
+++ b/gather/failure_test.go
@@ -24,32 +24,32 @@
 	"lavenderpin.dev/lavenderpin/recordlog"
 )
 
-// fleet is a data centre of nodes a, b, c… that gather.
+// fleet is a data centre of gathering nodes named a, b, c…
 type fleet struct {
 	*appends.Fleet
 	nodes []*appends.Node
 }
 
-// newFleet starts nodes that gather by way of one log and append for themselves by way
-// of another, nil for the fleet's own.
+// newFleet starts nodes that gather through one log and append directly to another; nil
+// stands for the fleet's own log.
 func newFleet(t *testing.T, count int, gathered, alone ports.Log) *fleet {
 	policy := gather.DefaultPolicy()
-	policy.Fleet = 0
+	policy.MinFleetNodes = 0
 	f := &fleet{Fleet: appends.NewFleet(t.Context(), clockwork.NewRealClock(), policy)} // fake within the bubble
 	for i := range count {
-		f.nodes = append(f.nodes, f.Add(info(string(rune('a'+i))), cmp.Or[ports.Log](gathered, f.Log), cmp.Or[ports.Log](alone, f.Log)))
+		f.nodes = append(f.nodes, f.Add(nodeInfo(string(rune('a'+i))), cmp.Or[ports.Log](gathered, f.Log), cmp.Or[ports.Log](alone, f.Log)))
 	}
 	return f
 }
 
-// inFleet runs a test over nodes that reach the log, in fake time.
-func inFleet(t *testing.T, count int, run func(is *is.I, f *fleet)) {
+// runWithFleet runs a test in fake time with a fleet whose nodes all reach the log.
+func runWithFleet(t *testing.T, count int, run func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) { run(is.New(t), newFleet(t, count, nil, nil)) })
 }
 
-// roles returns the node that gathers when all see all, and another one.
+// roles returns the node that gathers when all views are complete, and another one.
 func (f *fleet) roles() (gatherer, other *appends.Node) {
-	chosen := gather.Choose(f.nodes[0].Info, f.Seen(f.nodes[0].Name()), from(1))
+	chosen := gather.ChooseGatherer(f.nodes[0].Info, f.Seen(f.nodes[0].Name()), minNodes(1))
 	for _, n := range f.nodes {
 		if n.Info == chosen {
 			gatherer = n
@@ -60,157 +60,158 @@
 	return gatherer, other
 }
 
-// submit writes an entry of each node.
-func (f *fleet) submit(tokens uint64) {
+// submitAll submits an entry at each node.
+func (f *fleet) submitAll(tokens uint64) {
 	for _, n := range f.nodes {
 		n.Submit(tokens)
 	}
 }
 
-// counted checks what took effect of a node's entries, once all has arrived.
-func (f *fleet) counted(is *is.I, n *appends.Node, want ...uint64) {
+// checkApplied waits for late appends and checks which of a node's entries took effect.
+func (f *fleet) checkApplied(is *is.I, n *appends.Node, want ...uint64) {
 	is.Helper()
 	time.Sleep(time.Minute)
 	is.Equal(f.Folded.Of(n.Name()), want)
 }
 
-// silent calls a node and never answers, as one that is dead or cut off.
-func silent(ctx context.Context, _ string, _ func() *fleetv1.Response) (*fleetv1.Response, error) {
+// neverRespond simulates a call of a node that is dead or cut off.
+func neverRespond(ctx context.Context, _ string, _ func() *fleetv1.Response) (*fleetv1.Response, error) {
 	<-ctx.Done()
 	return nil, errors.Trace(ctx.Err())
 }
 
-const answer = time.Second
+const responseTimeout = time.Second
 
-// perRound is how many records take the batches that all nodes submit in one instant: the
-// first one what the gatherer has at once, and one the rest after its interval.
-const perRound = 2
+// recordsPerRound is the number of records for the batches that all nodes submit at the
+// same instant: one for those that the gatherer has at once, and one for the rest after
+// its interval.
+const recordsPerRound = 2
 
 // batchesOf counts the batches in records.
 func batchesOf(is *is.I, records []ports.Record) int {
 	is.Helper()
 	batches := 0
 	for _, r := range records {
-		held, err := record.Decode(r.Data)
+		decoded, err := record.Decode(r.Data)
 		is.NoErr(err)
-		batches += len(held)
+		batches += len(decoded)
 	}
 	return batches
 }
 
-// All nodes settle at once. The first batches go at once, and one record takes all that
-// come while the gatherer waits for its interval.
-func TestManyBatchesAreFewRecords(t *testing.T) {
-	inFleet(t, 10, func(is *is.I, f *fleet) {
+// All nodes submit at the same time. The first batches are appended at once, and all that
+// arrive while the gatherer waits for its interval share one record.
+func TestBatchesAreCombinedIntoFewRecords(t *testing.T) {
+	runWithFleet(t, 10, func(is *is.I, f *fleet) {
 		for range 3 {
-			f.submit(7)
+			f.submitAll(7)
 			time.Sleep(time.Second)
 		}
-		is.True(len(f.Records()) <= 3*perRound)
+		is.True(len(f.Records()) <= 3*recordsPerRound)
 		is.Equal(batchesOf(is, f.Records()), 30)
 		for _, n := range f.nodes {
-			f.counted(is, n, 7, 7, 7)
+			f.checkApplied(is, n, 7, 7, 7)
 		}
 	})
 }
 
-// A gatherer appends no more often than its policy allows, however often it is asked.
-func TestAGathererKeepsItsInterval(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+// A gatherer appends no more often than its policy allows, however many batches it gets.
+func TestGathererLimitsAppendRate(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		for range 500 {
-			f.submit(1)
+			f.submitAll(1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		is.True(len(f.Records()) <= 52) // 5 s at ten a second, and the rest
+		is.True(len(f.Records()) <= 52) // 5 s at 10 per second, plus the remainder
 	})
 }
 
-// The gatherer's process dies. Its nodes' first claims wait for the answer that never
-// comes, a second each; without the rest after it every further one would wait again
+// The gatherer's process dies. The first batch of each of its nodes waits a second for a
+// response that never comes. Without the backoff every further batch would wait as long
 // until the members notice, and requests would be refused meanwhile.
-func TestADeadGathererCostsOneWait(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+func TestDeadGathererDelaysOneAppend(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		dead, n := f.roles()
-		f.OnCall = silent
+		f.OnCall = neverRespond
 		dead.Stop()
-		is.Equal(n.Took(1), appends.Soon+answer)
+		is.Equal(n.Took(1), appends.Soon+responseTimeout)
 		is.Equal(n.Took(2), appends.Soon)
-		is.Equal(n.Appender.Failed(), uint64(1))
+		is.Equal(n.Appender.Fallbacks(), uint64(1))
 		f.Remove(dead) // the members noticed
 		f.OnCall = nil
-		time.Sleep(gather.DefaultPolicy().LeastRest)
+		time.Sleep(gather.DefaultPolicy().MinBackoff)
 		is.Equal(n.Took(3), appends.Soon)
 		synctest.Wait()
-		is.Equal(n.Appender.HandedOn(), uint64(1)) // another one gathers
-		f.counted(is, n, 1, 2, 3)
+		is.Equal(n.Appender.Forwarded(), uint64(1)) // another node gathers
+		f.checkApplied(is, n, 1, 2, 3)
 	})
 }
 
-// A gatherer is paused in the middle of its append, as by a machine that swaps, and
-// goes on half a minute later. Its nodes have appended for themselves since; were the
-// late batch to count again, money would be granted or billed twice.
-func TestALateAppendOfAPausedGathererIsVoid(t *testing.T) {
+// A gatherer is paused in the middle of its append, as on an instance that swaps, and
+// resumes 30 s later. Its nodes have appended directly since; if the late batch counted
+// as well, budget would be granted or billed twice.
+func TestLateAppendOfPausedGathererIsVoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		paused := &heldLog{hold: 30 * time.Second}
+		paused := &delayedLog{delay: 30 * time.Second}
 		f := newFleet(t, 5, paused, nil)
 		paused.Log = f.Log
 		_, n := f.roles()
-		is.Equal(n.Took(1), appends.Soon+answer)
+		is.Equal(n.Took(1), appends.Soon+responseTimeout)
 		is.Equal(n.Took(2), appends.Soon)
 		is.Equal(len(f.Records()), 2)
-		f.counted(is, n, 1, 2)
+		f.checkApplied(is, n, 1, 2)
 		is.Equal(len(f.Records()), 3) // the late one came, and is void
 	})
 }
 
-// The gatherer's answer is lost after its append took effect. The writer reads its
-// batch back and goes on: nobody waits, and nothing is appended twice.
-func TestALostAnswerIsMadeGoodByReading(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+// The gatherer's response is lost after its append took effect. The writer reads its
+// batch back and continues without waiting or appending the batch twice.
+func TestLostResponseIsResolvedByReadBack(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		f.OnCall = func(ctx context.Context, to string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
 			handle()
-			return silent(ctx, to, handle)
+			return neverRespond(ctx, to, handle)
 		}
 		_, n := f.roles()
 		is.Equal(n.Took(1), appends.Soon)
-		is.True(n.Took(2) < answer)
+		is.True(n.Took(2) < responseTimeout)
 		is.Equal(len(f.Records()), 2)
-		is.Equal(n.Appender.Failed(), uint64(0))
-		f.counted(is, n, 1, 2)
+		is.Equal(n.Appender.Fallbacks(), uint64(0))
+		f.checkApplied(is, n, 1, 2)
 	})
 }
 
-// A batch is handed on, its writer gives up and appends it and the next ones itself,
-// and only then the first reaches the gatherer.
-func TestABatchHandedOnLateIsVoid(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+// A forwarded batch reaches the gatherer only after its writer has given up and appended
+// that batch and the next ones directly.
+func TestBatchForwardedLateIsVoid(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		f.OnCall = func(ctx context.Context, to string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
 			time.AfterFunc(20*time.Second, func() { handle() })
-			return silent(ctx, to, handle)
+			return neverRespond(ctx, to, handle)
 		}
 		_, n := f.roles()
 		for tokens := range uint64(3) {
 			n.Took(tokens)
 		}
 		is.Equal(len(f.Records()), 3)
-		f.counted(is, n, 0, 1, 2)
+		f.checkApplied(is, n, 0, 1, 2)
 		is.Equal(len(f.Records()), 4) // the late one came, and is void
 	})
 }
 
 // Each half of a data centre sees only itself, so that two nodes gather. Both append;
-// nothing is lost and nothing counts twice.
-func TestTwoGatherersAtOnce(t *testing.T) {
-	inFleet(t, 10, func(is *is.I, f *fleet) {
+// no entry is lost or counted twice.
+func TestConcurrentGatherersApplyOnce(t *testing.T) {
+	runWithFleet(t, 10, func(is *is.I, f *fleet) {
 		f.Views = func(name string, all []membership.Member) []membership.Member {
 			return slices.DeleteFunc(all, func(m membership.Member) bool { return (m.Node.GetIncarnation() < "f") != (name < "f") })
 		}
-		f.submit(1)
+		f.submitAll(1)
 		gatherers := 0
 		for _, n := range f.nodes {
-			f.counted(is, n, 1)
+			f.checkApplied(is, n, 1)
 			if n.Gatherer.Appends() > 0 {
 				gatherers++
 			}
@@ -219,9 +220,9 @@
 	})
 }
 
-// The gatherer is cut off from the log and its nodes are not. It says so, and they
-// append for themselves, ever longer, in place of asking it before each batch.
-func TestAGathererWithoutTheLogIsLeftAlone(t *testing.T) {
+// Only the gatherer is cut off from the log, and responds with an error. Its nodes append
+// directly, for a doubling time, instead of trying it before each batch.
+func TestGathererCutOffFromLogIsBypassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		down := standin.NewLog()
@@ -230,44 +231,44 @@
 		_, n := f.roles()
 		const rounds = 300
 		for tokens := range uint64(rounds) {
-			is.True(n.Took(tokens) < answer)
+			is.True(n.Took(tokens) < responseTimeout)
 			time.Sleep(time.Second)
 		}
 		is.Equal(len(f.Folded.Of(n.Name())), rounds)
-		is.True(n.Appender.Failed() <= 9) // after 5, 10, 20, 40 and then each 60 s
+		is.True(n.Appender.Fallbacks() <= 9) // after 5, 10, 20, 40 and then every 60 s
 	})
 }
 
-// A fleet is updated node by node. One of the earlier version would take a gathered or
-// packed record for an empty one, and grant and bill otherwise than all others: until the
-// last of them has gone, every record is one that it reads.
-func TestOldNodesGetRecordsThatTheyRead(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+// During a rolling update, a node of the earlier version would take a gathered or packed
+// record for an empty one, and grant and bill differently from all others. Until the last
+// such node is gone, all records must be in the plain form that it reads.
+func TestOldNodesReceivePlainRecords(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		f.Old.Store(true)
-		f.submit(1)
+		f.submitAll(1)
 		time.Sleep(time.Second)
 		records := f.Records()
 		is.Equal(len(records), 5)
-		for _, held := range records {
-			is.NoErr(record.Check(held.Data)) // plain, of one writer
+		for _, r := range records {
+			is.NoErr(record.Check(r.Data)) // a plain batch of one writer
 		}
 		f.Old.Store(false)
-		f.submit(2)
+		f.submitAll(2)
 		for _, n := range f.nodes {
-			f.counted(is, n, 1, 2)
+			f.checkApplied(is, n, 1, 2)
 		}
 		gathered := f.Records()[5:]
-		is.True(len(gathered) <= perRound)
+		is.True(len(gathered) <= recordsPerRound)
 		is.Equal(batchesOf(is, gathered), 5)
 	})
 }
 
-// Two operators change one resource by way of two nodes at the same moment. In one record
-// both changes would make the same version, and whoever saw the first could overwrite the
-// second without being told of it. So each gets an offset of its own.
+// Two operators change one resource through two nodes at the same time. In one record
+// both changes would create the same version, and an operator who saw the first could
+// overwrite the second unnoticed. So each change must get an offset of its own.
 func TestConfigurationChangesAreNotGathered(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
-		f.submit(1)
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
+		f.submitAll(1)
 		time.Sleep(time.Second)
 		before := len(f.Records())
 		offsets := map[uint64]bool{}
@@ -283,23 +284,23 @@
 	})
 }
 
-// A node that stops answers what it holds for others at once, and they append it.
-func TestAStoppedGathererAnswersAtOnce(t *testing.T) {
-	inFleet(t, 5, func(is *is.I, f *fleet) {
+// A gatherer that stops fails its queued batches at once, and their nodes append them.
+func TestStoppedGathererFailsBatchesAtOnce(t *testing.T) {
+	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		gatherer, n := f.roles()
 		n.Took(1)
 		ticket := n.Submit(2)
-		time.Sleep(2 * appends.Soon) // handed on, and held for the gatherer's interval
+		time.Sleep(2 * appends.Soon) // forwarded, and queued for the gatherer's interval
 		gatherer.Stop()
 		began := time.Now()
 		<-ticket.Done()
 		is.Equal(time.Since(began), time.Duration(0))
-		f.counted(is, n, 1, 2)
+		f.checkApplied(is, n, 1, 2)
 	})
 }
 
-// A gatherer whose log doesn't answer holds a bounded amount for others.
-func TestAGathererHoldsABoundedAmount(t *testing.T) {
+// A gatherer that doesn't append, as when the log doesn't respond, queues a bounded amount.
+func TestGathererQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const tried, bound = 100, 8 << 20
@@ -307,18 +308,18 @@
 		var refused atomic.Int32
 		for range tried {
 			go func() {
-				if _, err := g.Append(t.Context(), batchOf(t, "a", bound/tried*2), answer); err != nil {
+				if _, err := g.Append(t.Context(), batchOf(t, "a", bound/tried*2), responseTimeout); err != nil {
 					refused.Add(1)
 				}
 			}()
 		}
 		synctest.Wait()
 		is.True(refused.Load() >= tried/2)
-		is.True(g.Waiting() <= bound)
-		time.Sleep(2 * answer) // their writers have all given up
+		is.True(g.QueuedBytes() <= bound)
+		time.Sleep(2 * responseTimeout) // their writers have all given up
 		go g.Run(t.Context())
-		time.Sleep(answer)
-		is.Equal(g.Waiting(), 0)
+		time.Sleep(responseTimeout)
+		is.Equal(g.QueuedBytes(), 0)
 		is.Equal(g.Appends(), uint64(0))
 	})
 }
--- a/gather/faultylog_test.go
+++ b/gather/faultylog_test.go
@@ -14,17 +14,17 @@
 	"lavenderpin.dev/lavenderpin/internal/standin"
 )
 
-// heldLog lets each append take effect only after a while, also when whoever asked
-// has gone: the sender was paused right before it left.
-type heldLog struct {
+// delayedLog applies each append after a delay, even when the caller has given up by
+// then, as when the sender is paused right before it sends.
+type delayedLog struct {
 	*standin.Log
-	hold time.Duration
+	delay time.Duration
 }
 
-func (l *heldLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+func (l *delayedLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	done := make(chan error, 1)
 	go func() {
-		time.Sleep(l.hold)
+		time.Sleep(l.delay)
 		_, err := l.Log.Append(context.WithoutCancel(ctx), stream, data)
 		done <- err
 	}()
@@ -36,7 +36,7 @@
 	}
 }
 
-// faultyLog loses answers, loses appends, and lets some take effect seconds later.
+// faultyLog loses appends and responses, and applies some appends seconds later.
 type faultyLog struct {
 	*standin.Log
 	mu     sync.Mutex
@@ -44,15 +44,15 @@
 }
 
 func (l *faultyLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	switch l.draw(6) {
+	switch l.randomBelow(6) {
 	case 0:
-		return 0, errors.New("never arrived")
+		return 0, errors.New("request lost")
 	case 1:
 		_, _ = l.Log.Append(ctx, stream, data)
-		return 0, errors.New("the answer was lost")
+		return 0, errors.New("response lost")
 	case 2:
-		held := heldLog{l.Log, time.Duration(l.draw(10_000)) * time.Millisecond}
-		return held.Append(ctx, stream, data)
+		delayed := delayedLog{l.Log, time.Duration(l.randomBelow(10_000)) * time.Millisecond}
+		return delayed.Append(ctx, stream, data)
 	case 3:
 		_, _ = l.Log.Append(ctx, stream, data)
 		<-ctx.Done()
@@ -62,13 +62,13 @@
 	}
 }
 
-func (l *faultyLog) draw(n int) int {
+func (l *faultyLog) randomBelow(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.IntN(n)
 }
 
-// batchOf returns a marshalled batch of about so many bytes.
+// batchOf returns a marshalled batch of about size bytes.
 func batchOf(t *testing.T, writer string, size int) []byte {
 	t.Helper()
 	data, err := proto.Marshal(&recordv1.Batch{Writer: writer, Seq: 1, Entries: []*recordv1.Entry{{Body: &recordv1.Entry_Snapshot{
--- a/gather/gatherer.go
+++ b/gather/gatherer.go
@@ -14,85 +14,85 @@
 )
 
 var (
-	errFull    = errors.New("the gatherer holds as much as it may")
-	errLate    = errors.New("the gatherer's append wasn't answered in time")
-	errForms   = errors.New("not every open node reads gathered records")
-	errStopped = errors.New("the gatherer has stopped")
+	errQueueFull       = errors.New("the gatherer's queue is full")
+	errTimeout         = errors.New("the gatherer's append timed out")
+	errUnsupportedForm = errors.New("not every open node supports gathered records")
+	errStopped         = errors.New("the gatherer has stopped")
 )
 
-// Gatherer appends the batches that nodes hand it, as many as wait in one record. One
-// append is on its way at a time. It is safe for concurrent use.
+// Gatherer appends the batches that nodes forward to it, combining the queued ones into
+// one record. Only one append is in flight at a time. It is safe for concurrent use.
 type Gatherer struct {
 	log    ports.Log
 	stream string
 	clock  clockwork.Clock
 	policy Policy
-	// allRead tells whether every open node reads gathered records.
-	allRead func() bool
+	// gatheredSupported tells whether every open node reads gathered records.
+	gatheredSupported func() bool
 
 	wake chan struct{}
 
-	mu      sync.Mutex
-	waiting []*held
-	bytes   int
-	stopped bool
+	mu          sync.Mutex
+	queue       []*queuedBatch
+	queuedBytes int
+	stopped     bool
 
 	appends atomic.Uint64
 }
 
-// NewGatherer returns a gatherer for a stream of the log. allRead tells whether every
-// open node reads gathered records (record.Forms). Run makes it append.
-func NewGatherer(log ports.Log, stream string, clock clockwork.Clock, policy Policy, allRead func() bool) *Gatherer {
-	return &Gatherer{log: log, stream: stream, clock: clock, policy: policy, allRead: allRead, wake: make(chan struct{}, 1)}
+// NewGatherer returns a gatherer for a stream of the log. gatheredSupported tells whether
+// every open node reads gathered records (record.Forms). It appends only while Run runs.
+func NewGatherer(log ports.Log, stream string, clock clockwork.Clock, policy Policy, gatheredSupported func() bool) *Gatherer {
+	return &Gatherer{log: log, stream: stream, clock: clock, policy: policy, gatheredSupported: gatheredSupported, wake: make(chan struct{}, 1)}
 }
 
-// Appends returns how many records it began to append.
+// Appends returns the number of appends started.
 func (g *Gatherer) Appends() uint64 { return g.appends.Load() }
 
-// Waiting returns how many bytes it holds for others.
-func (g *Gatherer) Waiting() int {
+// QueuedBytes returns the size of the queued batches in bytes.
+func (g *Gatherer) QueuedBytes() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.bytes
+	return g.queuedBytes
 }
 
-// Append returns the offset once a batch is in the log, or an error within wait.
-// After an error the batch may be in the log or get there yet.
+// Append queues a batch and returns its offset once it is in the log, or an error within
+// wait. After an error the batch may be in the log or still reach it.
 func (g *Gatherer) Append(ctx context.Context, batch []byte, wait time.Duration) (uint64, error) {
 	if err := record.Check(batch); err != nil {
 		return 0, errors.Trace(err)
 	}
-	if !g.allRead() {
-		return 0, errors.Trace(errForms)
+	if !g.gatheredSupported() {
+		return 0, errors.Trace(errUnsupportedForm)
 	}
-	wait = min(wait, g.policy.Answer)
-	h := &held{batch: batch, until: g.clock.Now().Add(wait), answer: make(chan answer, 1)}
-	if err := g.hold(h); err != nil {
+	wait = min(wait, g.policy.Timeout)
+	q := &queuedBatch{batch: batch, deadline: g.clock.Now().Add(wait), result: make(chan appendResult, 1)}
+	if err := g.enqueue(q); err != nil {
 		return 0, err
 	}
 	timer := g.clock.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case a := <-h.answer:
-		return a.offset, a.err
+	case result := <-q.result:
+		return result.offset, result.err
 	case <-timer.Chan():
-		return 0, errors.Trace(errLate)
+		return 0, errors.Trace(errTimeout)
 	case <-ctx.Done():
 		return 0, errors.Trace(ctx.Err())
 	}
 }
 
-func (g *Gatherer) hold(h *held) error {
+func (g *Gatherer) enqueue(q *queuedBatch) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped {
 		return errors.Trace(errStopped)
 	}
-	if g.bytes+len(h.batch) > maxWaiting {
-		return errors.Trace(errFull)
+	if g.queuedBytes+len(q.batch) > maxQueuedBytes {
+		return errors.Trace(errQueueFull)
 	}
-	g.waiting = append(g.waiting, h)
-	g.bytes += len(h.batch)
+	g.queue = append(g.queue, q)
+	g.queuedBytes += len(q.batch)
 	g.signal()
 	return nil
 }
@@ -104,11 +104,11 @@
 	}
 }
 
-// Run appends until ctx ends. What still waits then is answered at once, so that its
-// writers append it themselves without waiting for the answer's time.
+// Run appends queued batches until ctx ends. Batches still queued then fail at once, so
+// that their writers append them directly without waiting for the timeout.
 func (g *Gatherer) Run(ctx context.Context) {
-	defer g.stop()
-	var last time.Time
+	defer g.shutDown()
+	var lastAppend time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -118,61 +118,61 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.clock.After(g.policy.Interval - g.clock.Since(last)):
+		case <-g.clock.After(g.policy.AppendInterval - g.clock.Since(lastAppend)):
 		}
-		taken := g.take()
-		if len(taken) == 0 {
+		batches := g.dequeue()
+		if len(batches) == 0 {
 			continue
 		}
-		last = g.clock.Now()
-		g.append(ctx, taken)
+		lastAppend = g.clock.Now()
+		g.appendRecord(ctx, batches)
 	}
 }
 
-// take removes what goes into the next record. It drops what its writer has given up:
-// a gatherer that was paused would otherwise fill the log with void batches.
-func (g *Gatherer) take() []*held {
+// dequeue removes and returns the batches of the next record. It drops those past their
+// deadline: a gatherer that was paused would otherwise fill the log with void batches.
+func (g *Gatherer) dequeue() []*queuedBatch {
 	now := g.clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var taken []*held
+	var dequeued []*queuedBatch
 	size := 0
-	for len(g.waiting) > 0 && size < maxRecord {
-		next := g.waiting[0]
-		g.waiting[0] = nil
-		g.waiting = g.waiting[1:]
-		g.bytes -= len(next.batch)
-		if now.Before(next.until) {
-			taken = append(taken, next)
+	for len(g.queue) > 0 && size < fullRecordBytes {
+		next := g.queue[0]
+		g.queue[0] = nil
+		g.queue = g.queue[1:]
+		g.queuedBytes -= len(next.batch)
+		if now.Before(next.deadline) {
+			dequeued = append(dequeued, next)
 			size += len(next.batch)
 		}
 	}
-	if len(g.waiting) > 0 {
+	if len(g.queue) > 0 {
 		g.signal()
 	}
-	return taken
+	return dequeued
 }
 
-func (g *Gatherer) append(ctx context.Context, taken []*held) {
-	batches := make([][]byte, 0, len(taken))
-	for _, h := range taken {
-		batches = append(batches, h.batch)
+func (g *Gatherer) appendRecord(ctx context.Context, queued []*queuedBatch) {
+	batches := make([][]byte, 0, len(queued))
+	for _, q := range queued {
+		batches = append(batches, q.batch)
 	}
-	attempt, cancel := clockwork.WithTimeout(ctx, g.clock, g.policy.Answer)
+	attempt, cancel := clockwork.WithTimeout(ctx, g.clock, g.policy.Timeout)
 	defer cancel()
 	g.appends.Add(1)
 	offset, err := g.log.Append(attempt, g.stream, record.Pack(record.Join(batches)))
-	for _, h := range taken {
-		h.answer <- answer{offset, errors.Trace(err)}
+	for _, q := range queued {
+		q.result <- appendResult{offset, errors.Trace(err)}
 	}
 }
 
-func (g *Gatherer) stop() {
+func (g *Gatherer) shutDown() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopped = true
-	for _, h := range g.waiting {
-		h.answer <- answer{err: errors.Trace(errStopped)}
+	for _, q := range g.queue {
+		q.result <- appendResult{err: errors.Trace(errStopped)}
 	}
-	g.waiting, g.bytes = nil, 0
+	g.queue, g.queuedBytes = nil, 0
 }
--- a/gather/history_test.go
+++ b/gather/history_test.go
@@ -18,18 +18,17 @@
 )
 
 const (
-	histories = 30
-	perWriter = 40
-	writers   = 6
+	seedCount        = 30
+	entriesPerWriter = 40
+	writers          = 6
 )
 
-// Writers, gatherers and the log all fail in every way at once: calls between nodes are
-// refused, arrive late or lose their answers, views differ from call to call, and the
-// log loses appends, loses answers or takes effect seconds later. Whatever the order,
-// each entry takes effect once and each writer's in the order in which it wrote them:
-// anything else is a settlement billed twice, never, or before its claim.
-func TestEachEntryOnceAndInOrder(t *testing.T) {
-	for seed := range uint64(histories) {
+// Calls between nodes fail, arrive late or lose their responses, views differ from call
+// to call, and the log loses appends and responses or applies appends seconds later.
+// Each entry must still take effect exactly once, and each writer's in the order in which
+// it wrote them: otherwise a settlement is billed twice, never, or before its claim.
+func TestEntriesTakeEffectOnceInOrder(t *testing.T) {
+	for seed := range uint64(seedCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runHistory(t, seed) })
 		})
@@ -38,59 +37,59 @@
 
 func runHistory(t *testing.T, seed uint64) {
 	is := is.New(t)
-	faults := &peerFaults{random: seeded(seed)}
-	log := &faultyLog{random: seeded(seed + histories)}
+	faults := &peerFaults{random: newRandom(seed)}
+	log := &faultyLog{random: newRandom(seed + seedCount)}
 	f := newFleet(t, writers, log, log)
 	log.Log, f.OnCall, f.Views = f.Log, faults.call, faults.view
 	var wait sync.WaitGroup
 	for _, n := range f.nodes {
-		wait.Go(func() { write(n, faults) })
+		wait.Go(func() { submitEntries(n, faults) })
 	}
 	wait.Wait()
 	var want []uint64
-	for i := range uint64(perWriter) {
+	for i := range uint64(entriesPerWriter) {
 		want = append(want, i)
 	}
 	for _, n := range f.nodes {
-		f.counted(is, n, want...)
+		f.checkApplied(is, n, want...)
 	}
-	t.Logf("%d records for %d entries", len(f.Records()), writers*perWriter)
+	t.Logf("%d records for %d entries", len(f.Records()), writers*entriesPerWriter)
 }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 20261203)) }
+func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 20261203)) }
 
-// write submits entries at odd moments and waits for the verdict of each.
-func write(n *appends.Node, faults *peerFaults) {
+// submitEntries submits entries at random intervals and waits for the verdict of each.
+func submitEntries(n *appends.Node, faults *peerFaults) {
 	var wait sync.WaitGroup
-	for i := range uint64(perWriter) {
+	for i := range uint64(entriesPerWriter) {
 		ticket := n.Submit(i)
 		wait.Go(func() { <-ticket.Done() })
-		time.Sleep(time.Duration(faults.draw(300)) * time.Millisecond)
+		time.Sleep(time.Duration(faults.randomBelow(300)) * time.Millisecond)
 	}
 	wait.Wait()
 }
 
-// peerFaults are what goes wrong between nodes.
+// peerFaults injects faults into the calls between nodes and into their views.
 type peerFaults struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func (p *peerFaults) draw(n int) int {
+func (p *peerFaults) randomBelow(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.IntN(n)
 }
 
 func (p *peerFaults) call(ctx context.Context, _ string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
-	switch p.draw(6) {
+	switch p.randomBelow(6) {
 	case 0:
 		return nil, errors.New("cut")
 	case 1:
 		handle()
 		return nil, errors.New("cut")
 	case 2:
-		delay := time.Duration(p.draw(10_000)) * time.Millisecond
+		delay := time.Duration(p.randomBelow(10_000)) * time.Millisecond
 		go func() {
 			time.Sleep(delay)
 			handle()
@@ -102,11 +101,11 @@
 	}
 }
 
-// view leaves some members out, others each time.
+// view leaves out some members at random, different ones at each call.
 func (p *peerFaults) view(_ string, all []membership.Member) []membership.Member {
 	var seen []membership.Member
 	for _, m := range all {
-		if p.draw(5) > 0 {
+		if p.randomBelow(5) > 0 {
 			seen = append(seen, m)
 		}
 	}
--- a/gather/policy.go
+++ b/gather/policy.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Policy tells when batches are gathered.
+// Policy configures when batches are gathered.
 type Policy struct {
-	// Fleet is the least number of nodes of the fleet, this one included, at which any
-	// gather, and From the least in a data centre. Fewer append for themselves: the log
-	// takes that, and a claim then waits for nobody.
-	Fleet, From int
-	// Interval is the least time between the beginnings of two appends of one
-	// gatherer. It bounds what a data centre appends in a second.
-	Interval time.Duration
-	// Answer is how long a node waits for its gatherer before it appends for itself.
-	Answer time.Duration
-	// LeastRest and MostRest bound how long a node then goes on appending for itself;
-	// each failure in a row doubles it.
-	LeastRest, MostRest time.Duration
+	// MinFleetNodes and MinDataCentreNodes are the minimum numbers of nodes, this one
+	// included, of the fleet and of a data centre for its nodes to gather. With fewer,
+	// each node appends directly: the log can take that load, and no claim has to wait
+	// for another node.
+	MinFleetNodes, MinDataCentreNodes int
+	// AppendInterval is the minimum time between the starts of two appends of one
+	// gatherer. It limits a data centre's appends per second.
+	AppendInterval time.Duration
+	// Timeout is how long a node waits for its gatherer before it appends directly.
+	Timeout time.Duration
+	// MinBackoff and MaxBackoff bound how long a node keeps appending directly after a
+	// failure of its gatherer; each consecutive failure doubles the time.
+	MinBackoff, MaxBackoff time.Duration
 }
 
-// DefaultPolicy returns what docs/design/08-appends.md weighs.
+// DefaultPolicy returns the policy that docs/design/08-appends.md gives the reasons for.
 func DefaultPolicy() Policy {
-	return Policy{Fleet: 30, From: 4, Interval: 100 * time.Millisecond, Answer: time.Second,
-		LeastRest: 5 * time.Second, MostRest: time.Minute}
+	return Policy{MinFleetNodes: 30, MinDataCentreNodes: 4, AppendInterval: 100 * time.Millisecond, Timeout: time.Second,
+		MinBackoff: 5 * time.Second, MaxBackoff: time.Minute}
 }
 
 const (
-	// maxBatch is the largest batch that is handed on, in bytes; a larger one saves
-	// nothing by company.
-	maxBatch = 256 << 10
-	// maxRecord is from where on a gathered record is closed, in bytes.
-	maxRecord = 1 << 20
-	// maxWaiting bounds what a gatherer holds for others, in bytes.
-	maxWaiting = 8 << 20
+	// maxSharedBatchBytes is the largest batch that is forwarded, in bytes; sharing a record
+	// gains nothing for a larger one.
+	maxSharedBatchBytes = 256 << 10
+	// fullRecordBytes is the size in bytes at which no more batches join a record.
+	fullRecordBytes = 1 << 20
+	// maxQueuedBytes bounds the batches in a gatherer's queue, in bytes.
+	maxQueuedBytes = 8 << 20
 )
--- a/internal/experiment/appends/fleet.go
+++ b/internal/experiment/appends/fleet.go
@@ -76,7 +76,7 @@
 	n.Gatherer = gather.NewGatherer(gathered, Stream, f.clock, f.Policy, f.allRead)
 	n.Appender = gather.NewAppender(gather.Config{
 		Self: info, Members: func() []membership.Member { return f.Seen(n.Name()) }, Local: n.Gatherer,
-		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, AllRead: f.allRead,
+		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, GatheredSupported: f.allRead,
 	})
 	n.Writer = recordlog.NewWriter(alone, Stream, n.Name(), f.clock, events.Clock(), Soon)
 	n.Writer.Through(n.Appender)
