--- a/node/gather.go
+++ b/node/gather.go
@@ -20,7 +20,7 @@
 		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allRead),
 		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, GatheredSupported: n.allRead,
 	})
-	n.writer.Through(n.appender)
+	n.writer.SetAppender(n.appender)
 }
 
 // answerHandOn appends a batch of another node.
--- a/node/node.go
+++ b/node/node.go
@@ -189,7 +189,7 @@
 	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
 	n.budgets.folded(batch, verdicts)
 	n.recordFolded(batch, verdicts)
-	n.writer.Folded(batch, verdicts)
+	n.writer.HandleFolded(batch, verdicts)
 }
 
 func (n *Node) recordFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
--- a/node/relay.go
+++ b/node/relay.go
@@ -69,7 +69,7 @@
 func (n *Node) restored(offset uint64) {
 	n.events.Record(event.StateRestored, "offset", offset)
 	n.snapshots.Restored(offset)
-	n.writer.Restored(n.follower.LastSeq(n.Incarnation()))
+	n.writer.HandleRestore(n.follower.LastSeq(n.Incarnation()))
 	if n.State() != StateStarting {
 		n.holder.RevokeRight()
 		n.outrunOnce.Do(func() { close(n.outrun) })
--- a/recordlog/doc.go
+++ b/recordlog/doc.go
@@ -1,8 +1,8 @@
-// Package recordlog is a node's side of the platform's log: Writer gathers entries
-// into one append at a time (group commit), Follower reads the stream back and
-// folds it.
+// Package recordlog is a node's client of the platform's log: Writer batches entries and
+// appends one batch at a time (group commit), Follower reads the stream back and applies
+// its records to the state.
 //
-// An entry counts only once the Follower has folded it: the answer to an append
-// can be lost after the append took effect, and an append that seemed to succeed
-// can still lose against an earlier claim.
+// An entry takes effect only once the Follower has applied it: the response to an append
+// can be lost after the append took effect, and an entry that was appended can still lose
+// to an earlier claim.
 package recordlog
--- a/recordlog/follower.go
+++ b/recordlog/follower.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	readMax  = 1000
-	readWait = 500 * time.Millisecond
+	maxReadRecords = 1000
+	readWait       = 500 * time.Millisecond
 	// restoreTimeout bounds the search for a usable snapshot.
 	restoreTimeout = time.Minute
-	// neverRead is told as the time since the log last answered before it ever did.
+	// neverRead is what SinceRead returns before the log answered for the first time.
 	neverRead = 24 * time.Hour
 )
 
-// FoldedFunc is told of each batch after its record was folded, in offset order;
-// batches of one record have its offset.
+// FoldedFunc is called for each batch after its record was applied, in offset order;
+// all batches of a record have its offset.
 type FoldedFunc func(offset uint64, batch *recordv1.Batch, verdicts []fold.Verdict)
 
-// RestoredFunc is told that the whole state was replaced by a later one.
-type RestoredFunc func(offset uint64)
+// RestoreFunc is called after the whole state was replaced by a later one.
+type RestoreFunc func(offset uint64)
 
-// Follower reads a source in offset order and folds it.
+// Follower reads a source in offset order and applies its records to a fold.Engine.
 type Follower struct {
 	source     Source
 	clock      clockwork.Clock
 	onFolded   []FoldedFunc
-	onRestored []RestoredFunc
-	recent     *Recent
+	onRestored []RestoreFunc
+	recent     *RecentRecords
 
-	// mu guards the engine: State is asked for while the follower folds.
+	// mu guards the engine: State may be called while the follower applies records.
 	mu     sync.Mutex
 	engine *fold.Engine
 
@@ -50,33 +50,33 @@
 	lastRead atomic.Int64
 }
 
-// NewFollower returns a follower of a stream of the log that starts where the
-// engine stands.
+// NewFollower returns a follower of a stream of the log that starts after the engine's
+// offset.
 func NewFollower(log ports.Log, stream string, clock clockwork.Clock, engine *fold.Engine, onFolded ...FoldedFunc) *Follower {
 	return NewSourceFollower(NewLogSource(log, stream), clock, engine, onFolded...)
 }
 
-// NewSourceFollower returns a follower of a source that starts where the engine stands.
+// NewSourceFollower returns a follower of a source that starts after the engine's offset.
 func NewSourceFollower(source Source, clock clockwork.Clock, engine *fold.Engine, onFolded ...FoldedFunc) *Follower {
 	f := &Follower{source: source, clock: clock, engine: engine, onFolded: onFolded, recent: newRecent(engine.Offset() + 1)}
 	f.offset.Store(engine.Offset())
 	return f
 }
 
-// OnRestored registers a function that is told when the state was replaced by a
-// snapshot. It must be called before Run.
-func (f *Follower) OnRestored(told RestoredFunc) { f.onRestored = append(f.onRestored, told) }
+// OnRestored registers a function to call after the state was replaced by a later one.
+// It must be called before Run.
+func (f *Follower) OnRestored(fn RestoreFunc) { f.onRestored = append(f.onRestored, fn) }
 
-// Offset returns the last offset folded.
+// Offset returns the last offset applied.
 func (f *Follower) Offset() uint64 { return f.offset.Load() }
 
-// Recent returns the records folded last.
-func (f *Follower) Recent() *Recent { return f.recent }
+// Recent returns the records applied last.
+func (f *Follower) Recent() *RecentRecords { return f.recent }
 
-// CaughtUp tells whether the follower has once reached the end of the stream.
+// CaughtUp tells whether the follower has ever reached the end of the stream.
 func (f *Follower) CaughtUp() bool { return f.caughtUp.Load() }
 
-// SinceRead returns how long ago the log last answered; a day before its first answer.
+// SinceRead returns how long ago the log last answered; 24 hours before its first answer.
 func (f *Follower) SinceRead() time.Duration {
 	last := f.lastRead.Load()
 	if last == 0 {
@@ -85,14 +85,14 @@
 	return f.clock.Since(time.Unix(0, last))
 }
 
-// State returns the whole folded state.
+// State returns the whole state.
 func (f *Follower) State() (*recordv1.FoldState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engine.State()
 }
 
-// LastSeq returns the last sequence folded for a writer.
+// LastSeq returns the last sequence number applied for a writer.
 func (f *Follower) LastSeq(writer string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,36 +101,36 @@
 
 // Run follows the stream until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 50 * time.Millisecond
-	pause.MaxInterval = maxBackoff
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = 50 * time.Millisecond
+	retry.MaxInterval = maxBackoff
 	for ctx.Err() == nil {
 		if err := f.Step(ctx, readWait); err == nil {
-			pause.Reset()
+			retry.Reset()
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-f.clock.After(pause.NextBackOff()):
+		case <-f.clock.After(retry.NextBackOff()):
 		}
 	}
 }
 
-// Step reads once and folds what came. When the records needed aged out, it
+// Step reads once and applies the records. When the records that it needs aged out, it
 // restores a later state instead.
 func (f *Follower) Step(ctx context.Context, wait time.Duration) error {
-	attempt, cancel := clockwork.WithTimeout(ctx, f.clock, wait+appendTimeout)
+	readCtx, cancel := clockwork.WithTimeout(ctx, f.clock, wait+appendTimeout)
 	defer cancel()
-	slice, err := f.source.Read(attempt, f.Offset()+1, readMax, wait)
+	slice, err := f.source.Read(readCtx, f.Offset()+1, maxReadRecords, wait)
 	if errors.Is(err, ports.ErrAgedOut) {
 		return f.restore(ctx)
 	}
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f.heard(slice.Age)
+	f.noteLogAnswer(slice.Age)
 	for _, r := range slice.Records {
-		f.fold(r)
+		f.applyRecord(r)
 	}
 	if f.Offset()+1 >= slice.Next {
 		f.caughtUp.Store(true)
@@ -138,9 +138,9 @@
 	return nil
 }
 
-// heard notes when the log last answered. News by way of other nodes can be older
-// than what this node knows already.
-func (f *Follower) heard(age time.Duration) {
+// noteLogAnswer updates when the log last answered. An age reported by another node can
+// be older than what this node already knows.
+func (f *Follower) noteLogAnswer(age time.Duration) {
 	if age >= neverRead {
 		return
 	}
@@ -149,9 +149,9 @@
 }
 
 func (f *Follower) restore(ctx context.Context) error {
-	attempt, cancel := clockwork.WithTimeout(ctx, f.clock, restoreTimeout)
+	restoreCtx, cancel := clockwork.WithTimeout(ctx, f.clock, restoreTimeout)
 	defer cancel()
-	state, err := f.source.State(attempt, f.Offset())
+	state, err := f.source.State(restoreCtx, f.Offset())
 	if err != nil {
 		return errors.Annotatef(err, "the records after offset %d aged out", f.Offset())
 	}
@@ -162,32 +162,32 @@
 		return errors.Trace(err)
 	}
 	f.offset.Store(state.GetOffset())
-	f.recent.restart(state.GetOffset() + 1)
-	for _, told := range f.onRestored {
-		told(state.GetOffset())
+	f.recent.reset(state.GetOffset() + 1)
+	for _, fn := range f.onRestored {
+		fn(state.GetOffset())
 	}
 	return nil
 }
 
-// fold applies one record. One that can't be read is passed over by every
-// node alike, so that one bad append can't stop the fleet.
-func (f *Follower) fold(r ports.Record) {
+// applyRecord applies one record. Every node skips an undecodable record in the same way,
+// so that one bad append can't stop the fleet.
+func (f *Follower) applyRecord(r ports.Record) {
 	batches, err := record.Decode(r.Data)
 	if err != nil {
 		batches = []*recordv1.Batch{{}}
 	}
 	f.mu.Lock()
-	known := r.Offset <= f.engine.Offset()
+	duplicate := r.Offset <= f.engine.Offset()
 	verdicts := f.engine.ApplyRecord(r.Offset, batches)
 	f.mu.Unlock()
-	if known {
+	if duplicate {
 		return
 	}
 	f.offset.Store(r.Offset)
 	f.recent.add(r)
 	for i, batch := range batches {
-		for _, told := range f.onFolded {
-			told(r.Offset, batch, verdicts[i])
+		for _, fn := range f.onFolded {
+			fn(r.Offset, batch, verdicts[i])
 		}
 	}
 }
--- a/recordlog/queue.go
+++ b/recordlog/queue.go
@@ -1,22 +1,22 @@
 package recordlog
 
-// leastSwept is the length under which a queue isn't searched for withdrawn tickets.
-const leastSwept = 256
+// minCompactLen is the length below which a queue isn't compacted.
+const minCompactLen = 256
 
-// queue holds tickets that wait for a batch. The caller locks.
+// queue holds tickets that wait for a batch. The caller must hold the writer's lock.
 //
-// While the log is out nothing is taken, and each request that gives up leaves its
-// withdrawn ticket behind: over hours they would fill the memory of a small instance,
-// which would show as a node that dies late in an outage. So withdrawn ones are swept
-// out whenever the queue has doubled, at a constant cost for each ticket added.
+// While the log is down nothing is taken, and each request that gives up leaves its
+// withdrawn ticket behind. Over hours these would exhaust the memory of a small instance
+// and kill the node late in an outage. So withdrawn tickets are removed whenever the queue
+// has doubled, at a constant amortized cost per ticket added.
 type queue struct {
-	tickets []*Ticket
-	sweepAt int
+	tickets   []*Ticket
+	compactAt int
 }
 
 func (q *queue) add(ticket *Ticket) {
-	if len(q.tickets) >= max(q.sweepAt, leastSwept) {
-		q.sweep()
+	if len(q.tickets) >= max(q.compactAt, minCompactLen) {
+		q.compact()
 	}
 	q.tickets = append(q.tickets, ticket)
 }
@@ -26,7 +26,7 @@
 	if len(q.tickets) <= n {
 		taken := q.tickets
 		q.tickets = nil
-		q.sweepAt = 0
+		q.compactAt = 0
 		return taken
 	}
 	taken := q.tickets[:n]
@@ -36,14 +36,14 @@
 
 func (q *queue) len() int { return len(q.tickets) }
 
-// sweep copies what is left, so that the old room is freed.
-func (q *queue) sweep() {
-	var left []*Ticket
+// compact removes withdrawn tickets by copying the others, so that the old array is freed.
+func (q *queue) compact() {
+	var kept []*Ticket
 	for _, ticket := range q.tickets {
 		if !ticket.withdrawn() {
-			left = append(left, ticket)
+			kept = append(kept, ticket)
 		}
 	}
-	q.tickets = left
-	q.sweepAt = 2 * len(left)
+	q.tickets = kept
+	q.compactAt = 2 * len(kept)
 }
--- a/recordlog/recent.go
+++ b/recordlog/recent.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	// recentRecords and recentBytes bound what a node keeps for others. One that
-	// lags further reads the log itself.
-	recentRecords = 4096
-	recentBytes   = 8 << 20
+	// maxRecentRecords and maxRecentBytes bound the records that a node keeps for other
+	// nodes. A node that lags further behind reads the log itself.
+	maxRecentRecords = 4096
+	maxRecentBytes   = 8 << 20
 )
 
-// Recent holds the records that a follower folded last, so that other nodes can
+// RecentRecords holds the records that a follower applied last, so that other nodes can
 // read them from this one. It is safe for concurrent use.
-type Recent struct {
-	mu      sync.Mutex
-	records []ports.Record
-	bytes   int
-	next    uint64
-	grown   chan struct{}
+type RecentRecords struct {
+	mu       sync.Mutex
+	records  []ports.Record
+	bytes    int
+	next     uint64
+	appended chan struct{}
 }
 
-func newRecent(next uint64) *Recent {
-	return &Recent{next: next, grown: make(chan struct{})}
+func newRecent(next uint64) *RecentRecords {
+	return &RecentRecords{next: next, appended: make(chan struct{})}
 }
 
-// add takes the record that was folded after those held.
-func (r *Recent) add(record ports.Record) {
+// add appends the next record and drops the oldest ones beyond the bounds.
+func (r *RecentRecords) add(record ports.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = append(r.records, record)
 	r.bytes += len(record.Data)
-	for len(r.records) > recentRecords || r.bytes > recentBytes {
+	for len(r.records) > maxRecentRecords || r.bytes > maxRecentBytes {
 		r.bytes -= len(r.records[0].Data)
 		r.records[0].Data = nil
 		r.records = r.records[1:]
 	}
-	r.move(record.Offset + 1)
+	r.advance(record.Offset + 1)
 }
 
-// restart forgets all records: those held aren't followed by the next one.
-func (r *Recent) restart(next uint64) {
+// reset drops all records, since the one at next doesn't directly follow them.
+func (r *RecentRecords) reset(next uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = nil
 	r.bytes = 0
-	r.move(next)
+	r.advance(next)
 }
 
-func (r *Recent) move(next uint64) {
+func (r *RecentRecords) advance(next uint64) {
 	r.next = next
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.appended)
+	r.appended = make(chan struct{})
 }
 
-// Read returns up to max records from an offset on without waiting; grown is
-// closed once there are more. It fails with ports.ErrAgedOut when from isn't
-// held any more.
-func (r *Recent) Read(from uint64, max int) (slice ports.Slice, grown <-chan struct{}, err error) {
+// Read returns up to max records from an offset on without waiting; appended is closed
+// once there are more. It fails with ports.ErrAgedOut when the record at from is no
+// longer held.
+func (r *RecentRecords) Read(from uint64, max int) (slice ports.Slice, appended <-chan struct{}, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slice = ports.Slice{Oldest: r.next, Next: r.next}
@@ -75,7 +75,7 @@
 	if len(slice.Records) > max {
 		slice.Records = slice.Records[:max]
 	}
-	// The ring is cut and appended to later; its records never change.
+	// The buffer is trimmed and appended to later; its records never change.
 	slice.Records = append([]ports.Record(nil), slice.Records...)
-	return slice, r.grown, nil
+	return slice, r.appended, nil
 }
--- a/recordlog/snapshot_test.go
+++ b/recordlog/snapshot_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	stream    = "fleet"
-	budgetOne = "b"
+	stream     = "fleet"
+	testBudget = "b"
 )
 
-// reader is one node's fold of the log.
-type reader struct {
+// testReplica is one node's ledger, built from the log.
+type testReplica struct {
 	ledger   *budget.Ledger
 	follower *recordlog.Follower
 }
 
-func newReader(log *standin.Log) *reader {
+func newTestReplica(log *standin.Log) *testReplica {
 	ledger := budget.NewLedger()
-	return &reader{ledger, recordlog.NewFollower(log, stream, clockwork.NewFakeClock(), fold.NewEngine(ledger))}
+	return &testReplica{ledger, recordlog.NewFollower(log, stream, clockwork.NewFakeClock(), fold.NewEngine(ledger))}
 }
 
-func (r *reader) catchUp(is *is.I) {
+func (r *testReplica) catchUp(is *is.I) {
 	is.Helper()
 	for before := ^uint64(0); before != r.follower.Offset(); {
 		before = r.follower.Offset()
@@ -42,42 +42,42 @@
 	}
 }
 
-func (r *reader) prepaid() uint64 { return r.ledger.Budget(budgetOne).Prepaid }
+func (r *testReplica) prepaid() uint64 { return r.ledger.Budget(testBudget).Prepaid }
 
-// appender writes batches of one incarnation straight to the log.
-type appender struct {
+// testWriter appends batches of one incarnation directly to the log.
+type testWriter struct {
 	log  *standin.Log
 	name string
 	seq  uint64
 }
 
-func (a *appender) append(is *is.I, entries ...*recordv1.Entry) []byte {
+func (a *testWriter) append(is *is.I, entries ...*recordv1.Entry) []byte {
 	is.Helper()
 	a.seq++
 	data, err := proto.Marshal(&recordv1.Batch{Writer: a.name, Seq: a.seq, Entries: entries})
 	is.NoErr(err)
-	a.again(is, data)
+	a.appendRaw(is, data)
 	return data
 }
 
-func (a *appender) again(is *is.I, data []byte) {
+func (a *testWriter) appendRaw(is *is.I, data []byte) {
 	is.Helper()
 	_, err := a.log.Append(context.Background(), stream, data)
 	is.NoErr(err)
 }
 
-func (a *appender) topUps(is *is.I, n int) []byte {
+func (a *testWriter) topUps(is *is.I, n int) []byte {
 	is.Helper()
 	var last []byte
 	for range n {
 		last = a.append(is, &recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{
-			TopUp: &operatorv1.TopUp{Id: fmt.Sprint(a.name, a.seq), Budget: budgetOne, Tokens: 1}}}})
+			TopUp: &operatorv1.TopUp{Id: fmt.Sprint(a.name, a.seq), Budget: testBudget, Tokens: 1}}}})
 	}
 	return last
 }
 
-// chunks returns the entries of a snapshot of what the reader folded, cut small.
-func chunks(is *is.I, r *reader, parts int) []*recordv1.Entry {
+// chunks returns a snapshot of the replica's state, split into the given number of entries.
+func chunks(is *is.I, r *testReplica, parts int) []*recordv1.Entry {
 	is.Helper()
 	state, err := r.follower.State()
 	is.NoErr(err)
@@ -92,13 +92,13 @@
 	return entries
 }
 
-// A node was away for longer than the log keeps its records. Without the snapshot
-// between them it could never fold again, and would serve with the budgets of last week.
-func TestRecordsAgedOutWhileAway(t *testing.T) {
+// A node was down for longer than the log keeps its records. Without the snapshot in the
+// log it could never catch up, and would serve with outdated budgets.
+func TestNodeRestoresAfterRecordsAgedOut(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
-	writer := &appender{log: log, name: "w"}
-	away, here := newReader(log), newReader(log)
+	writer := &testWriter{log: log, name: "w"}
+	away, here := newTestReplica(log), newTestReplica(log)
 	writer.topUps(is, 3)
 	away.catchUp(is)
 	writer.topUps(is, 10)
@@ -109,51 +109,51 @@
 	}
 	writer.topUps(is, 2)
 	log.Keep(5)
-	writer.again(is, late) // folded before the restored state, and void after it as well
+	writer.appendRaw(is, late) // applied before the restored state, and void after it as well
 	is.Equal(away.prepaid(), uint64(3))
 	away.catchUp(is)
 	here.catchUp(is)
 	is.Equal(away.prepaid(), uint64(16))
 	is.Equal(here.prepaid(), uint64(16))
 
-	fresh := newReader(log)
+	fresh := newTestReplica(log)
 	fresh.catchUp(is)
 	is.Equal(fresh.prepaid(), uint64(16))
 }
 
-// A batch is appended twice because the answer was lost, once before a snapshot and
-// once, late, after it. A node that starts from the snapshot must know that the second
-// is a repetition, or the budget is topped up twice there alone.
-func TestLateDuplicateAfterSnapshot(t *testing.T) {
+// A batch is appended twice because the response was lost, once before a snapshot and
+// once, late, after it. A node that starts from the snapshot must recognize the second as
+// a duplicate, or its shares are granted twice on that node alone.
+func TestLateDuplicateAfterSnapshotIsVoid(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
-	writer, here := &appender{log: log, name: "w"}, newReader(log)
+	writer, here := &testWriter{log: log, name: "w"}, newTestReplica(log)
 	claim := writer.append(is, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{Number: 1,
 		Node: &recordv1.NodeInfo{PeerAddress: "a"}}}})
 	writer.topUps(is, 4)
-	shares := writer.append(is, &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: budgetOne, Tokens: 2}}})
+	shares := writer.append(is, &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: testBudget, Tokens: 2}}})
 	here.catchUp(is)
-	other := &appender{log: log, name: "other"}
+	other := &testWriter{log: log, name: "other"}
 	other.append(is, chunks(is, here, 1)...)
-	other.again(is, shares)
-	other.again(is, claim)
+	other.appendRaw(is, shares)
+	other.appendRaw(is, claim)
 	log.Keep(3)
-	fresh := newReader(log)
+	fresh := newTestReplica(log)
 	here.catchUp(is)
 	fresh.catchUp(is)
-	is.Equal(here.ledger.Budget(budgetOne).Shares["w"].Granted, uint64(2))
-	is.Equal(fresh.ledger.Budget(budgetOne).Shares["w"].Granted, uint64(2))
+	is.Equal(here.ledger.Budget(testBudget).Shares["w"].Granted, uint64(2))
+	is.Equal(fresh.ledger.Budget(testBudget).Shares["w"].Granted, uint64(2))
 }
 
-// The writer of a snapshot is killed between two chunks, two write at the same time,
-// and one chunk is corrupt. A node that starts then must skip all of these and take
-// the snapshot that is whole; folding half a state would lose accounts and budgets.
+// The writer of a snapshot is killed between two chunks, two writers interleave, and one
+// chunk is corrupt. A node that starts must skip the broken snapshots and restore the
+// complete one; restoring a partial state would lose accounts and budgets.
 func TestBrokenSnapshotsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
-	writer, here := &appender{log: log, name: "w"}, newReader(log)
-	killed, corrupt := &appender{log: log, name: "killed"}, &appender{log: log, name: "corrupt"}
-	one, two := &appender{log: log, name: "one"}, &appender{log: log, name: "two"}
+	writer, here := &testWriter{log: log, name: "w"}, newTestReplica(log)
+	killed, corrupt := &testWriter{log: log, name: "killed"}, &testWriter{log: log, name: "corrupt"}
+	one, two := &testWriter{log: log, name: "one"}, &testWriter{log: log, name: "two"}
 	writer.topUps(is, 20)
 	here.catchUp(is)
 	killed.append(is, chunks(is, here, 3)[0])
@@ -167,29 +167,29 @@
 		one.append(is, first[i])
 		two.append(is, second[i])
 	}
-	late := killed.append(is, first[2]) // of another row: it must not complete anything
-	killed.again(is, late)
+	late := killed.append(is, first[2]) // of another snapshot: it must not complete any
+	killed.appendRaw(is, late)
 	log.Keep(10)
 
-	fresh := newReader(log)
+	fresh := newTestReplica(log)
 	fresh.catchUp(is)
 	is.Equal(fresh.prepaid(), uint64(21))
 	is.Equal(fresh.follower.Offset(), here.follower.Offset()+8)
 }
 
-// The only snapshot left ends before the oldest record kept: the records between them
-// are gone. A node that took it would miss accepted changes for ever, so it waits.
+// The only snapshot left ends before the oldest record kept: the records between them are
+// gone. A node that restored it would miss accepted changes forever, so it waits.
 func TestSnapshotWithGapIsRefused(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
-	writer, here := &appender{log: log, name: "w"}, newReader(log)
+	writer, here := &testWriter{log: log, name: "w"}, newTestReplica(log)
 	writer.topUps(is, 5)
 	here.catchUp(is)
 	old := chunks(is, here, 1)
 	writer.topUps(is, 5)
 	log.Keep(1)
 	writer.append(is, old...)
-	fresh := newReader(log)
+	fresh := newTestReplica(log)
 	err := fresh.follower.Step(context.Background(), 0)
 	is.True(err != nil)
 	is.Equal(fresh.follower.Offset(), uint64(0))
--- a/recordlog/source.go
+++ b/recordlog/source.go
@@ -9,25 +9,24 @@
 	"lavenderpin.dev/lavenderpin/snapshot"
 )
 
-// Slice is what one read from a source returned.
+// Slice is the result of one read from a source.
 type Slice struct {
 	ports.Slice
-	// Age is how long ago the log itself last answered: 0 when the log was read,
-	// more when the records came by way of other nodes.
+	// Age is how long ago the log itself last answered: 0 when the log was read, more
+	// when the records came through other nodes.
 	Age time.Duration
 }
 
-// Source is where records come from: the log, or another node that read it.
+// Source reads records from the log or from another node that read it.
 type Source interface {
 	// Read returns up to max records from an offset on and waits up to wait for the
 	// first one. It fails with ports.ErrAgedOut when from is no longer kept.
 	Read(ctx context.Context, from uint64, max int, wait time.Duration) (Slice, error)
-	// State returns a folded state that is ahead of an offset, for whoever finds
-	// that the records it needs aged out.
+	// State returns a state beyond an offset, for a node whose next records aged out.
 	State(ctx context.Context, ahead uint64) (*recordv1.FoldState, error)
 }
 
-// LogSource is a stream of the platform's log as a Source.
+// LogSource implements Source by a stream of the platform's log.
 type LogSource struct {
 	log    ports.Log
 	stream string
@@ -46,12 +45,12 @@
 	return Slice{Slice: slice}, err
 }
 
-// State implements Source by the first usable snapshot in the log.
-func (s *LogSource) State(ctx context.Context, ahead uint64) (*recordv1.FoldState, error) {
-	return snapshot.Find(ctx, streamReader{s}, ahead)
+// State implements Source. It returns the first usable snapshot in the log.
+func (s *LogSource) State(ctx context.Context, after uint64) (*recordv1.FoldState, error) {
+	return snapshot.Find(ctx, streamReader{s}, after)
 }
 
-// streamReader is a LogSource as snapshot.Find takes it.
+// streamReader adapts a LogSource to snapshot.Reader.
 type streamReader struct{ source *LogSource }
 
 // Read implements snapshot.Reader.
--- a/recordlog/ticket.go
+++ b/recordlog/ticket.go
@@ -9,7 +9,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Ticket follows one submitted entry to its verdict.
+// Ticket tracks a submitted entry until its verdict is known.
 type Ticket struct {
 	entry   *recordv1.Entry
 	verdict chan fold.Verdict
@@ -17,7 +17,7 @@
 }
 
 const (
-	ticketWaiting int32 = iota
+	ticketQueued int32 = iota
 	ticketSent
 	ticketWithdrawn
 )
@@ -26,18 +26,18 @@
 	return &Ticket{entry: entry, verdict: make(chan fold.Verdict, 1)}
 }
 
-// Withdraw takes the entry back; true means that it never left this node, so that
-// "nothing was changed" is the truth. False means that it may take effect yet.
+// Withdraw cancels the entry. True means that it never left this node, so that nothing
+// was changed; false means that it may still take effect.
 func (t *Ticket) Withdraw() bool {
-	return t.state.CompareAndSwap(ticketWaiting, ticketWithdrawn) || t.state.Load() == ticketWithdrawn
+	return t.state.CompareAndSwap(ticketQueued, ticketWithdrawn) || t.state.Load() == ticketWithdrawn
 }
 
 func (t *Ticket) withdrawn() bool { return t.state.Load() == ticketWithdrawn }
 
-// send claims the entry for a batch; false when it was withdrawn.
-func (t *Ticket) send() bool { return t.state.CompareAndSwap(ticketWaiting, ticketSent) }
+// markSent marks the entry as part of a batch; false when it was withdrawn.
+func (t *Ticket) markSent() bool { return t.state.CompareAndSwap(ticketQueued, ticketSent) }
 
-// Done delivers the verdict once.
+// Done returns a channel that delivers the verdict once.
 func (t *Ticket) Done() <-chan fold.Verdict { return t.verdict }
 
 // Wait returns the verdict. When ctx ends first it fails with LogUnavailable if
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -19,53 +19,53 @@
 )
 
 const (
-	// maxBatchEntries bounds one append.
+	// maxBatchEntries bounds the queued entries in one batch.
 	maxBatchEntries = 2048
-	// appendTimeout is how long one append may take before it is tried again.
+	// appendTimeout is how long one append may take before it is retried.
 	appendTimeout = 5 * time.Second
 	maxBackoff    = 2 * time.Second
 )
 
-// ErrReadBack is the cause of a context's end when the batch whose append it bounds was
-// read back from the log: it counts, whatever becomes of the answer.
+// ErrReadBack is the cancellation cause of an append's context when the batch was read
+// back from the log: the append took effect, whether or not it is answered.
 var ErrReadBack = errors.New("the batch was read back")
 
 // Writer appends the entries of one incarnation, one batch at a time. All methods
 // are safe for concurrent use.
 type Writer struct {
-	appender Appender
-	writer   string
-	clock    clockwork.Clock
-	hlc      *event.HLC
-	gather   time.Duration
+	appender   Appender
+	writer     string
+	clock      clockwork.Clock
+	hlc        *event.HLC
+	batchDelay time.Duration
 
 	wake    chan struct{}
 	sources []func() []*recordv1.Entry
 
-	mu      sync.Mutex
-	waiting queue
-	seq     uint64
-	pending map[uint64][]*Ticket
-	read    uint64
-	// known is closed once the batch that is being appended was read back.
-	known chan struct{}
+	mu           sync.Mutex
+	queue        queue
+	seq          uint64
+	pending      map[uint64][]*Ticket
+	lastReadBack uint64
+	// readBack is closed once the batch in flight was read back.
+	readBack chan struct{}
 
 	appends atomic.Uint64
 	failing atomic.Bool
 }
 
-// NewWriter returns a writer that appends to a stream as an incarnation and
-// gathers entries for the given time before each append.
-func NewWriter(log ports.Log, stream, incarnation string, clock clockwork.Clock, hlc *event.HLC, gather time.Duration) *Writer {
+// NewWriter returns a writer that appends to a stream as an incarnation and collects
+// entries for batchDelay before each append.
+func NewWriter(log ports.Log, stream, incarnation string, clock clockwork.Clock, hlc *event.HLC, batchDelay time.Duration) *Writer {
 	return &Writer{
-		appender: NewLogAppender(log, stream, nil), writer: incarnation, clock: clock, hlc: hlc, gather: gather,
+		appender: NewLogAppender(log, stream, nil), writer: incarnation, clock: clock, hlc: hlc, batchDelay: batchDelay,
 		wake: make(chan struct{}, 1), pending: map[uint64][]*Ticket{},
 	}
 }
 
-// Through makes the writer append by way of another appender than the log itself. It
-// must be called before Run.
-func (w *Writer) Through(appender Appender) { w.appender = appender }
+// SetAppender replaces the default appender, which appends directly to the log. It must
+// be called before Run.
+func (w *Writer) SetAppender(appender Appender) { w.appender = appender }
 
 // AddSource registers a function that contributes entries whenever a batch is
 // built. It must be called before Run.
@@ -75,13 +75,13 @@
 func (w *Writer) Submit(entry *recordv1.Entry) *Ticket {
 	ticket := newTicket(entry)
 	w.mu.Lock()
-	w.waiting.add(ticket)
+	w.queue.add(ticket)
 	w.mu.Unlock()
 	w.Wake()
 	return ticket
 }
 
-// Wake makes the writer build a batch soon, for sources that have something.
+// Wake makes the writer build a batch soon, for sources that have entries.
 func (w *Writer) Wake() {
 	select {
 	case w.wake <- struct{}{}:
@@ -89,7 +89,7 @@
 	}
 }
 
-// Appends returns how many appends were tried, batches handed on included.
+// Appends returns how many appends were tried, including batches forwarded to a gatherer.
 func (w *Writer) Appends() uint64 { return w.appends.Load() }
 
 // Failing tells whether the last append failed.
@@ -106,27 +106,27 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.clock.After(w.gather):
+		case <-w.clock.After(w.batchDelay):
 		}
-		if batch := w.build(); batch != nil {
-			w.appendUntilKnown(ctx, batch)
+		if batch := w.buildBatch(); batch != nil {
+			w.appendUntilConfirmed(ctx, batch)
 		}
 	}
 }
 
-func (w *Writer) build() *recordv1.Batch {
+func (w *Writer) buildBatch() *recordv1.Batch {
 	w.mu.Lock()
-	tickets := w.waiting.take(maxBatchEntries)
-	again := w.waiting.len() > 0
+	tickets := w.queue.take(maxBatchEntries)
+	moreQueued := w.queue.len() > 0
 	w.mu.Unlock()
-	if again {
+	if moreQueued {
 		w.Wake()
 	}
 
 	var sent []*Ticket
 	var entries []*recordv1.Entry
 	for _, t := range tickets {
-		if t.send() {
+		if t.markSent() {
 			sent = append(sent, t)
 			entries = append(entries, t.entry)
 		}
@@ -144,100 +144,101 @@
 	return &recordv1.Batch{Writer: w.writer, Seq: w.seq, Hlc: uint64(w.hlc.Now()), Entries: entries}
 }
 
-// appendUntilKnown appends the batch until an append is answered or the batch was
-// read back. An append whose answer is lost may have taken effect; appending it
-// again under the same sequence is harmless, since the fold voids the second.
-// Going on to the next sequence before this one is known would be harmful: the
-// fold would void this batch, and its settlements would go unbilled.
-func (w *Writer) appendUntilKnown(ctx context.Context, batch *recordv1.Batch) {
+// appendUntilConfirmed retries the append until it succeeds or the batch was read back.
+// An append whose response is lost may have taken effect; repeating it under the same
+// sequence number is harmless, since the fold voids the second copy. Moving on to the next
+// sequence number before this batch is confirmed would be harmful: the fold would void
+// this batch, and its settlements would go unbilled.
+func (w *Writer) appendUntilConfirmed(ctx context.Context, batch *recordv1.Batch) {
 	data, err := proto.Marshal(batch)
 	if err != nil {
 		panic(err) // generated messages always marshal
 	}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 50 * time.Millisecond
-	pause.MaxInterval = maxBackoff
-	known := w.watch(batch.GetSeq())
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = 50 * time.Millisecond
+	retry.MaxInterval = maxBackoff
+	readBack := w.watchReadBack(batch.GetSeq())
 	for ctx.Err() == nil {
 		w.appends.Add(1)
-		if w.attempt(ctx, data, known) {
+		if w.tryAppend(ctx, data, readBack) {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-known:
+		case <-readBack:
 			return
-		case <-w.clock.After(pause.NextBackOff()):
+		case <-w.clock.After(retry.NextBackOff()):
 		}
 	}
 }
 
-// attempt appends once; true means that the batch is in the log. One that is read
-// back ends the attempt: an answer that was lost would otherwise hold up all that
-// comes after it until the attempt's time is over.
-func (w *Writer) attempt(ctx context.Context, data []byte, known <-chan struct{}) bool {
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	attempt, cancel := clockwork.WithTimeout(ctx, w.clock, appendTimeout)
-	answer := make(chan error, 1)
+// tryAppend appends once; true means that the batch is in the log. It returns as soon as
+// the batch was read back: a lost response would otherwise delay all later batches until
+// appendTimeout is over.
+func (w *Writer) tryAppend(ctx context.Context, data []byte, readBack <-chan struct{}) bool {
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	defer cancelCause(nil)
+	appendCtx, cancel := clockwork.WithTimeout(ctx, w.clock, appendTimeout)
+	done := make(chan error, 1)
 	go func() {
 		defer cancel()
-		answer <- w.appender.Append(attempt, data)
+		done <- w.appender.Append(appendCtx, data)
 	}()
 	select {
-	case <-known:
-		end(ErrReadBack)
+	case <-readBack:
+		cancelCause(ErrReadBack)
 		w.failing.Store(false)
 		return true
-	case err := <-answer:
+	case err := <-done:
 		w.failing.Store(err != nil)
 		return err == nil
 	}
 }
 
-// watch returns a channel that is closed once the batch of a sequence was read back.
-func (w *Writer) watch(seq uint64) <-chan struct{} {
+// watchReadBack returns a channel that is closed once the batch with a sequence number was
+// read back.
+func (w *Writer) watchReadBack(seq uint64) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.known = make(chan struct{})
-	w.tellKnown(seq)
-	return w.known
+	w.readBack = make(chan struct{})
+	w.signalReadBack(seq)
+	return w.readBack
 }
 
-// tellKnown closes the channel of the batch that is being appended if what was read
-// reaches its sequence, which is the writer's last one.
-func (w *Writer) tellKnown(seq uint64) {
-	if w.known == nil || w.read < seq {
+// signalReadBack closes the channel of the batch in flight if the records read back reach
+// its sequence number seq, which is the writer's last one.
+func (w *Writer) signalReadBack(seq uint64) {
+	if w.readBack == nil || w.lastReadBack < seq {
 		return
 	}
 	select {
-	case <-w.known:
+	case <-w.readBack:
 	default:
-		close(w.known)
+		close(w.readBack)
 	}
 }
 
-// Folded delivers the verdicts of a batch that the Follower folded. Batches of
-// other writers and void repetitions are passed over.
-func (w *Writer) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+// HandleFolded delivers the verdicts of a batch that the Follower applied. It ignores
+// batches of other writers and void duplicates.
+func (w *Writer) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	if batch.GetWriter() != w.writer {
 		return
 	}
 	w.mu.Lock()
 	tickets := w.pending[batch.GetSeq()]
 	delete(w.pending, batch.GetSeq())
-	w.read = max(w.read, batch.GetSeq())
-	w.tellKnown(w.seq)
+	w.lastReadBack = max(w.lastReadBack, batch.GetSeq())
+	w.signalReadBack(w.seq)
 	w.mu.Unlock()
 	for i, ticket := range tickets {
 		ticket.verdict <- verdicts[i]
 	}
 }
 
-// Restored is told that the state was restored as of the writer's sequence seq. What
-// became of the entries up to there can't be learnt from the log any more, so their
-// tickets say that the outcome is open.
-func (w *Writer) Restored(seq uint64) {
+// HandleRestore must be called after the state was restored; seq is the writer's last
+// sequence number in it. The log no longer shows the verdicts of entries up to seq, so
+// their tickets report that the outcome is open.
+func (w *Writer) HandleRestore(seq uint64) {
 	w.mu.Lock()
 	var open []*Ticket
 	for sent, tickets := range w.pending {
@@ -246,8 +247,8 @@
 			delete(w.pending, sent)
 		}
 	}
-	w.read = max(w.read, seq)
-	w.tellKnown(w.seq)
+	w.lastReadBack = max(w.lastReadBack, seq)
+	w.signalReadBack(w.seq)
 	w.mu.Unlock()
 	for _, ticket := range open {
 		ticket.verdict <- fold.Verdict{Code: result.ChangeOutcomeOpen, Message: "the log no longer shows the entry"}
--- a/recordlog/writer_test.go
+++ b/recordlog/writer_test.go
@@ -18,70 +18,70 @@
 	"lavenderpin.dev/lavenderpin/record"
 )
 
-func claimOf(i int) *recordv1.Entry {
+func shareClaim(i int) *recordv1.Entry {
 	return &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: fmt.Sprint("summaries-", i), Tokens: 1}}}
 }
 
-// The log is out for hours while callers ask for budgets that this node holds no share
-// of. Each gives up and withdraws its claim; the node's memory grew with every one of
-// them until a small instance died, late in the outage and with answers open.
-func TestWithdrawnTicketsDoNotPileUp(t *testing.T) {
+// The log is down for hours while callers use budgets that this node holds no share of,
+// and each withdraws its claim when it gives up. If withdrawn claims stay queued, memory
+// grows until a small instance dies, late in the outage and with responses in flight.
+func TestWithdrawnTicketsAreFreed(t *testing.T) {
 	is := is.New(t)
 	w := NewWriter(standin.NewLog(), "fleet", "a", clockwork.NewFakeClock(), event.NewHLC(clockwork.NewFakeClock()), 0)
 	var kept []*Ticket
 	for i := range 100_000 {
-		ticket := w.Submit(claimOf(i))
+		ticket := w.Submit(shareClaim(i))
 		if i%1000 == 0 {
 			kept = append(kept, ticket)
 			continue
 		}
 		is.True(ticket.Withdraw())
 	}
-	is.True(w.waiting.len() <= leastSwept+len(kept))
-	batch := w.build()
-	is.Equal(len(batch.GetEntries()), len(kept)) // in order, and none that was withdrawn
+	is.True(w.queue.len() <= minCompactLen+len(kept))
+	batch := w.buildBatch()
+	is.Equal(len(batch.GetEntries()), len(kept)) // in order, without the withdrawn ones
 	for i, entry := range batch.GetEntries() {
 		is.Equal(entry.GetShareClaim().GetBudget(), fmt.Sprint("summaries-", i*1000))
 	}
 }
 
-// A batch takes a bounded number of entries; the rest comes in the next one.
-func TestQueueGivesTheRestLater(t *testing.T) {
+// A batch takes at most maxBatchEntries; the remaining entries go into the next one.
+func TestBatchSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	w := NewWriter(standin.NewLog(), "fleet", "a", clockwork.NewFakeClock(), event.NewHLC(clockwork.NewFakeClock()), 0)
 	for i := range maxBatchEntries + 3 {
-		w.Submit(claimOf(i))
+		w.Submit(shareClaim(i))
 	}
-	is.Equal(len(w.build().GetEntries()), maxBatchEntries)
-	is.Equal(len(w.build().GetEntries()), 3)
-	is.True(w.build() == nil)
+	is.Equal(len(w.buildBatch().GetEntries()), maxBatchEntries)
+	is.Equal(len(w.buildBatch().GetEntries()), 3)
+	is.True(w.buildBatch() == nil)
 }
 
-// silentLog takes appends and never answers them.
-type silentLog struct{ *standin.Log }
+// noResponseLog applies appends and never responds.
+type noResponseLog struct{ *standin.Log }
 
-func (l silentLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+func (l noResponseLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	_, _ = l.Log.Append(ctx, stream, data)
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-// The log takes each append and its answers get lost on the way. Whoever reads the
-// batch back knows that it counts; waiting for the answer all the same held up the
-// claims behind it for five seconds each, and their requests were refused.
-func TestBatchReadBackNeedsNoAnswer(t *testing.T) {
+// The log applies each append but its responses are lost. A batch that was read back is
+// confirmed; waiting for the response nevertheless would delay later claims by five
+// seconds each, and their requests would be refused.
+func TestReadBackConfirmsUnansweredAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock() // fake within the bubble
-		log := silentLog{standin.NewLog()}
+		log := noResponseLog{standin.NewLog()}
 		w := NewWriter(log, "fleet", "a", clock, event.NewHLC(clock), 20*time.Millisecond)
 		f := NewFollower(log, "fleet", clock, fold.NewEngine(),
-			func(_ uint64, b *recordv1.Batch, v []fold.Verdict) { w.Folded(b, v) })
+			func(_ uint64, b *recordv1.Batch, v []fold.Verdict) { w.HandleFolded(b, v) })
 		go w.Run(t.Context())
 		go f.Run(t.Context())
 		began := clock.Now()
 		for i := range 10 {
-			<-w.Submit(claimOf(i)).Done()
+			<-w.Submit(shareClaim(i)).Done()
 		}
 		is.True(clock.Since(began) < appendTimeout)
 		is.Equal(w.Appends(), uint64(10))
@@ -89,7 +89,7 @@
 	})
 }
 
-func marshalled(batch *recordv1.Batch) []byte {
+func marshalBatch(batch *recordv1.Batch) []byte {
 	data, err := proto.Marshal(batch)
 	if err != nil {
 		panic(err) // generated messages always marshal
@@ -97,27 +97,27 @@
 	return data
 }
 
-// One record with the batches of several writers gives each writer the verdicts of
-// its own entries, and a batch among them that came before is void alone.
+// A record with the batches of several writers yields each writer the verdicts of its own
+// entries; a duplicate batch among them is void without affecting the others.
 func TestGatheredRecordIsFoldedBatchByBatch(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	log := standin.NewLog()
 	first := func(name string) []byte {
-		return marshalled(&recordv1.Batch{Writer: name, Seq: 1, Entries: []*recordv1.Entry{claimOf(1)}})
+		return marshalBatch(&recordv1.Batch{Writer: name, Seq: 1, Entries: []*recordv1.Entry{shareClaim(1)}})
 	}
 	for _, data := range [][]byte{first("a"), record.Join([][]byte{first("a"), first("b"), first("c")}), []byte("no batch")} {
 		_, err := log.Append(t.Context(), "fleet", data)
 		is.NoErr(err)
 	}
-	var told []string
+	var got []string
 	f := NewFollower(log, "fleet", clock, fold.NewEngine(), func(offset uint64, b *recordv1.Batch, v []fold.Verdict) {
 		for _, verdict := range v {
-			told = append(told, fmt.Sprint(offset, b.GetWriter(), verdict.OK()))
+			got = append(got, fmt.Sprint(offset, b.GetWriter(), verdict.OK()))
 		}
 	})
 	is.NoErr(f.Step(t.Context(), 0))
-	is.Equal(told, []string{"1atrue", "2afalse", "2btrue", "2ctrue"})
+	is.Equal(got, []string{"1atrue", "2afalse", "2btrue", "2ctrue"})
 	is.Equal(f.Offset(), uint64(3))
 	is.Equal(f.LastSeq("c"), uint64(1))
 }
