--- a/node/node.go
+++ b/node/node.go
@@ -185,7 +185,7 @@
 
 // folded is told of each batch in offset order, in the folding goroutine.
 func (n *Node) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
-	n.snapshots.Folded(batch, proto.Size(batch))
+	n.snapshots.HandleFolded(batch, proto.Size(batch))
 	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
 	n.budgets.folded(batch, verdicts)
 	n.recordFolded(batch, verdicts)
--- a/node/relay.go
+++ b/node/relay.go
@@ -68,7 +68,7 @@
 // one. A starting one goes on.
 func (n *Node) restored(offset uint64) {
 	n.events.Record(event.StateRestored, "offset", offset)
-	n.snapshots.Restored(offset)
+	n.snapshots.HandleRestore(offset)
 	n.writer.HandleRestore(n.follower.LastSeq(n.Incarnation()))
 	if n.State() != StateStarting {
 		n.holder.RevokeRight()
--- a/snapshot/chunk.go
+++ b/snapshot/chunk.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	// chunkBytes keeps an append well under the usual limit of 4 MiB per message.
+	// chunkBytes keeps an append well below the usual limit of 4 MiB per message.
 	chunkBytes = 512 << 10
-	// maxChunks bounds what a collector holds of one writer.
+	// maxChunks bounds the chunks that a collector holds of one writer.
 	maxChunks = 512
 )
 
-// Split cuts a sealed state, taken at an offset, into the entries of a snapshot.
+// Split splits a sealed state, taken at an offset, into the chunks of a snapshot.
 func Split(offset uint64, sealed []byte) []*recordv1.SnapshotChunk {
 	count := (len(sealed) + chunkBytes - 1) / chunkBytes
 	chunks := make([]*recordv1.SnapshotChunk, 0, count)
--- a/snapshot/collector.go
+++ b/snapshot/collector.go
@@ -4,17 +4,17 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// maxRows bounds how many writers' unfinished snapshots a collector holds. Beyond
-// it the oldest is dropped: its writer most likely died between two chunks.
-const maxRows = 4
+// maxPartial bounds how many writers' incomplete snapshots a collector holds. Beyond it
+// the oldest is dropped: its writer most likely died between two chunks.
+const maxPartial = 4
 
-// Collector gathers chunks into complete snapshots. It isn't safe for concurrent use.
+// Collector assembles chunks into complete snapshots. It isn't safe for concurrent use.
 type Collector struct {
-	rows []*row
+	partial []*partialSnapshot
 }
 
-// row is a snapshot that isn't complete yet.
-type row struct {
+// partialSnapshot is a snapshot that isn't complete yet.
+type partialSnapshot struct {
 	writer string
 	offset uint64
 	count  uint32
@@ -22,57 +22,57 @@
 	data   []byte
 }
 
-// Add takes the chunk of a writer and returns the sealed state once the chunk
-// completes it. Chunks are taken in order only; a writer that begins anew replaces
-// what it left.
+// Add adds a writer's chunk and returns the sealed state when the chunk completes it.
+// Chunks are accepted only in order; a writer that starts a new snapshot replaces its
+// incomplete one.
 func (c *Collector) Add(writer string, chunk *recordv1.SnapshotChunk) (sealed []byte, complete bool) {
 	if chunk.GetCount() == 0 || chunk.GetCount() > maxChunks || chunk.GetIndex() >= chunk.GetCount() {
 		return nil, false
 	}
-	r := c.row(writer)
-	// A first chunk that comes again, late, must not undo the ones after it.
-	if chunk.GetIndex() == 0 && (r == nil || !r.of(chunk)) {
-		r = c.begin(writer, chunk)
+	partial := c.find(writer)
+	// A late duplicate of the first chunk must not discard the chunks after it.
+	if chunk.GetIndex() == 0 && (partial == nil || !partial.matches(chunk)) {
+		partial = c.start(writer, chunk)
 	}
-	if r == nil || !r.of(chunk) || r.next != chunk.GetIndex() {
+	if partial == nil || !partial.matches(chunk) || partial.next != chunk.GetIndex() {
 		return nil, false
 	}
-	r.data = append(r.data, chunk.GetData()...)
-	r.next++
-	if r.next < r.count {
+	partial.data = append(partial.data, chunk.GetData()...)
+	partial.next++
+	if partial.next < partial.count {
 		return nil, false
 	}
-	c.drop(writer)
-	return r.data, true
+	c.remove(writer)
+	return partial.data, true
 }
 
-func (r *row) of(chunk *recordv1.SnapshotChunk) bool {
-	return r.offset == chunk.GetOffset() && r.count == chunk.GetCount()
+func (p *partialSnapshot) matches(chunk *recordv1.SnapshotChunk) bool {
+	return p.offset == chunk.GetOffset() && p.count == chunk.GetCount()
 }
 
-func (c *Collector) begin(writer string, chunk *recordv1.SnapshotChunk) *row {
-	c.drop(writer)
-	if len(c.rows) == maxRows {
-		c.rows = c.rows[1:]
+func (c *Collector) start(writer string, chunk *recordv1.SnapshotChunk) *partialSnapshot {
+	c.remove(writer)
+	if len(c.partial) == maxPartial {
+		c.partial = c.partial[1:]
 	}
-	begun := &row{writer: writer, offset: chunk.GetOffset(), count: chunk.GetCount()}
-	c.rows = append(c.rows, begun)
-	return begun
+	started := &partialSnapshot{writer: writer, offset: chunk.GetOffset(), count: chunk.GetCount()}
+	c.partial = append(c.partial, started)
+	return started
 }
 
-func (c *Collector) row(writer string) *row {
-	for _, r := range c.rows {
-		if r.writer == writer {
-			return r
+func (c *Collector) find(writer string) *partialSnapshot {
+	for _, p := range c.partial {
+		if p.writer == writer {
+			return p
 		}
 	}
 	return nil
 }
 
-func (c *Collector) drop(writer string) {
-	for i, r := range c.rows {
-		if r.writer == writer {
-			c.rows = append(c.rows[:i:i], c.rows[i+1:]...)
+func (c *Collector) remove(writer string) {
+	for i, p := range c.partial {
+		if p.writer == writer {
+			c.partial = append(c.partial[:i:i], c.partial[i+1:]...)
 			return
 		}
 	}
--- a/snapshot/finder.go
+++ b/snapshot/finder.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	findMax = 1000
-	// beyondEnd is an offset that no log reaches; reading there tells the oldest
-	// record kept.
-	beyondEnd = math.MaxInt64
+	maxFindRecords = 1000
+	// pastEnd is an offset that no log reaches; reading there returns the oldest offset
+	// kept.
+	pastEnd = math.MaxInt64
 )
 
-// ErrNone tells that the log holds no usable snapshot now.
-var ErrNone = errors.New("the log holds no usable snapshot")
+// ErrNoSnapshot reports that the log holds no usable snapshot now.
+var ErrNoSnapshot = errors.New("the log holds no usable snapshot")
 
-// Reader reads records; recordlog.Source is one.
+// Reader reads records from the log.
 type Reader interface {
 	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error)
 }
 
-// Find reads the log from its oldest record and returns the first usable snapshot
-// that is ahead of an offset.
-func Find(ctx context.Context, reader Reader, ahead uint64) (*recordv1.FoldState, error) {
-	end, err := reader.Read(ctx, beyondEnd, 1, 0)
+// Find reads the log from its oldest record and returns the state of the first usable
+// snapshot beyond the offset after.
+func Find(ctx context.Context, reader Reader, after uint64) (*recordv1.FoldState, error) {
+	end, err := reader.Read(ctx, pastEnd, 1, 0)
 	if err != nil {
-		return nil, errors.Annotate(err, "oldest offset")
+		return nil, errors.Annotate(err, "reading the oldest offset")
 	}
 	collector := &Collector{}
 	for from := end.Oldest; from < end.Next; {
-		slice, err := reader.Read(ctx, from, findMax, 0)
+		slice, err := reader.Read(ctx, from, maxFindRecords, 0)
 		if errors.Is(err, ports.ErrAgedOut) {
-			// Records age out while this reads; go on from where the log begins now.
-			if end, err = reader.Read(ctx, beyondEnd, 1, 0); err == nil && end.Oldest > from {
+			// Records aged out during the search; continue at the log's new start.
+			if end, err = reader.Read(ctx, pastEnd, 1, 0); err == nil && end.Oldest > from {
 				from, collector = end.Oldest, &Collector{}
 				continue
 			}
@@ -50,22 +50,22 @@
 		if len(slice.Records) == 0 {
 			break
 		}
-		if state := scan(collector, slice, ahead); state != nil {
+		if state := scanSlice(collector, slice, after); state != nil {
 			return state, nil
 		}
 		from = slice.Records[len(slice.Records)-1].Offset + 1
 	}
-	return nil, errors.Trace(ErrNone)
+	return nil, errors.Trace(ErrNoSnapshot)
 }
 
-func scan(collector *Collector, slice ports.Slice, ahead uint64) *recordv1.FoldState {
-	for _, held := range slice.Records {
-		batches, err := record.Decode(held.Data)
+func scanSlice(collector *Collector, slice ports.Slice, after uint64) *recordv1.FoldState {
+	for _, r := range slice.Records {
+		batches, err := record.Decode(r.Data)
 		if err != nil {
 			continue
 		}
 		for _, batch := range batches {
-			if state := scanBatch(collector, batch, slice.Oldest, ahead); state != nil {
+			if state := scanBatch(collector, batch, slice.Oldest, after); state != nil {
 				return state
 			}
 		}
@@ -73,24 +73,24 @@
 	return nil
 }
 
-func scanBatch(collector *Collector, batch *recordv1.Batch, oldest, ahead uint64) *recordv1.FoldState {
+func scanBatch(collector *Collector, batch *recordv1.Batch, oldest, after uint64) *recordv1.FoldState {
 	for _, entry := range batch.GetEntries() {
 		if entry.GetSnapshot() == nil {
 			continue
 		}
-		if state := usable(collector, batch.GetWriter(), entry.GetSnapshot(), oldest, ahead); state != nil {
+		if state := usableState(collector, batch.GetWriter(), entry.GetSnapshot(), oldest, after); state != nil {
 			return state
 		}
 	}
 	return nil
 }
 
-// usable returns the state that a chunk completes, if all records after it are kept.
-// One that ends before the oldest record would leave a gap in what is folded, which
-// would show as a change or a top-up that this node alone never heard of.
-func usable(c *Collector, writer string, chunk *recordv1.SnapshotChunk, oldest, ahead uint64) *recordv1.FoldState {
-	sealed, complete := c.Add(writer, chunk)
-	if !complete || chunk.GetOffset() <= ahead || chunk.GetOffset()+1 < oldest {
+// usableState returns the state that a chunk completes, if all records after it are kept.
+// A state that ends before the oldest record would leave a gap: this node alone would
+// miss a change or a top-up.
+func usableState(collector *Collector, writer string, chunk *recordv1.SnapshotChunk, oldest, after uint64) *recordv1.FoldState {
+	sealed, complete := collector.Add(writer, chunk)
+	if !complete || chunk.GetOffset() <= after || chunk.GetOffset()+1 < oldest {
 		return nil
 	}
 	state, err := Open(sealed)
--- a/snapshot/seal.go
+++ b/snapshot/seal.go
@@ -12,10 +12,11 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// maxState bounds what Open unpacks, so that a corrupt state can't exhaust memory.
-const maxState = 256 << 20
+// maxStateBytes bounds what Open decompresses, so that a corrupt state can't exhaust
+// memory.
+const maxStateBytes = 256 << 20
 
-// Seal packs a state for the log or for a peer.
+// Seal compresses a state, for the log or for a peer, and adds a checksum.
 func Seal(state *recordv1.FoldState) ([]byte, error) {
 	plain, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
@@ -36,22 +37,22 @@
 	return proto.Marshal(sealed)
 }
 
-// Open checks and unpacks what Seal returned.
+// Open verifies and decompresses a state that Seal returned.
 func Open(data []byte) (*recordv1.FoldState, error) {
 	sealed := &recordv1.SealedState{}
 	if err := proto.Unmarshal(data, sealed); err != nil {
 		return nil, errors.Annotate(err, "sealed state")
 	}
 	if xxhash.Sum64(sealed.GetCompressed()) != sealed.GetSum() {
-		return nil, errors.New("the state's checksum doesn't hold")
+		return nil, errors.New("the state's checksum doesn't match")
 	}
 	reader := flate.NewReader(bytes.NewReader(sealed.GetCompressed()))
-	plain, err := io.ReadAll(io.LimitReader(reader, maxState+1))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxStateBytes+1))
 	if err != nil {
 		return nil, errors.Annotate(err, "compressed state")
 	}
-	if len(plain) > maxState {
-		return nil, errors.Errorf("the state is over %d bytes", maxState)
+	if len(plain) > maxStateBytes {
+		return nil, errors.Errorf("the state is larger than %d bytes", maxStateBytes)
 	}
 	state := &recordv1.FoldState{}
 	if err := proto.Unmarshal(plain, state); err != nil {
--- a/snapshot/tracker.go
+++ b/snapshot/tracker.go
@@ -9,54 +9,54 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// Tracker watches the folded records for complete snapshots. It is safe for
-// concurrent use.
+// Tracker tracks the complete snapshots in the applied records. It is safe for concurrent
+// use.
 type Tracker struct {
 	clock clockwork.Clock
 
-	mu        sync.Mutex
-	collector Collector
-	records   uint64
-	bytes     uint64
-	last      time.Time
-	offset    uint64
+	mu           sync.Mutex
+	collector    Collector
+	records      uint64
+	bytes        uint64
+	lastComplete time.Time
+	offset       uint64
 }
 
 // NewTracker returns a tracker that has seen no snapshot yet.
 func NewTracker(clock clockwork.Clock) *Tracker {
-	return &Tracker{clock: clock, last: clock.Now()}
+	return &Tracker{clock: clock, lastComplete: clock.Now()}
 }
 
-// Folded is told of each folded record, in offset order.
-func (t *Tracker) Folded(batch *recordv1.Batch, size int) {
+// HandleFolded must be called with each applied batch and its size, in offset order.
+func (t *Tracker) HandleFolded(batch *recordv1.Batch, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records++
 	t.bytes += uint64(size)
 	for _, entry := range batch.GetEntries() {
 		if entry.GetSnapshot() != nil {
-			t.chunk(batch.GetWriter(), entry.GetSnapshot())
+			t.addChunk(batch.GetWriter(), entry.GetSnapshot())
 		}
 	}
 }
 
-func (t *Tracker) chunk(writer string, chunk *recordv1.SnapshotChunk) {
+func (t *Tracker) addChunk(writer string, chunk *recordv1.SnapshotChunk) {
 	sealed, complete := t.collector.Add(writer, chunk)
 	if !complete || chunk.GetOffset() <= t.offset {
 		return
 	}
-	// A corrupt snapshot must not count, or the next one would come too late.
+	// A corrupt snapshot must not count, or the next one would be written too late.
 	if _, err := Open(sealed); err != nil {
 		return
 	}
 	t.offset = chunk.GetOffset()
-	t.last = t.clock.Now()
+	t.lastComplete = t.clock.Now()
 	t.records = 0
 	t.bytes = 0
 }
 
-// Restored tells the tracker that the state was taken from a snapshot.
-func (t *Tracker) Restored(offset uint64) {
+// HandleRestore must be called after the state was restored from a snapshot at an offset.
+func (t *Tracker) HandleRestore(offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.offset = max(t.offset, offset)
@@ -73,5 +73,5 @@
 func (t *Tracker) Progress() Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Progress{Records: t.records, Bytes: t.bytes, Age: t.clock.Since(t.last)}
+	return Progress{Records: t.records, Bytes: t.bytes, Age: t.clock.Since(t.lastComplete)}
 }
