--- a/gather/appender.go
+++ b/gather/appender.go
@@ -31,7 +31,7 @@
 	Events *event.Recorder
 	Policy Policy
 	// GatheredSupported tells whether every open node reads gathered records
-	// (record.Forms).
+	// (record.FormsGathered).
 	GatheredSupported func() bool
 }
 
--- a/gather/failure_test.go
+++ b/gather/failure_test.go
@@ -250,7 +250,7 @@
 		records := f.Records()
 		is.Equal(len(records), 5)
 		for _, r := range records {
-			is.NoErr(record.Check(r.Data)) // a plain batch of one writer
+			is.NoErr(record.CheckJoinable(r.Data)) // a plain batch of one writer
 		}
 		f.Old.Store(false)
 		f.submitAll(2)
--- a/gather/gatherer.go
+++ b/gather/gatherer.go
@@ -41,7 +41,7 @@
 }
 
 // NewGatherer returns a gatherer for a stream of the log. gatheredSupported tells whether
-// every open node reads gathered records (record.Forms). It appends only while Run runs.
+// every open node reads gathered records (record.FormsGathered). It appends only while Run runs.
 func NewGatherer(log ports.Log, stream string, clock clockwork.Clock, policy Policy, gatheredSupported func() bool) *Gatherer {
 	return &Gatherer{log: log, stream: stream, clock: clock, policy: policy, gatheredSupported: gatheredSupported, wake: make(chan struct{}, 1)}
 }
@@ -59,7 +59,7 @@
 // Append queues a batch and returns its offset once it is in the log, or an error within
 // wait. After an error the batch may be in the log or still reach it.
 func (g *Gatherer) Append(ctx context.Context, batch []byte, wait time.Duration) (uint64, error) {
-	if err := record.Check(batch); err != nil {
+	if err := record.CheckJoinable(batch); err != nil {
 		return 0, errors.Trace(err)
 	}
 	if !g.gatheredSupported() {
--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 		OperatorAddress: settings.OperatorAddress,
 		Region:          settings.Region,
 		DataCentre:      settings.DataCentre,
-		RecordForms:     record.Forms,
+		RecordForms:     record.SupportedForms,
 	}
 	hlc := event.NewHLC(deps.Clock)
 	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
--- a/record/decode.go
+++ b/record/decode.go
@@ -7,30 +7,30 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// Forms is which forms of records this version reads, as nodes announce it in their
-// heartbeats. A form is written only while every open node announces it: a program that
-// doesn't know it would bill and grant otherwise than all others.
-const Forms = FormsWitnessed
+// SupportedForms is the highest form of records that this version reads, as nodes announce
+// it in their heartbeats. A form is written only while every open node announces it: a
+// version that doesn't support it would bill and grant differently from all others.
+const SupportedForms = FormsWitnessed
 
-// What a program reads that announces at least so much.
+// Each value implies support for the form named and all lower ones.
 const (
-	// FormsGathered: gathered and packed records. Others take them for empty ones.
+	// FormsGathered adds gathered and packed records. Older versions take them for empty
+	// ones.
 	FormsGathered = 1
-	// FormsWitnessed: settlements that a witness writes for an incarnation that is open
-	// and silent. Others refuse them.
+	// FormsWitnessed adds settlements that a witness writes for an incarnation that is
+	// open and silent. Older versions refuse them.
 	FormsWitnessed = 2
 )
 
-// Decode returns the batches that a record holds, in the order in which they are
-// folded. It never returns a batch that holds others, so that a record has one
-// meaning.
+// Decode returns the batches of a record in the order in which they are applied. It never
+// returns a batch that contains others, so that a record has one meaning.
 func Decode(data []byte) ([]*recordv1.Batch, error) {
-	batch, err := parse(data)
+	batch, err := parseBatch(data)
 	if err != nil {
 		return nil, err
 	}
 	if len(batch.GetPacked()) > 0 {
-		if batch, err = parsePacked(batch.GetPacked()); err != nil {
+		if batch, err = unpackBatch(batch.GetPacked()); err != nil {
 			return nil, err
 		}
 	}
@@ -38,29 +38,29 @@
 	if len(batch.GetGathered()) > 0 {
 		batches = batch.GetGathered()
 	}
-	for _, held := range batches {
-		if !plain(held) {
-			return nil, errors.New("a batch within a record holds others")
+	for _, inner := range batches {
+		if !isPlain(inner) {
+			return nil, errors.New("a batch within a record contains other batches")
 		}
 	}
 	return batches, nil
 }
 
-// Check tells whether data is one batch that can be joined with others. A gatherer
-// must know: one batch that can't be read makes the whole record unreadable, and
-// the other writers' entries would be lost although each was told they are in the log.
-func Check(data []byte) error {
-	batch, err := parse(data)
+// CheckJoinable returns an error unless data is one batch that can be joined with others.
+// A gatherer must check this: one undecodable batch makes the whole record undecodable,
+// and the other writers' entries would be lost although reported as appended.
+func CheckJoinable(data []byte) error {
+	batch, err := parseBatch(data)
 	if err != nil {
 		return err
 	}
-	if batch.GetWriter() == "" || !plain(batch) {
-		return errors.New("not a batch of one writer")
+	if batch.GetWriter() == "" || !isPlain(batch) {
+		return errors.New("not a plain batch of one writer")
 	}
 	return nil
 }
 
-func parse(data []byte) (*recordv1.Batch, error) {
+func parseBatch(data []byte) (*recordv1.Batch, error) {
 	batch := &recordv1.Batch{}
 	if err := proto.Unmarshal(data, batch); err != nil {
 		return nil, errors.Annotate(err, "batch")
@@ -68,17 +68,17 @@
 	return batch, nil
 }
 
-// parsePacked unpacks into room that is used again: a parsed message keeps nothing of it.
-func parsePacked(body []byte) (*recordv1.Batch, error) {
-	u := unpackers.Get().(*unpacker)
-	defer u.keep()
-	record, err := u.unpack(body)
+// unpackBatch unpacks into a reused buffer: the parsed message keeps no reference to it.
+func unpackBatch(body []byte) (*recordv1.Batch, error) {
+	u := unpackerPool.Get().(*unpacker)
+	defer u.release()
+	unpacked, err := u.unpack(body)
 	if err != nil {
 		return nil, err
 	}
-	return parse(record)
+	return parseBatch(unpacked)
 }
 
-func plain(batch *recordv1.Batch) bool {
+func isPlain(batch *recordv1.Batch) bool {
 	return len(batch.GetGathered()) == 0 && len(batch.GetPacked()) == 0
 }
--- a/record/doc.go
+++ b/record/doc.go
@@ -1,3 +1,3 @@
-// Package record encodes and decodes what one record of the log holds: a batch, the
-// batches of several writers, or either of them packed.
+// Package record encodes and decodes the records of the log. A record holds one batch or
+// the batches of several writers, and either may be packed (compressed).
 package record
--- a/record/join.go
+++ b/record/join.go
@@ -4,15 +4,15 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// gatheredField is the number of record.v1.Batch.gathered, packedField of packed.
+// gatheredField and packedField are the field numbers of record.v1.Batch.
 const (
 	gatheredField = 5
 	packedField   = 6
 )
 
-// Join returns one record that holds marshalled batches in their order. They are
-// copied as they are, so that a batch appended both alone and gathered is the same
-// to whoever folds it.
+// Join returns one record that holds marshalled batches in the given order. They are
+// copied unchanged, so that a batch decodes to the same whether appended alone or
+// gathered.
 func Join(batches [][]byte) []byte {
 	if len(batches) == 1 {
 		return batches[0]
--- a/record/pack.go
+++ b/record/pack.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// packFrom is the smallest record worth packing, in bytes.
-const packFrom = 256
+// minPackBytes is the smallest record worth packing, in bytes.
+const minPackBytes = 256
 
-// packers are kept for reuse: each takes more memory than most records.
-var packers = sync.Pool{New: func() any {
+// packerPool reuses packers, since each takes more memory than most records.
+var packerPool = sync.Pool{New: func() any {
 	packer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic(err) // the level is a constant
@@ -21,16 +21,16 @@
 	return packer
 }}
 
-// Pack returns the record compressed if that makes it smaller, and as it is
-// otherwise. A record larger than readers unpack stays as it is too: packed, every
-// reader would pass it over, and the settlements in it would go unbilled.
+// Pack returns the record compressed if that makes it smaller, and unchanged otherwise. A
+// record larger than readers unpack also stays unchanged: if it were packed, every reader
+// would skip it, and its settlements would go unbilled.
 func Pack(record []byte) []byte {
-	if len(record) < packFrom || len(record) > maxUnpacked {
+	if len(record) < minPackBytes || len(record) > maxUnpackedBytes {
 		return record
 	}
 	var body bytes.Buffer
-	packer := packers.Get().(*flate.Writer)
-	defer packers.Put(packer)
+	packer := packerPool.Get().(*flate.Writer)
+	defer packerPool.Put(packer)
 	packer.Reset(&body)
 	if _, err := packer.Write(record); err != nil {
 		return record
--- a/record/unpacker.go
+++ b/record/unpacker.go
@@ -9,40 +9,41 @@
 	"github.com/juju/errors"
 )
 
-// maxUnpacked bounds what a record may unpack to, in bytes. Without it one bad record
-// could take all memory of every node that folds it.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes bounds the unpacked size of a record. Without it one bad record could
+// exhaust the memory of every node that reads it.
+const maxUnpackedBytes = 16 << 20
 
-// unpacker unpacks one record at a time and keeps its room for the next.
+// unpacker unpacks one record at a time and reuses its buffer for the next.
 type unpacker struct {
-	reader io.ReadCloser
-	record bytes.Buffer
+	reader   io.ReadCloser
+	unpacked bytes.Buffer
 }
 
-var unpackers = sync.Pool{New: func() any {
+var unpackerPool = sync.Pool{New: func() any {
 	return &unpacker{reader: flate.NewReader(bytes.NewReader(nil))}
 }}
 
-// unpack returns what was packed; it is good until the next call.
+// unpack returns the unpacked record, which is valid until the next call.
 func (u *unpacker) unpack(body []byte) ([]byte, error) {
 	if err := u.reader.(flate.Resetter).Reset(bytes.NewReader(body), nil); err != nil {
 		return nil, errors.Annotate(err, "packed record")
 	}
-	u.record.Reset()
-	if _, err := u.record.ReadFrom(io.LimitReader(u.reader, maxUnpacked+1)); err != nil {
+	u.unpacked.Reset()
+	if _, err := u.unpacked.ReadFrom(io.LimitReader(u.reader, maxUnpackedBytes+1)); err != nil {
 		return nil, errors.Annotate(err, "packed record")
 	}
-	if u.record.Len() > maxUnpacked {
-		return nil, errors.Errorf("a packed record holds more than %d bytes", maxUnpacked)
+	if u.unpacked.Len() > maxUnpackedBytes {
+		return nil, errors.Errorf("a packed record unpacks to more than %d bytes", maxUnpackedBytes)
 	}
-	return u.record.Bytes(), nil
+	return u.unpacked.Bytes(), nil
 }
 
-// keep gives the unpacker back for reuse, unless a rare large record made it large.
-func (u *unpacker) keep() {
-	if u.record.Cap() <= keptRoom {
-		unpackers.Put(u)
+// release returns the unpacker to the pool, unless a rare large record has grown its
+// buffer beyond maxPooledBytes.
+func (u *unpacker) release() {
+	if u.unpacked.Cap() <= maxPooledBytes {
+		unpackerPool.Put(u)
 	}
 }
 
-const keptRoom = 1 << 20
+const maxPooledBytes = 1 << 20
