--- a/gather/failure_test.go
+++ b/gather/failure_test.go
@@ -162,7 +162,7 @@
 		is.Equal(n.Took(2), appends.Soon)
 		is.Equal(len(f.Records()), 2)
 		f.checkApplied(is, n, 1, 2)
-		is.Equal(len(f.Records()), 3) // the late one came, and is void
+		is.Equal(len(f.Records()), 3) // the late copy arrived, and is void
 	})
 }
 
@@ -197,7 +197,7 @@
 		}
 		is.Equal(len(f.Records()), 3)
 		f.checkApplied(is, n, 0, 1, 2)
-		is.Equal(len(f.Records()), 4) // the late one came, and is void
+		is.Equal(len(f.Records()), 4) // the late copy arrived, and is void
 	})
 }
 
--- a/gather/history_test.go
+++ b/gather/history_test.go
@@ -84,10 +84,10 @@
 func (p *peerFaults) call(ctx context.Context, _ string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
 	switch p.randomBelow(6) {
 	case 0:
-		return nil, errors.New("cut")
+		return nil, errors.New("connection lost")
 	case 1:
 		handle()
-		return nil, errors.New("cut")
+		return nil, errors.New("connection lost")
 	case 2:
 		delay := time.Duration(p.randomBelow(10_000)) * time.Millisecond
 		go func() {
--- a/relay/source.go
+++ b/relay/source.go
@@ -138,7 +138,7 @@
 	backingOff := s.Clock.Now().Before(s.logRetryAt)
 	s.mu.Unlock()
 	if backingOff {
-		return recordlog.Slice{}, errors.New("the log isn't read shortly after a failure")
+		return recordlog.Slice{}, errors.New("log reads are suspended after a recent failure")
 	}
 	ctx, cancel := clockwork.WithTimeout(ctx, s.Clock, wait+logReadMargin)
 	defer cancel()
