--- a/node/node.go
+++ b/node/node.go
@@ -111,7 +111,7 @@
 	n.requests = &request.Server{
 		Config: n.config.View, Reserver: n.budgets.reserver, Picker: n.balancer, Admission: n.admission,
 		Client: deps.Upstreams, Events: n.events, Clock: deps.Clock, Region: settings.Region,
-		Staying: n.staying,
+		ExcludeLeaving: n.staying,
 	}
 	n.nameRequests()
 	n.metrics = n.newMetrics()
