--- a/gather/appender.go
+++ b/gather/appender.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	a.config.Events.Clock().Observe(event.Stamp(response.GetHlc()))
+	a.config.Events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	if code := result.Code(response.GetCode()); code != result.OK {
 		return result.New(code, "%s", response.GetMessage())
 	}
--- a/relay/source.go
+++ b/relay/source.go
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	s.Events.Clock().Observe(event.Stamp(response.GetHlc()))
+	s.Events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	switch result.Code(response.GetCode()) {
 	case result.OK:
 		return response.GetLogSlice(), nil
