--- a/idempotency/call.go
+++ b/idempotency/call.go
@@ -4,26 +4,25 @@
 	"context"
 )
 
-// Digest identifies what a call asks for, so that one key can't name two calls.
+// Digest is the hash of a call's request; it detects a key reused for another request.
 type Digest [32]byte
 
-// Call is a call that must run at most once.
+// Call identifies a call that must run at most once.
 type Call struct {
 	ID     ID
 	Digest Digest
 }
 
-// Answer is what a call came to. It is held in memory for the caller's retries.
-type Answer struct {
+// Response is the response to a call, kept in memory for the caller's retries.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// RunFunc runs a call once. An error whose code says "not run" must be true: the
-// call may then be run again.
-type RunFunc func(ctx context.Context) (Answer, error)
+// RunFunc executes a call once. It may return an error whose code says "not run" only
+// if the call certainly did not run, since the call may then be run again.
+type RunFunc func(ctx context.Context) (Response, error)
 
-// ForwardFunc asks the owner of a call, at its incarnation's name, to run it or to
-// return its answer.
-type ForwardFunc func(ctx context.Context, owner string) (Answer, error)
+// ForwardFunc asks the incarnation that owns a call to run it or to return its response.
+type ForwardFunc func(ctx context.Context, owner string) (Response, error)
--- a/idempotency/claim.go
+++ b/idempotency/claim.go
@@ -2,21 +2,21 @@
 
 import recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 
-// ID names a call: a client account and the key it chose.
+// ID identifies a call by the client account and the key that it chose.
 type ID struct {
 	Account string
 	Key     string
 }
 
-// Claim is the folded state of one claimed call.
+// Claim is the state of one claimed call, as folded from the log.
 type Claim struct {
-	// Owner is the incarnation that alone may run the call.
+	// Owner is the only incarnation that may run the call.
 	Owner string
-	// Digest of the call, so that a key isn't used for two calls.
+	// Digest is the request's hash; it detects a key reused for another request.
 	Digest string
 	Offset uint64
-	// End tells what became of the call; unspecified while it isn't known.
+	// End is the outcome of the call, or unspecified while it is unknown.
 	End recordv1.CallEnd
-	// Status is the HTTP status of the answer, when the call ran.
+	// Status is the HTTP status of the response, if the call ran.
 	Status uint32
 }
--- a/idempotency/claims.go
+++ b/idempotency/claims.go
@@ -9,29 +9,29 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Limits bound the claims held. All nodes of a fleet must use the same ones, or
-// their folds differ.
+// Limits bound the claims that are kept. All nodes of a fleet must use the same limits,
+// or their folded states diverge.
 type Limits struct {
-	// KeepOffsets is how far the log moves on before a claim is forgotten.
-	KeepOffsets uint64
-	// MinOffsets is how far it moves on at the least, also when the account is full.
-	MinOffsets uint64
-	// PerAccount is how many claims of one account are held beyond MinOffsets. When
-	// so many are younger, new ones are refused: forgetting a young claim instead
-	// would let its call run a second time.
-	PerAccount int
-}
-
-// DefaultLimits keep a claim for at least eight minutes at four hundred appends a
-// second and for days in quiet running. A key must not be sent again after that.
-// Offsets are counted and not time, since a node whose clock runs ahead would make
-// the whole fleet forget too early.
+	// RetentionOffsets is the number of log offsets after which a claim expires.
+	RetentionOffsets uint64
+	// MinRetentionOffsets is the minimum retention, also if the account is at its limit.
+	MinRetentionOffsets uint64
+	// MaxPerAccount is the limit of claims per account. At the limit, claims older than
+	// MinRetentionOffsets are evicted. If all are younger, new claims are refused:
+	// evicting a recent claim would let its call run a second time.
+	MaxPerAccount int
+}
+
+// DefaultLimits keeps a claim for at least eight minutes at 400 appends per second, and
+// for days under low load. A key must not be reused after that. Retention is counted in
+// offsets rather than time, since a node whose clock is fast would make the whole fleet
+// evict claims too early.
 func DefaultLimits() Limits {
-	return Limits{KeepOffsets: 2_000_000, MinOffsets: 200_000, PerAccount: 200_000}
+	return Limits{RetentionOffsets: 2_000_000, MinRetentionOffsets: 200_000, MaxPerAccount: 200_000}
 }
 
-// Claims folds the claims of calls. One goroutine applies; Get is safe for
-// concurrent use.
+// Claims is the fold part that holds the claims of calls. Only one goroutine may call
+// Apply; Get is safe for concurrent use.
 type Claims struct {
 	limits Limits
 
@@ -40,22 +40,22 @@
 	accounts map[string]*accountClaims
 }
 
-// accountClaims lists the claims of one account by offset, the oldest first. A claim
-// that was given up leaves a stale element behind.
+// accountClaims queues the claims of one account by offset, oldest first. A released
+// claim leaves a stale element in the queue.
 type accountClaims struct {
-	order []placed
-	held  int
+	queue []claimRef
+	live  int
 }
 
-// placed is where a claim stands in the log.
-type placed struct {
+// claimRef refers to a claim by its key and log offset.
+type claimRef struct {
 	Key    string
 	Offset uint64
 }
 
 var _ fold.Part = (*Claims)(nil)
 
-// NewClaims returns an empty part.
+// NewClaims returns an empty set of claims.
 func NewClaims(limits Limits) *Claims {
 	return &Claims{limits: limits, claims: map[ID]Claim{}, accounts: map[string]*accountClaims{}}
 }
@@ -63,7 +63,7 @@
 // Name implements fold.Part.
 func (c *Claims) Name() string { return "claims" }
 
-// Get returns a claim; false when the key isn't claimed.
+// Get returns the claim of a call, and false if the key isn't claimed.
 func (c *Claims) Get(id ID) (Claim, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -71,7 +71,7 @@
 	return claim, known
 }
 
-// Len returns how many claims are held.
+// Len returns the number of claims.
 func (c *Claims) Len() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -79,39 +79,39 @@
 }
 
 // Apply implements fold.Part.
-func (c *Claims) Apply(at fold.Position, entry *recordv1.Entry) (fold.Verdict, bool) {
+func (c *Claims) Apply(pos fold.Position, entry *recordv1.Entry) (fold.Verdict, bool) {
 	switch body := entry.GetBody().(type) {
 	case *recordv1.Entry_CallClaim:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.claim(at, body.CallClaim), true
+		return c.applyClaim(pos, body.CallClaim), true
 	case *recordv1.Entry_CallOutcome:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.outcome(at, body.CallOutcome), true
+		return c.applyOutcome(pos, body.CallOutcome), true
 	}
 	return fold.Verdict{}, false
 }
 
-func (c *Claims) claim(at fold.Position, entry *recordv1.CallClaim) fold.Verdict {
+func (c *Claims) applyClaim(pos fold.Position, entry *recordv1.CallClaim) fold.Verdict {
 	id := ID{entry.GetAccount(), entry.GetKey()}
 	account := c.account(id.Account)
-	c.forget(id.Account, account, at.Offset)
-	if held, taken := c.claims[id]; taken {
-		return fold.Refuse(at, held.refusal(entry.GetDigest()), "the key is claimed already")
+	c.evict(id.Account, account, pos.Offset)
+	if existing, taken := c.claims[id]; taken {
+		return fold.Refuse(pos, existing.conflictCode(entry.GetDigest()), "the key is claimed already")
 	}
-	if account.held >= c.limits.PerAccount {
-		return fold.Refuse(at, result.KeysExhausted, "the account holds too many keys")
+	if account.live >= c.limits.MaxPerAccount {
+		return fold.Refuse(pos, result.KeysExhausted, "the account holds too many keys")
 	}
-	c.put(id, Claim{Owner: at.Writer, Digest: string(entry.GetDigest()), Offset: at.Offset})
-	return fold.Accept(at)
+	c.insert(id, Claim{Owner: pos.Writer, Digest: string(entry.GetDigest()), Offset: pos.Offset})
+	return fold.Accept(pos)
 }
 
-func (c *Claims) put(id ID, claim Claim) {
+func (c *Claims) insert(id ID, claim Claim) {
 	c.claims[id] = claim
 	account := c.account(id.Account)
-	account.order = append(account.order, placed{id.Key, claim.Offset})
-	account.held++
+	account.queue = append(account.queue, claimRef{id.Key, claim.Offset})
+	account.live++
 }
 
 func (c *Claims) account(name string) *accountClaims {
@@ -123,8 +123,8 @@
 	return account
 }
 
-// refusal returns the code for a second claim of the key.
-func (c Claim) refusal(digest []byte) result.Code {
+// conflictCode returns the result code for another claim of the same key.
+func (c Claim) conflictCode(digest []byte) result.Code {
 	if !bytes.Equal([]byte(c.Digest), digest) {
 		return result.KeyReused
 	}
@@ -134,42 +134,42 @@
 	return result.AlreadyRan
 }
 
-// outcome notes what became of a call. Only the owner knows: an outcome from
-// another node, or one that comes after a first one, has no effect.
-func (c *Claims) outcome(at fold.Position, entry *recordv1.CallOutcome) fold.Verdict {
+// applyOutcome records the applyOutcome of a call. An applyOutcome from a node that doesn't own
+// the claim, or one that follows a first applyOutcome, has no effect.
+func (c *Claims) applyOutcome(pos fold.Position, entry *recordv1.CallOutcome) fold.Verdict {
 	id := ID{entry.GetAccount(), entry.GetKey()}
 	claim, known := c.claims[id]
-	if !known || claim.Owner != at.Writer || claim.End != recordv1.CallEnd_CALL_END_UNSPECIFIED {
-		return fold.Refuse(at, result.NotHolder, "the writer doesn't own the claim")
+	if !known || claim.Owner != pos.Writer || claim.End != recordv1.CallEnd_CALL_END_UNSPECIFIED {
+		return fold.Refuse(pos, result.NotHolder, "the writer doesn't own the claim")
 	}
 	if entry.GetEnd() == recordv1.CallEnd_CALL_END_NOT_RUN {
 		c.remove(id)
-		return fold.Accept(at)
+		return fold.Accept(pos)
 	}
 	claim.End, claim.Status = entry.GetEnd(), entry.GetStatus()
 	c.claims[id] = claim
-	return fold.Accept(at)
+	return fold.Accept(pos)
 }
 
 func (c *Claims) remove(id ID) {
 	delete(c.claims, id)
-	c.accounts[id.Account].held--
-}
-
-// forget drops the claims of an account that the log has left far behind, and the
-// oldest of a full one. It depends on the entries alone, so every node forgets the
-// same ones at the same place.
-func (c *Claims) forget(name string, account *accountClaims, offset uint64) {
-	for len(account.order) > 0 {
-		oldest := account.order[0]
-		held, known := c.claims[ID{name, oldest.Key}]
-		stale := !known || held.Offset != oldest.Offset
-		full := account.held >= c.limits.PerAccount
-		old := oldest.Offset+c.limits.KeepOffsets < offset || (full && oldest.Offset+c.limits.MinOffsets < offset)
-		if !stale && !old {
+	c.accounts[id.Account].live--
+}
+
+// evict drops an account's expired claims, and its oldest ones if the account is at its
+// limit. It depends on log entries alone, so every node evicts the same claims at the
+// same offset.
+func (c *Claims) evict(name string, account *accountClaims, offset uint64) {
+	for len(account.queue) > 0 {
+		oldest := account.queue[0]
+		current, known := c.claims[ID{name, oldest.Key}]
+		stale := !known || current.Offset != oldest.Offset
+		full := account.live >= c.limits.MaxPerAccount
+		expired := oldest.Offset+c.limits.RetentionOffsets < offset || (full && oldest.Offset+c.limits.MinRetentionOffsets < offset)
+		if !stale && !expired {
 			return
 		}
-		account.order = account.order[1:]
+		account.queue = account.queue[1:]
 		if !stale {
 			c.remove(ID{name, oldest.Key})
 		}
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,11 +1,11 @@
-// Package idempotency makes a call that must not run twice run at most once,
-// however often and at however many nodes its caller sends it.
+// Package idempotency executes a non-idempotent call at most once, however often and
+// at however many nodes its caller sends it.
 //
-// A caller names its call by a key of its own or by a ticket. A key is claimed in
-// the log before the call is sent: the first claim wins, at every node alike. A
-// ticket is bound to the incarnation that issued it, which alone may run it and
-// needs neither message nor log for that. Either way one incarnation runs the call
-// and keeps its answer in memory; every other node asks that one. Once it is gone
-// the call is never run again, and the answer is AlreadyRan when the log knows the
-// outcome and OutcomeUnknown when it doesn't.
+// A caller identifies its call by a key of its own or by a ticket. A key is claimed in
+// the log before the call is sent, and the first claim wins on every node. A ticket is
+// bound to the incarnation that issued it. Only that incarnation may run the call, so it
+// needs neither a message nor the log. In both cases one incarnation runs the call
+// and keeps the response in memory, and every other node forwards to it. Once that
+// incarnation is gone the call is never run again: the result is AlreadyRan if the log
+// has the outcome and OutcomeUnknown otherwise.
 package idempotency
--- a/idempotency/fleet_test.go
+++ b/idempotency/fleet_test.go
@@ -17,19 +17,19 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// testFleet is some runners over one log. It must run within a synctest bubble.
+// testFleet is a set of runners that share one log. It must run in a synctest bubble.
 type testFleet struct {
 	log     *standin.Log
 	service *testService
 
 	mu sync.Mutex
-	// nodes by incarnation; slots tells which one stands at a place now.
+	// nodes maps incarnations to nodes, and slots maps slots to their current incarnation.
 	nodes  map[string]*testNode
 	slots  map[string]string
 	closed map[string]bool
-	// tickets of calls whose callers use one, by the call's key.
+	// tickets maps the keys of calls that use a ticket to the ticket.
 	tickets map[string]*fleetv1.CallTicket
-	// replaced counts the incarnations that took another's place.
+	// replaced counts the incarnations that replaced another one.
 	replaced int
 }
 
@@ -61,7 +61,7 @@
 	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *batch, v []fold.Verdict) { writer.Folded(b, v) })
 	n := &testNode{fleet: f, name: name, slot: slot, claims: claims}
 	n.ctx, n.kill = context.WithCancel(context.Background())
-	n.runner = NewRunner(Options{Incarnation: name, Claims: claims, Journal: writer, Open: f.isOpen, Clock: clock, Events: events})
+	n.runner = NewRunner(Options{Incarnation: name, Claims: claims, Log: writer, IsOpen: f.isOpen, Clock: clock, Events: events})
 	go writer.Run(n.ctx)
 	go follower.Run(n.ctx)
 	f.mu.Lock()
@@ -75,7 +75,7 @@
 		n.kill()
 		n.runner.Stop()
 	}
-	time.Sleep(2 * claimWait) // calls end, and callers that wait for a claim leave
+	time.Sleep(2 * claimTimeout) // calls finish, and callers that wait for a claim time out
 }
 
 func (f *testFleet) isOpen(name string) bool {
@@ -84,14 +84,14 @@
 	return !f.closed[name]
 }
 
-// close makes the fleet hold an incarnation for ended, as the fold does.
+// close marks an incarnation as closed for the whole fleet, as the fold does.
 func (f *testFleet) close(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed[name] = true
 }
 
-// node returns the node of an incarnation, or the one that stands at a place now.
+// node returns the current node of a slot, or the node of an incarnation.
 func (f *testFleet) node(name string) *testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,42 +101,42 @@
 	return f.nodes[name]
 }
 
-// call sends a call with a key to a node. A node that is killed answers nothing.
-func (n *testNode) call(ctx context.Context, key string) (Answer, error) {
-	named := Call{ID: ID{"account", key}, Digest: Digest{1}}
-	return n.answer(ctx, func(ctx context.Context) (Answer, error) {
-		return n.runner.Do(ctx, named, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
+// call sends a call with a key to a node. A killed node doesn't respond.
+func (n *testNode) call(ctx context.Context, key string) (Response, error) {
+	c := Call{ID: ID{"account", key}, Digest: Digest{1}}
+	return n.respond(ctx, func(ctx context.Context) (Response, error) {
+		return n.runner.Do(ctx, c, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 			peer := n.fleet.node(owner)
-			return peer.answer(ctx, func(ctx context.Context) (Answer, error) {
-				return peer.runner.Do(ctx, named, peer.run(key), nil)
+			return peer.respond(ctx, func(ctx context.Context) (Response, error) {
+				return peer.runner.Do(ctx, c, peer.run(key), nil)
 			})
 		})
 	})
 }
 
-// answer runs what a node does for a request, unless the node is killed.
-func (n *testNode) answer(ctx context.Context, do func(context.Context) (Answer, error)) (Answer, error) {
+// respond handles a request on the node, or fails if the node is killed.
+func (n *testNode) respond(ctx context.Context, handle func(context.Context) (Response, error)) (Response, error) {
 	type outcome struct {
-		answer Answer
-		err    error
+		response Response
+		err      error
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		answer, err := do(ctx)
-		done <- outcome{answer, err}
+		response, err := handle(ctx)
+		done <- outcome{response, err}
 	}()
 	select {
 	case o := <-done:
-		return o.answer, o.err
+		return o.response, o.err
 	case <-n.ctx.Done():
-		return Answer{}, result.New(result.PeerUnreachable, "node %s is dead", n.name)
+		return Response{}, result.New(result.PeerUnreachable, "node %s is dead", n.name)
 	}
 }
 
 func (n *testNode) run(key string) RunFunc {
-	return func(context.Context) (Answer, error) {
+	return func(context.Context) (Response, error) {
 		if n.ctx.Err() != nil {
-			return Answer{}, result.New(result.PeerUnreachable, "a dead node sends nothing")
+			return Response{}, result.New(result.PeerUnreachable, "a dead node sends nothing")
 		}
 		return n.fleet.service.call(key)
 	}
@@ -147,15 +147,15 @@
 	mu    sync.Mutex
 	runs  map[string]int
 	delay time.Duration
-	// before may refuse a run or be told of it; after may lose its answer.
+	// before is called ahead of each run and may refuse it; after may drop its response.
 	before func(key string) error
 	after  func(key string) error
 }
 
-func (s *testService) call(key string) (Answer, error) {
+func (s *testService) call(key string) (Response, error) {
 	if s.before != nil {
 		if err := s.before(key); err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 	}
 	s.mu.Lock()
@@ -165,10 +165,10 @@
 	time.Sleep(s.delay)
 	if s.after != nil {
 		if err := s.after(key); err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 	}
-	return Answer{Status: 200, Body: fmt.Appendf(nil, "%s run %d", key, run)}, nil
+	return Response{Status: 200, Body: fmt.Appendf(nil, "%s run %d", key, run)}, nil
 }
 
 func (s *testService) count(key string) int {
--- a/idempotency/history_test.go
+++ b/idempotency/history_test.go
@@ -19,19 +19,19 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// What an operation on a call's register came to.
-type seen int
+// observation is the observed result of an operation on a call's register.
+type observation int
 
 const (
-	seenRun seen = iota // the service ran it
-	seenAnswered
-	seenNotRun
-	seenNothing // unknown, in progress, or no answer at all
+	observedRun observation = iota // the service ran the call
+	observedResponse
+	observedNotRun
+	observedUnknown // unknown, in progress, or no response
 )
 
-// atMostOnce is a register per key: it runs once at most, an answer comes only of a
-// run, and "not run" is never said of a call that ran before.
-var atMostOnce = porcupine.Model{
+// atMostOnceModel has one register per key: it runs at most once, a response implies a
+// run, and "not run" is never returned for a call that ran before.
+var atMostOnceModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[any][]porcupine.Operation{}
 		for _, op := range history {
@@ -46,20 +46,20 @@
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
 		ran := state.(bool)
-		switch output.(seen) {
-		case seenRun:
+		switch output.(observation) {
+		case observedRun:
 			return !ran, true
-		case seenAnswered:
+		case observedResponse:
 			return ran, ran
-		case seenNotRun:
+		case observedNotRun:
 			return !ran, ran
 		}
 		return true, ran
 	},
 }
 
-// history collects operations. Instants are a counter, since the bubble's clock
-// stands still between waits.
+// history collects operations. Timestamps are a counter, since the clock of a synctest
+// bubble stands still between waits.
 type history struct {
 	mu  sync.Mutex
 	now int64
@@ -73,21 +73,21 @@
 	return h.now
 }
 
-func (h *history) note(key string, call int64, output seen, what string) {
+func (h *history) record(key string, call int64, output observation, detail string) {
 	end := h.tick()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, porcupine.Operation{Input: key, Call: call, Output: output, Return: end, Metadata: what})
+	h.ops = append(h.ops, porcupine.Operation{Input: key, Call: call, Output: output, Return: end, Metadata: detail})
 }
 
-func seenOf(err error) seen {
+func observationOf(err error) observation {
 	switch {
 	case err == nil:
-		return seenAnswered
+		return observedResponse
 	case result.From(err).NotRun():
-		return seenNotRun
+		return observedNotRun
 	}
-	return seenNothing
+	return observedUnknown
 }
 
 const (
@@ -96,30 +96,30 @@
 	historyCalls   = 25
 )
 
-// runHistory lets callers send few keys again and again to four nodes, while nodes
-// are killed and replaced, the log goes down, slows down and loses answers, and the
-// service refuses calls or loses their answers.
+// runHistory lets callers send a small set of keys repeatedly to four nodes, while nodes
+// are killed and replaced, the log goes down, slows down and loses acknowledgements, and
+// the service refuses calls or loses their responses.
 func runHistory(seed uint64) []porcupine.Operation {
 	h := &history{}
 	f := newTestFleet("n0", "n1", "n2", "n3")
 	defer f.stop()
-	var chance sync.Mutex
+	var randMu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
-	draw := func(n int) int {
-		chance.Lock()
-		defer chance.Unlock()
+	intN := func(n int) int {
+		randMu.Lock()
+		defer randMu.Unlock()
 		return random.IntN(n)
 	}
 	f.service.delay = 20 * time.Millisecond
 	f.service.before = func(key string) error {
-		if draw(4) == 0 {
+		if intN(4) == 0 {
 			return result.New(result.NoUpstream, "refused")
 		}
-		h.note(key, h.tick(), seenRun, "run")
+		h.record(key, h.tick(), observedRun, "run")
 		return nil
 	}
 	f.service.after = func(string) error {
-		if draw(6) == 0 {
+		if intN(6) == 0 {
 			return result.New(result.OutcomeUnknown, "the answer was lost")
 		}
 		return nil
@@ -128,14 +128,14 @@
 	for range historyCallers {
 		callers.Go(func() {
 			for range historyCalls {
-				time.Sleep(time.Duration(draw(60)) * time.Millisecond)
-				key := fmt.Sprint("key", draw(historyKeys))
-				name := fmt.Sprint("n", draw(4))
-				ctx, leave := context.WithTimeout(context.Background(), time.Duration(1+draw(200))*time.Millisecond)
+				time.Sleep(time.Duration(intN(60)) * time.Millisecond)
+				key := fmt.Sprint("key", intN(historyKeys))
+				name := fmt.Sprint("n", intN(4))
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+intN(200))*time.Millisecond)
 				called := h.tick()
-				_, err := f.node(name).named(ctx, key)
-				leave()
-				h.note(key, called, seenOf(err), fmt.Sprint(name, " ", err))
+				_, err := f.node(name).callByKeyOrTicket(ctx, key)
+				cancel()
+				h.record(key, called, observationOf(err), fmt.Sprint(name, " ", err))
 			}
 		})
 	}
@@ -143,8 +143,8 @@
 	go func() {
 		defer close(faults)
 		for range 30 {
-			time.Sleep(time.Duration(10+draw(50)) * time.Millisecond)
-			f.fault(draw)
+			time.Sleep(time.Duration(10+intN(50)) * time.Millisecond)
+			f.injectFault(intN)
 		}
 	}()
 	callers.Wait()
@@ -152,8 +152,8 @@
 	return h.ops
 }
 
-// fault does one of the things that may come at any moment.
-func (f *testFleet) fault(draw func(int) int) {
+// injectFault injects one random injectFault.
+func (f *testFleet) injectFault(draw func(int) int) {
 	switch draw(6) {
 	case 0, 1:
 		f.replace(fmt.Sprint("n", draw(4)))
@@ -166,29 +166,29 @@
 	case 4:
 		f.log.SetDelay(time.Duration(draw(30)) * time.Millisecond)
 	case 5:
-		// Held for ended while it goes on, like a node that was paused and woke.
+		// Closed while it still runs, like a node that was paused and resumed.
 		f.close(f.node(fmt.Sprint("n", draw(4))).name)
 	}
 }
 
-// named sends a call by its key, or every second one by a ticket that its callers
-// share.
-func (n *testNode) named(ctx context.Context, key string) (Answer, error) {
+// callByKeyOrTicket sends a call by its key, or every other one by a ticket that its
+// callers share.
+func (n *testNode) callByKeyOrTicket(ctx context.Context, key string) (Response, error) {
 	if key[len(key)-1]%2 == 0 {
 		return n.call(ctx, key)
 	}
 	ticket := n.fleet.ticket(n, key)
-	return n.answer(ctx, func(ctx context.Context) (Answer, error) {
-		return n.runner.DoTicket(ctx, ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
-			peer := n.fleet.node(ticket.GetPeerAddress()) // whoever stands there now
-			return peer.answer(ctx, func(ctx context.Context) (Answer, error) {
+	return n.respond(ctx, func(ctx context.Context) (Response, error) {
+		return n.runner.DoTicket(ctx, ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Response, error) {
+			peer := n.fleet.node(ticket.GetPeerAddress()) // the slot's current node
+			return peer.respond(ctx, func(ctx context.Context) (Response, error) {
 				return peer.runner.DoTicket(ctx, ticket, Digest{1}, peer.run(key), nil)
 			})
 		})
 	})
 }
 
-// ticket returns the ticket of a call, issued by the node that its first caller asks.
+// ticket returns the ticket of a call, issued by the node that the first caller used.
 func (f *testFleet) ticket(n *testNode, key string) *fleetv1.CallTicket {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,8 +198,8 @@
 	return f.tickets[key]
 }
 
-// replace kills a node; another incarnation takes its place, and its end is known to
-// the others some time later.
+// replace kills a node and starts another incarnation in its slot. The old incarnation
+// is closed 50 ms later.
 func (f *testFleet) replace(name string) {
 	old := f.node(name)
 	old.kill()
@@ -220,9 +220,9 @@
 	return pinned
 }
 
-// TestMain pins the seed of the generated tests, and runs on one processor as the tests
-// of package node do: the race detector of Go 1.26 crashes now and then on the timers
-// of a synctest bubble. A search with LAVENDERPIN_SEEDS runs on all.
+// TestMain pins the seed of the property tests, and runs on one processor as the tests of
+// package node do: the race detector of Go 1.26 occasionally crashes on the timers of a
+// synctest bubble. With LAVENDERPIN_SEEDS the tests run on all processors.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	if os.Getenv("LAVENDERPIN_SEEDS") == "" {
@@ -231,24 +231,23 @@
 	os.Exit(m.Run())
 }
 
-func TestAtMostOnceInHistories(t *testing.T) {
-	// Callers send the same orders to any node over and over while everything around
-	// them fails. No order may run twice, and none that ran may be called "not run":
-	// either would send a crew out in weather for nothing, or leave a bridle worn.
+func TestAtMostOnceUnderFaults(t *testing.T) {
+	// Callers retry the same calls on any node under random faults. No call may run twice,
+	// since its work would be done twice, and none that ran may be reported as "not run".
 	for _, seed := range seeds() {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			var ops []porcupine.Operation
 			synctest.Test(t, func(*testing.T) { ops = runHistory(seed) })
-			counts := map[seen]int{}
+			counts := map[observation]int{}
 			for _, op := range ops {
-				counts[op.Output.(seen)]++
+				counts[op.Output.(observation)]++
 			}
-			t.Logf("run %d, answered %d, not run %d, other %d", counts[seenRun], counts[seenAnswered], counts[seenNotRun], counts[seenNothing])
-			if !porcupine.CheckOperations(atMostOnce, ops) {
-				t.Fatal("an order ran twice, or one that ran was called not run")
+			t.Logf("runs %d, responses %d, not run %d, unknown %d", counts[observedRun], counts[observedResponse], counts[observedNotRun], counts[observedUnknown])
+			if !porcupine.CheckOperations(atMostOnceModel, ops) {
+				t.Fatal("a call ran twice, or a call that ran was reported as not run")
 			}
-			if counts[seenRun] == 0 || counts[seenAnswered] == 0 || counts[seenNotRun] == 0 {
-				t.Fatal("the history shows nothing")
+			if counts[observedRun] == 0 || counts[observedResponse] == 0 || counts[observedNotRun] == 0 {
+				t.Fatal("the history lacks runs, responses or refusals")
 			}
 		})
 	}
--- a/idempotency/runner.go
+++ b/idempotency/runner.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// claimWait bounds how long a call waits for its claim to be read back.
-	claimWait = 2 * time.Second
-	// comeBack is when a caller should ask again about a call that runs.
-	comeBack = time.Second
-	// maxAnswers bounds the answers held, in bytes.
-	maxAnswers = 64 << 20
-	// startOver bounds how often a call begins anew after its claim was given up.
-	startOver = 3
+	// claimTimeout bounds how long a call waits for its claim to be read back from the log.
+	claimTimeout = 2 * time.Second
+	// retryAfter is when a caller should ask again about a call in progress.
+	retryAfter = time.Second
+	// maxResponseBytes bounds the memory used by cached responses.
+	maxResponseBytes = 64 << 20
+	// maxClaimAttempts bounds how often a call starts over after its claim was dropped.
+	maxClaimAttempts = 3
 )
 
-// Submitter queues an entry for the log; recordlog.Writer is one.
+// Submitter queues an entry for the log. It is implemented by recordlog.Writer.
 type Submitter interface {
 	Submit(entry *recordv1.Entry) *recordlog.Ticket
 }
 
-// Options is what a Runner works with.
+// Options holds the dependencies of a Runner.
 type Options struct {
-	// Incarnation of this node.
+	// Incarnation is the name of this node's incarnation.
 	Incarnation string
 	Claims      *Claims
-	Journal     Submitter
-	// Open tells whether an incarnation may still run calls.
-	Open   func(incarnation string) bool
+	Log         Submitter
+	// IsOpen reports whether an incarnation may still run calls.
+	IsOpen func(incarnation string) bool
 	Clock  clockwork.Clock
 	Events *event.Recorder
 }
@@ -46,151 +46,152 @@
 // Runner runs calls at most once. It is safe for concurrent use.
 type Runner struct {
 	Options
-	stopped chan struct{}
-	once    sync.Once
-	active  atomic.Int64
-
-	mu      sync.Mutex
-	held    map[ID]*heldCall
-	tickets map[uint64]*heldCall
-	prune   int
-	answers answerQueue
+	stopped     chan struct{}
+	stopOnce    sync.Once
+	activeCalls atomic.Int64
+
+	mu             sync.Mutex
+	calls          map[ID]*callEntry
+	tickets        map[uint64]*callEntry
+	pruneThreshold int
+	responses      responseCache
 }
 
-// NewRunner returns a runner that holds nothing.
+// NewRunner returns a runner without any calls.
 func NewRunner(options Options) *Runner {
 	return &Runner{Options: options, stopped: make(chan struct{}),
-		held: map[ID]*heldCall{}, tickets: map[uint64]*heldCall{}, prune: minPrune, answers: answerQueue{limit: maxAnswers}}
+		calls: map[ID]*callEntry{}, tickets: map[uint64]*callEntry{}, pruneThreshold: minPruneThreshold, responses: responseCache{maxBytes: maxResponseBytes}}
 }
 
-// Stop ends the waits for claims that the log hasn't shown. Calls that run go on.
-func (r *Runner) Stop() { r.once.Do(func() { close(r.stopped) }) }
+// Stop ends all waits for entries that haven't been read back from the log. Running
+// calls continue.
+func (r *Runner) Stop() { r.stopOnce.Do(func() { close(r.stopped) }) }
 
-// Active returns how many calls run. A call counts until its outcome is on its way to
-// the log: a graceful stop that ended before would leave it unknown.
-func (r *Runner) Active() int64 { return r.active.Load() }
+// Active returns the number of running calls. A call counts until its outcome has been
+// submitted to the log: a graceful shutdown before that would leave the outcome unknown.
+func (r *Runner) Active() int64 { return r.activeCalls.Load() }
 
-// Do runs a call under its key, or returns what became of it. forward is nil when
-// another node sent the call here: two nodes that each hold the other for the owner
-// would otherwise pass it to and fro.
-func (r *Runner) Do(ctx context.Context, call Call, run RunFunc, forward ForwardFunc) (Answer, error) {
-	for range startOver {
-		held, err := r.join(call)
+// Do runs a call under its key, or returns its result. forward is nil if another node
+// forwarded the call to this one: two nodes that each take the other for the owner would
+// otherwise forward it back and forth.
+func (r *Runner) Do(ctx context.Context, call Call, run RunFunc, forward ForwardFunc) (Response, error) {
+	for range maxClaimAttempts {
+		entry, err := r.join(call)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
-		if held == nil {
-			return r.elsewhere(ctx, call, forward)
+		if entry == nil {
+			return r.resolveRemote(ctx, call, forward)
 		}
-		answer, again, err := r.await(ctx, held, run)
-		if !again {
-			return answer, err
+		response, retry, err := r.await(ctx, entry, run)
+		if !retry {
+			return response, err
 		}
 	}
-	return Answer{}, result.New(result.CallInProgress, "the key is being claimed").After(comeBack)
+	return Response{}, result.New(result.CallInProgress, "the key is being claimed").After(retryAfter)
 }
 
-// await waits for a held call to end, and runs it when it is free. again tells that
-// the claim was lost or given up and that the caller should start over.
-func (r *Runner) await(ctx context.Context, held *heldCall, run RunFunc) (answer Answer, again bool, err error) {
-	claimOver := r.Clock.After(claimWait)
+// await waits for a call to finish, and runs it if it is ready. retry reports that the
+// claim was dropped and that the caller should start over.
+func (r *Runner) await(ctx context.Context, entry *callEntry, run RunFunc) (response Response, retry bool, err error) {
+	claimDeadline := r.Clock.After(claimTimeout)
 	for {
 		r.mu.Lock()
-		switch held.phase {
-		case ended:
+		switch entry.phase {
+		case done:
 			defer r.mu.Unlock()
-			held.waiters--
-			return held.answer, false, held.err
-		case lost:
+			entry.waiters--
+			return entry.response, false, entry.err
+		case dropped:
 			defer r.mu.Unlock()
-			held.waiters--
-			return Answer{}, !refusesForGood(held.err), held.err
-		case free:
+			entry.waiters--
+			return Response{}, !isPermanentRefusal(entry.err), entry.err
+		case ready:
 			if ctx.Err() == nil {
-				r.start(ctx, held, run)
+				r.start(ctx, entry, run)
 			}
 		}
-		changed, waitsForClaim := held.changed, held.phase == claiming
+		changed, waitsForClaim := entry.changed, entry.phase == claiming
 		r.mu.Unlock()
-		var claimTimeout <-chan time.Time
+		var timeout <-chan time.Time
 		if waitsForClaim {
-			claimTimeout = claimOver
+			timeout = claimDeadline
 		}
 		select {
 		case <-changed:
-		case <-claimTimeout:
-			answer, err = r.leave(held)
-			return answer, false, err
+		case <-timeout:
+			response, err = r.abandon(entry)
+			return response, false, err
 		case <-ctx.Done():
-			answer, err = r.leave(held)
-			return answer, false, err
+			response, err = r.abandon(entry)
+			return response, false, err
 		}
 	}
 }
 
-// leave ends a caller's wait. A try that ends before the claim was read back has not
-// run and never will, but an earlier try with the key may have run at a node whose
-// claim this one hasn't seen: the code doesn't say "not run".
-func (r *Runner) leave(held *heldCall) (Answer, error) {
+// abandon ends a caller's wait. An attempt that ends before its claim was read back has
+// not run and never will, but an earlier attempt with the key may have run on a node
+// whose claim this one hasn't read, so the code doesn't say "not run".
+func (r *Runner) abandon(entry *callEntry) (Response, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held.waiters--
-	switch held.phase {
+	entry.waiters--
+	switch entry.phase {
 	case claiming:
-		if held.waiters == 0 && held.claim != nil && held.claim.Withdraw() {
-			r.drop(held, lost)
+		if entry.waiters == 0 && entry.claim != nil && entry.claim.Withdraw() {
+			r.drop(entry, dropped)
 		}
-		return Answer{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").After(comeBack)
-	case ended:
-		return held.answer, held.err
-	case free:
-		// A ticket stays as it is: nothing is claimed for it in the log.
-		if held.waiters == 0 && !held.isTicket() {
-			r.release(held)
+		return Response{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").After(retryAfter)
+	case done:
+		return entry.response, entry.err
+	case ready:
+		// A ticket has no claim in the log to release.
+		if entry.waiters == 0 && !entry.isTicket() {
+			r.release(entry)
 		}
-		return Answer{}, result.New(result.CallerGone, "the caller left before the call was run")
+		return Response{}, result.New(result.CallerGone, "the caller left before the call was run")
 	}
-	return Answer{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").After(comeBack)
+	return Response{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").After(retryAfter)
 }
 
-// start runs a free call apart from its caller: a caller that leaves must find the
-// answer when it comes back, and the call can't be unsent.
-func (r *Runner) start(ctx context.Context, held *heldCall, run RunFunc) {
-	held.move(running)
-	r.active.Add(1)
+// start runs a ready call independently of its caller: a caller that disconnects must
+// find the response when it retries, and a call that was sent can't be cancelled.
+func (r *Runner) start(ctx context.Context, entry *callEntry, run RunFunc) {
+	entry.setPhase(running)
+	r.activeCalls.Add(1)
 	go func() {
-		defer r.active.Add(-1)
-		answer, err := r.guard(context.WithoutCancel(ctx), run)
-		r.finish(held, answer, err)
+		defer r.activeCalls.Add(-1)
+		response, err := r.runRecovering(context.WithoutCancel(ctx), run)
+		r.finish(entry, response, err)
 	}()
 }
 
-// guard turns a panic into an unknown outcome. Unrecovered it would end the node,
-// and with it every other call and stream.
-func (r *Runner) guard(ctx context.Context, run RunFunc) (answer Answer, err error) {
+// runRecovering converts a panic into an unknown outcome. An unrecovered panic would end
+// the node with all its other calls and streams.
+func (r *Runner) runRecovering(ctx context.Context, run RunFunc) (response Response, err error) {
 	defer func() {
-		if defect := recover(); defect != nil {
-			r.Events.Record(event.PanicRecovered, "why", fmt.Sprint(defect))
+		if recovered := recover(); recovered != nil {
+			r.Events.Record(event.PanicRecovered, "why", fmt.Sprint(recovered))
 			err = result.New(result.OutcomeUnknown, "a defect in this node")
 		}
 	}()
 	return run(ctx)
 }
 
-// elsewhere answers for a call that this node doesn't hold.
-func (r *Runner) elsewhere(ctx context.Context, call Call, forward ForwardFunc) (Answer, error) {
+// resolveRemote returns the result of a call that this node has no entry for.
+func (r *Runner) resolveRemote(ctx context.Context, call Call, forward ForwardFunc) (Response, error) {
 	claim, known := r.Claims.Get(call.ID)
 	switch {
 	case !known:
-		return Answer{}, result.New(result.CallInProgress, "the key is being given up").After(comeBack)
+		return Response{}, result.New(result.CallInProgress, "the key is being given up").After(retryAfter)
 	case claim.Digest != string(call.Digest[:]):
-		return Answer{}, reused(call.ID.Key)
-	case claim.Owner != r.Incarnation && r.Open(claim.Owner) && forward != nil:
+		return Response{}, keyReusedError(call.ID.Key)
+	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner) && forward != nil:
 		return forward(ctx, claim.Owner)
-	case claim.Owner != r.Incarnation && r.Open(claim.Owner):
-		return Answer{}, result.New(result.CallInProgress, "another node owns the key").After(comeBack)
+	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner):
+		return Response{}, result.New(result.CallInProgress, "another node owns the key").After(retryAfter)
 	case claim.End == recordv1.CallEnd_CALL_END_RAN:
-		return Answer{}, result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", claim.Status)
+		return Response{}, result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", claim.Status)
 	}
-	return Answer{}, result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
+	return Response{}, result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
--- a/idempotency/runner_test.go
+++ b/idempotency/runner_test.go
@@ -16,26 +16,25 @@
 
 type batch = recordv1.Batch
 
-func TestRetriesAtOtherNodesGetTheSameAnswer(t *testing.T) {
-	// A caller sends a work order, hears nothing for a while and sends it again to
-	// another node, during the first try and after it. It must get the first try's
-	// answer, and the crew must be sent out once.
+func TestRetriesOnOtherNodesGetSameResponse(t *testing.T) {
+	// A caller retries a call on other nodes, during the first attempt and after it. It
+	// must get the response of the first attempt, and the call must run once.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b", "c")
 		defer f.stop()
 		f.service.delay = 100 * time.Millisecond
-		answers := make(chan string, 3)
+		responses := make(chan string, 3)
 		for i, name := range []string{"a", "b", "c"} {
 			go func() {
 				time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-				answer, err := f.node(name).call(context.Background(), "order")
+				response, err := f.node(name).call(context.Background(), "order")
 				is.NoErr(err)
-				answers <- string(answer.Body)
+				responses <- string(response.Body)
 			}()
 		}
 		for range 3 {
-			is.Equal(<-answers, "order run 1")
+			is.Equal(<-responses, "order run 1")
 		}
 		late, err := f.node("b").call(context.Background(), "order")
 		is.NoErr(err)
@@ -44,31 +43,31 @@
 	})
 }
 
-func TestSameKeyAtTheSameMoment(t *testing.T) {
-	// An impatient caller sends one order to three nodes at once. All three claim the
-	// key, one claim wins, and the others must ask the winner rather than run.
+func TestConcurrentClaimsOfOneKey(t *testing.T) {
+	// A caller sends one call to three nodes at once. All three claim the key and one
+	// claim wins; the other nodes must forward to the winner rather than run the call.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b", "c")
 		defer f.stop()
-		answers := make(chan string, 3)
+		responses := make(chan string, 3)
 		for _, name := range []string{"a", "b", "c"} {
 			go func() {
-				answer, err := f.node(name).call(context.Background(), "order")
+				response, err := f.node(name).call(context.Background(), "order")
 				is.NoErr(err)
-				answers <- string(answer.Body)
+				responses <- string(response.Body)
 			}()
 		}
 		for range 3 {
-			is.Equal(<-answers, "order run 1")
+			is.Equal(<-responses, "order run 1")
 		}
 		is.Equal(f.service.count("order"), 1)
 	})
 }
 
-func TestKeyOfAnotherRequest(t *testing.T) {
-	// A client reuses a key by mistake for another order. Answered with the first
-	// order's result, the second one would be lost without anybody noticing.
+func TestKeyReusedForAnotherRequest(t *testing.T) {
+	// A client reuses a key for another request by mistake. If it got the response of the
+	// first request, the second one would be lost unnoticed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -85,10 +84,10 @@
 	})
 }
 
-func TestOutageRefusesAndNeverRunsLater(t *testing.T) {
-	// The log is out of reach, so nobody can tell whether the key was used. The call
-	// is refused without a run, also when the log comes back after the caller left:
-	// the caller may have given its order by telephone meanwhile.
+func TestLogOutageRefusesAndNeverRunsLater(t *testing.T) {
+	// The log is unreachable, so it is unknown whether the key was used. The call is
+	// refused and must not run later either, when the log is back but the caller has left:
+	// the caller may have placed its order in another way meanwhile.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -97,36 +96,36 @@
 		started := time.Now()
 		_, err := f.node("a").call(context.Background(), "order")
 		is.Equal(result.CodeOf(err), result.KeyNotClaimed)
-		is.True(!result.From(err).NotRun()) // an earlier try may have run at another node
-		is.Equal(time.Since(started), claimWait)
+		is.True(!result.From(err).NotRun()) // an earlier attempt may have run on another node
+		is.Equal(time.Since(started), claimTimeout)
 		f.log.SetDown(false)
 		time.Sleep(time.Minute)
 		is.Equal(f.service.count("order"), 0)
 		f.node("a").kill()
 		f.close("a")
-		answer, err := f.node("b").call(context.Background(), "order")
-		is.NoErr(err) // the late claim was given up, so the key didn't die with its node
-		is.Equal(string(answer.Body), "order run 1")
+		response, err := f.node("b").call(context.Background(), "order")
+		is.NoErr(err) // the late claim was released, so the key isn't lost with its node
+		is.Equal(string(response.Body), "order run 1")
 	})
 }
 
-func TestLostAnswerOfTheClaim(t *testing.T) {
-	// The log takes the claim, but its answer is lost and the append is sent again.
-	// The second copy must neither run the call twice nor refuse it.
+func TestLostClaimAcknowledgement(t *testing.T) {
+	// The log accepts the claim, but the acknowledgement is lost and the append is sent
+	// again. The duplicate must neither run the call twice nor refuse it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
 		f.log.LoseAnswers(2)
-		answer, err := f.node("a").call(context.Background(), "order")
+		response, err := f.node("a").call(context.Background(), "order")
 		is.NoErr(err)
-		is.Equal(string(answer.Body), "order run 1")
+		is.Equal(string(response.Body), "order run 1")
 	})
 }
 
-func TestNotRunFreesTheKey(t *testing.T) {
-	// No instance of the service can be reached, so the call is refused as not run.
-	// The caller comes back with the same key, at another node, and must be served.
+func TestNotRunReleasesKey(t *testing.T) {
+	// No instance of the service is reachable, so the call is refused as not run. A retry
+	// with the same key on another node must be served.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -137,15 +136,15 @@
 		is.True(result.From(err).NotRun())
 		f.service.before = nil
 		time.Sleep(time.Second)
-		answer, err := f.node("b").call(context.Background(), "order")
+		response, err := f.node("b").call(context.Background(), "order")
 		is.NoErr(err)
-		is.Equal(string(answer.Body), "order run 1")
+		is.Equal(string(response.Body), "order run 1")
 	})
 }
 
-func TestOwnerDiesWithinTheCall(t *testing.T) {
-	// The node that sent the order dies before the answer. Whether the crew was sent
-	// out is unknown, so no other node may send it again.
+func TestOwnerFailsDuringCall(t *testing.T) {
+	// The node that sent the call fails before the response. Whether the call ran is
+	// unknown, so no other node may send it again.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -155,7 +154,7 @@
 		time.Sleep(500 * time.Millisecond)
 		f.node("a").kill()
 		_, err := f.node("b").call(context.Background(), "order")
-		is.Equal(result.CodeOf(err), result.PeerUnreachable) // it may come back
+		is.Equal(result.CodeOf(err), result.PeerUnreachable) // the owner may come back
 		f.close("a")
 		_, err = f.node("b").call(context.Background(), "order")
 		is.Equal(result.CodeOf(err), result.OutcomeUnknown)
@@ -163,9 +162,9 @@
 	})
 }
 
-func TestOwnerDiesAfterTheCall(t *testing.T) {
-	// The node that ran the order dies later. Its answer is gone with it, but the log
-	// knows that the order ran: the caller is told so, and with which status.
+func TestOwnerFailsAfterCall(t *testing.T) {
+	// The node that ran the call fails later and its response is lost, but the log knows
+	// that the call ran and with which status, and the caller is told so.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -181,27 +180,27 @@
 	})
 }
 
-func TestCallerLeavesAndComesBack(t *testing.T) {
-	// A caller's connection breaks within the call. The call can't be unsent; when
-	// the caller comes back it must find the answer, and no second run.
+func TestCallerDisconnectsAndRetries(t *testing.T) {
+	// A caller's connection breaks during the call. The call can't be cancelled; a retry
+	// must get the response without a second run.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
 		f.service.delay = time.Second
-		ctx, leave := context.WithTimeout(context.Background(), 100*time.Millisecond)
-		defer leave()
+		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		defer cancel()
 		_, err := f.node("a").call(ctx, "order")
 		is.Equal(result.CodeOf(err), result.CallInProgress)
-		answer, err := f.node("a").call(context.Background(), "order")
+		response, err := f.node("a").call(context.Background(), "order")
 		is.NoErr(err)
-		is.Equal(string(answer.Body), "order run 1")
+		is.Equal(string(response.Body), "order run 1")
 	})
 }
 
-func TestPanicWithinACall(t *testing.T) {
-	// A defect hits after the order was sent. The node must live on, and the order
-	// must count as perhaps run.
+func TestPanicDuringCall(t *testing.T) {
+	// A panic occurs after the call was sent. The node must continue, and the call's
+	// outcome must be unknown.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
@@ -215,20 +214,20 @@
 	})
 }
 
-func TestForgottenAnswersStayRun(t *testing.T) {
-	// A busy node can't hold all answers. A caller that comes back for one that was
-	// dropped must be told that its order ran, and must not have it run again.
+func TestEvictedResponsesStillCountAsRun(t *testing.T) {
+	// A node evicts a response to bound its memory. A caller that retries must be told
+	// that the call ran, and the call must not run again.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
 		defer f.stop()
-		f.node("a").runner.answers.limit = 1
+		f.node("a").runner.responses.maxBytes = 1
 		for _, key := range []string{"one", "two"} {
 			_, err := f.node("a").call(context.Background(), key)
 			is.NoErr(err)
 		}
 		_, err := f.node("a").call(context.Background(), "one")
-		is.NoErr(err) // held until the log knows the outcome
+		is.NoErr(err) // kept until the log has the outcome
 		time.Sleep(time.Second)
 		for _, name := range []string{"a", "b"} {
 			_, err := f.node(name).call(context.Background(), "one")
@@ -238,15 +237,15 @@
 	})
 }
 
-func TestOutageLeavesNothingBehind(t *testing.T) {
-	// Callers keep sending keys through hours of an outage. Each leaves again; were its
-	// claim held on to, the node would run out of memory before the log is back.
+func TestLogOutageLeaksNothing(t *testing.T) {
+	// Callers send keys during a long log outage and disconnect. If their claims were
+	// kept, the node would run out of memory before the log is back.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
 		f.log.SetDown(true)
-		_, err := f.node("a").call(context.Background(), "first") // its claim is on its way
+		_, err := f.node("a").call(context.Background(), "first") // its append is in flight, so the claim can't be withdrawn
 		is.Equal(result.CodeOf(err), result.KeyNotClaimed)
 		before := runtime.NumGoroutine()
 		for i := range 200 {
@@ -255,6 +254,6 @@
 		}
 		synctest.Wait()
 		is.True(runtime.NumGoroutine() < before+50)
-		is.Equal(len(f.node("a").runner.held), 1)
+		is.Equal(len(f.node("a").runner.calls), 1)
 	})
 }
--- a/idempotency/runnerclaim.go
+++ b/idempotency/runnerclaim.go
@@ -7,78 +7,79 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// join finds the call among those held, or claims it; nil when another node owns it.
-func (r *Runner) join(call Call) (*heldCall, error) {
+// join returns the entry of a call, claiming the call if nobody has. It returns nil if
+// the log already has a claim and this node has no entry for it.
+func (r *Runner) join(call Call) (*callEntry, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if held := r.held[call.ID]; held != nil {
-		if held.call.Digest != call.Digest {
-			return nil, reused(call.ID.Key)
+	if entry := r.calls[call.ID]; entry != nil {
+		if entry.call.Digest != call.Digest {
+			return nil, keyReusedError(call.ID.Key)
 		}
-		held.waiters++
-		return held, nil
+		entry.waiters++
+		return entry, nil
 	}
 	if _, claimed := r.Claims.Get(call.ID); claimed {
 		return nil, nil
 	}
-	held := newHeldCall(call, claiming)
-	held.waiters = 1
-	held.claim = r.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_CallClaim{
+	entry := newCallEntry(call, claiming)
+	entry.waiters = 1
+	entry.claim = r.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_CallClaim{
 		CallClaim: &recordv1.CallClaim{Account: call.ID.Account, Key: call.ID.Key, Digest: call.Digest[:]},
 	}})
-	r.held[call.ID] = held
-	go r.awaitClaim(held, held.changed)
-	return held, nil
+	r.calls[call.ID] = entry
+	go r.awaitClaim(entry, entry.changed)
+	return entry, nil
 }
 
-func reused(key string) error {
+func keyReusedError(key string) error {
 	return result.New(result.KeyReused, "key %q was used with another request", key)
 }
 
-// awaitClaim takes the verdict on a claim, however late the log shows it. A claim that
-// was withdrawn gets none; waited for, each call of a long outage would leave a
-// goroutine behind.
-func (r *Runner) awaitClaim(held *heldCall, withdrawn <-chan struct{}) {
+// awaitClaim waits for the verdict on a claim, however late it is read from the log. A
+// withdrawn claim gets no verdict: waiting for one would leak a goroutine for each call
+// during a long outage.
+func (r *Runner) awaitClaim(entry *callEntry, withdrawn <-chan struct{}) {
 	select {
-	case verdict := <-held.claim.Done():
-		r.claimed(held, verdict)
+	case verdict := <-entry.claim.Done():
+		r.resolveClaim(entry, verdict)
 	case <-withdrawn:
 	case <-r.stopped:
 	}
 }
 
-func (r *Runner) claimed(held *heldCall, verdict fold.Verdict) {
+func (r *Runner) resolveClaim(entry *callEntry, verdict fold.Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if held.phase != claiming {
+	if entry.phase != claiming {
 		return
 	}
 	if !verdict.OK() {
-		held.err = verdict.Err()
-		r.drop(held, lost)
+		entry.err = verdict.Err()
+		r.drop(entry, dropped)
 		return
 	}
-	r.Events.Record(event.CallClaimed, "account", held.call.ID.Account, "key", held.call.ID.Key, "offset", verdict.Offset)
-	held.move(free)
-	if held.waiters == 0 {
-		// Every caller was told that its try did not run. Kept, the claim would
-		// block the key until this node ends and make its outcome unknown then.
-		r.release(held)
+	r.Events.Record(event.CallClaimed, "account", entry.call.ID.Account, "key", entry.call.ID.Key, "offset", verdict.Offset)
+	entry.setPhase(ready)
+	if entry.waiters == 0 {
+		// Every caller was told that its attempt did not run. If the claim were kept, the
+		// key would be blocked until this node ends, and its outcome unknown after that.
+		r.release(entry)
 	}
 }
 
-func (r *Runner) drop(held *heldCall, to phase) {
-	if r.held[held.call.ID] == held {
-		delete(r.held, held.call.ID)
+func (r *Runner) drop(entry *callEntry, p phase) {
+	if r.calls[entry.call.ID] == entry {
+		delete(r.calls, entry.call.ID)
 	}
-	held.move(to)
+	entry.setPhase(p)
 }
 
-// release gives the claim of a call that certainly did not run up. The call stays
-// held until the log shows it: a claim made before would lose against the old one.
-func (r *Runner) release(held *heldCall) {
-	held.move(claiming)
-	ticket := r.Journal.Submit(outcome(held.call.ID, recordv1.CallEnd_CALL_END_NOT_RUN, Answer{}))
+// release gives up the claim of a call that certainly did not run. The entry stays until
+// the release is read back from the log: an earlier new claim would conflict with the old one.
+func (r *Runner) release(entry *callEntry) {
+	entry.setPhase(claiming)
+	ticket := r.Log.Submit(outcomeEntry(entry.call.ID, recordv1.CallEnd_CALL_END_NOT_RUN, Response{}))
 	go func() {
 		select {
 		case <-ticket.Done():
@@ -86,12 +87,12 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.drop(held, lost)
+		r.drop(entry, dropped)
 	}()
 }
 
-// refusesForGood tells that a lost claim is worth no second look.
-func refusesForGood(err error) bool {
+// isPermanentRefusal reports whether claiming the key again can't succeed.
+func isPermanentRefusal(err error) bool {
 	code := result.CodeOf(err)
 	return code == result.KeyReused || code == result.KeysExhausted
 }
--- a/idempotency/runnerend.go
+++ b/idempotency/runnerend.go
@@ -6,52 +6,53 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func outcome(id ID, end recordv1.CallEnd, answer Answer) *recordv1.Entry {
+func outcomeEntry(id ID, end recordv1.CallEnd, response Response) *recordv1.Entry {
 	return &recordv1.Entry{Body: &recordv1.Entry_CallOutcome{CallOutcome: &recordv1.CallOutcome{
-		Account: id.Account, Key: id.Key, Status: uint32(answer.Status), End: end,
+		Account: id.Account, Key: id.Key, Status: uint32(response.Status), End: end,
 	}}}
 }
 
-func (r *Runner) finish(held *heldCall, answer Answer, err error) {
+func (r *Runner) finish(entry *callEntry, response Response, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held.answer, held.err = answer, err
+	entry.response, entry.err = response, err
 	switch {
 	case err == nil:
-		r.keep(held, recordv1.CallEnd_CALL_END_RAN)
+		r.recordOutcome(entry, recordv1.CallEnd_CALL_END_RAN)
 	case !result.From(err).NotRun():
-		r.keep(held, recordv1.CallEnd_CALL_END_UNKNOWN)
-	case held.isTicket():
-		// Not run: the ticket may be used again.
-		r.tickets[ticketNumber(held)] = newTicketCall(held.call, held.expires)
-		held.move(ended)
+		r.recordOutcome(entry, recordv1.CallEnd_CALL_END_UNKNOWN)
+	case entry.isTicket():
+		// The call did not run, so the ticket may be used again.
+		r.tickets[ticketNumber(entry)] = newTicketEntry(entry.call, entry.expiresMS)
+		entry.setPhase(done)
 	default:
-		r.endNotRun(held)
+		r.finishNotRun(entry)
 	}
 }
 
-// endNotRun answers the waiting callers with the refusal and frees the key.
-func (r *Runner) endNotRun(held *heldCall) {
-	successor := newHeldCall(held.call, claiming)
-	r.held[held.call.ID] = successor
-	held.move(ended)
+// finishNotRun returns the refusal to the waiting callers and releases the key.
+func (r *Runner) finishNotRun(entry *callEntry) {
+	successor := newCallEntry(entry.call, claiming)
+	r.calls[entry.call.ID] = successor
+	entry.setPhase(done)
 	r.release(successor)
 }
 
-// keep holds the end of a call for its caller's retries.
-func (r *Runner) keep(held *heldCall, end recordv1.CallEnd) {
-	held.move(ended)
-	if held.isTicket() {
-		r.remember(held)
+// recordOutcome keeps the result of a call for its caller's retries and, for a call
+// with a key, appends the outcome to the log.
+func (r *Runner) recordOutcome(entry *callEntry, end recordv1.CallEnd) {
+	entry.setPhase(done)
+	if entry.isTicket() {
+		r.cacheResponse(entry)
 		return
 	}
-	ticket := r.Journal.Submit(outcome(held.call.ID, end, held.answer))
-	go r.awaitOutcome(held, ticket)
+	ticket := r.Log.Submit(outcomeEntry(entry.call.ID, end, entry.response))
+	go r.awaitOutcome(entry, ticket)
 }
 
-// awaitOutcome lets an answer be forgotten once the log holds the outcome: until
-// then this node's memory is the only place that knows it.
-func (r *Runner) awaitOutcome(held *heldCall, ticket *recordlog.Ticket) {
+// awaitOutcome makes a response evictable once the log has the outcome. Until then the
+// outcome is known only to this node's memory.
+func (r *Runner) awaitOutcome(entry *callEntry, ticket *recordlog.Ticket) {
 	select {
 	case <-ticket.Done():
 	case <-r.stopped:
@@ -59,20 +60,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.remember(held)
+	r.cacheResponse(entry)
 }
 
-// remember takes an answer into the bounded memory. What leaves it for that stays
-// known as run: by the log for a key, by its entry for a ticket.
-func (r *Runner) remember(held *heldCall) {
-	for _, old := range r.answers.add(held) {
-		if !old.isTicket() {
-			delete(r.held, old.call.ID)
+// cacheResponse adds a response to the bounded cache. An evicted call is still known to
+// have run: from the log for a key, from its entry for a ticket.
+func (r *Runner) cacheResponse(entry *callEntry) {
+	for _, evicted := range r.responses.add(entry) {
+		if !evicted.isTicket() {
+			delete(r.calls, evicted.call.ID)
 			continue
 		}
-		if old.err == nil {
-			old.err = result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", old.answer.Status)
+		if evicted.err == nil {
+			evicted.err = result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", evicted.response.Status)
 		}
-		old.answer = Answer{}
+		evicted.response = Response{}
 	}
 }
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 )
 
-// savedClaim is the snapshot form of one claim.
+// savedClaim is the encoding of one claim in a snapshot.
 type savedClaim struct {
 	ID    ID
 	Claim Claim
-	// Digest is binary, which JSON keeps whole only as bytes.
+	// Digest is binary data, which JSON preserves only as a byte slice.
 	Digest []byte
 }
 
@@ -29,8 +29,8 @@
 	return json.Marshal(saved)
 }
 
-// less orders by offset, and within a batch by name, so that all nodes write the
-// same snapshot.
+// less orders by offset, and within a batch by account and key, so that all nodes write
+// identical snapshots.
 func (s savedClaim) less(other savedClaim) bool {
 	if s.Claim.Offset != other.Claim.Offset {
 		return s.Claim.Offset < other.Claim.Offset
@@ -52,7 +52,7 @@
 	c.claims, c.accounts = map[ID]Claim{}, map[string]*accountClaims{}
 	for _, s := range saved {
 		s.Claim.Digest = string(s.Digest)
-		c.put(s.ID, s.Claim)
+		c.insert(s.ID, s.Claim)
 	}
 	return nil
 }
--- a/idempotency/ticket.go
+++ b/idempotency/ticket.go
@@ -10,12 +10,11 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// TicketLifetime is how long a ticket may be used, and how long the answer of its
-// call is asked for.
+// TicketLifetime is how long a ticket, and the response of its call, may be requested.
 const TicketLifetime = 10 * time.Minute
 
-// NewTicket returns a ticket of this incarnation for an account. It costs neither
-// memory nor a message: the node remembers a ticket from its first use on.
+// NewTicket issues a ticket of this incarnation to an account. It needs neither memory
+// nor a message, since the node stores a ticket only from its first use on.
 func (r *Runner) NewTicket(account, peerAddress string) *fleetv1.CallTicket {
 	return &fleetv1.CallTicket{
 		Incarnation: r.Incarnation, PeerAddress: peerAddress, Account: account, Number: rand.Uint64(),
@@ -23,79 +22,80 @@
 	}
 }
 
-// DoTicket runs a call under a ticket, or returns what became of it. forward is nil
-// when another node sent the call here.
+// DoTicket runs a call under a ticket, or returns its result. forward is nil if another
+// node forwarded the call to this one.
 //
-// Only the incarnation that issued the ticket runs it. Were another to run it after
-// that one's end, a call that the dead one had sent would run twice.
-func (r *Runner) DoTicket(ctx context.Context, ticket *fleetv1.CallTicket, digest Digest, run RunFunc, forward ForwardFunc) (Answer, error) {
+// Only the incarnation that issued the ticket runs the call. If another one ran it after
+// the issuer failed, a call that the issuer had already sent would run twice.
+func (r *Runner) DoTicket(ctx context.Context, ticket *fleetv1.CallTicket, digest Digest, run RunFunc, forward ForwardFunc) (Response, error) {
 	if ticket.GetIncarnation() != r.Incarnation {
 		if forward == nil {
-			return Answer{}, unknownTicket()
+			return Response{}, unknownTicketError()
 		}
 		return forward(ctx, ticket.GetIncarnation())
 	}
-	held, err := r.joinTicket(ticket, digest)
+	entry, err := r.joinTicket(ticket, digest)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	answer, again, err := r.await(ctx, held, run)
-	if again {
-		// Nothing gives a ticket's call up. An answer made up here would tell a caller
-		// that an order was filed which never ran.
-		return Answer{}, result.New(result.InternalError, "the ticket's call was given up")
+	response, retry, err := r.await(ctx, entry, run)
+	if retry {
+		// A ticket's call is never dropped. Returning an empty response here would report
+		// success for a call that never ran.
+		return Response{}, result.New(result.InternalError, "the ticket's call was given up")
 	}
-	return answer, err
+	return response, err
 }
 
-func unknownTicket() error {
+func unknownTicketError() error {
 	return result.New(result.OutcomeUnknown, "the incarnation that issued the ticket is gone; if the call ran, it will not run again")
 }
 
-func (r *Runner) joinTicket(ticket *fleetv1.CallTicket, digest Digest) (*heldCall, error) {
+func (r *Runner) joinTicket(ticket *fleetv1.CallTicket, digest Digest) (*callEntry, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now().UnixMilli()
-	r.forgetTickets(now)
-	held := r.tickets[ticket.GetNumber()]
+	r.pruneTickets(now)
+	entry := r.tickets[ticket.GetNumber()]
 	switch {
-	case held == nil && now >= ticket.GetExpiresMs():
-		// Its use may be forgotten already, so nothing is said about a run.
+	case entry == nil && now >= ticket.GetExpiresMs():
+		// The ticket's use may have been pruned, so the code must not say "not run".
 		return nil, result.New(result.TicketExpired, "the ticket has expired; whether it was used is no longer known")
-	case held == nil:
+	case entry == nil:
 		id := ID{Account: ticket.GetAccount(), Key: strconv.FormatUint(ticket.GetNumber(), 10)}
-		held = newTicketCall(Call{ID: id, Digest: digest}, ticket.GetExpiresMs())
-		r.tickets[ticket.GetNumber()] = held
-	case held.call.Digest != digest:
+		entry = newTicketEntry(Call{ID: id, Digest: digest}, ticket.GetExpiresMs())
+		r.tickets[ticket.GetNumber()] = entry
+	case entry.call.Digest != digest:
 		return nil, result.New(result.KeyReused, "the ticket was used with another request")
 	}
-	held.waiters++
-	return held, nil
+	entry.waiters++
+	return entry, nil
 }
 
-func newTicketCall(call Call, expires int64) *heldCall {
-	held := newHeldCall(call, free)
-	held.expires = expires
-	return held
+func newTicketEntry(call Call, expiresMS int64) *callEntry {
+	entry := newCallEntry(call, ready)
+	entry.expiresMS = expiresMS
+	return entry
 }
 
-func ticketNumber(held *heldCall) uint64 {
-	number, _ := strconv.ParseUint(held.call.ID.Key, 10, 64)
+func ticketNumber(entry *callEntry) uint64 {
+	number, _ := strconv.ParseUint(entry.call.ID.Key, 10, 64)
 	return number
 }
 
-// forgetTickets drops the ended calls of expired tickets, now and then.
-func (r *Runner) forgetTickets(now int64) {
-	if len(r.tickets) < r.prune {
+// pruneTickets drops the finished calls of expired tickets once the map has doubled
+// since the last pruning.
+func (r *Runner) pruneTickets(now int64) {
+	if len(r.tickets) < r.pruneThreshold {
 		return
 	}
-	for number, held := range r.tickets {
-		if held.phase == ended && held.expires <= now {
+	for number, entry := range r.tickets {
+		if entry.phase == done && entry.expiresMS <= now {
 			delete(r.tickets, number)
 		}
 	}
-	r.prune = max(minPrune, 2*len(r.tickets))
+	r.pruneThreshold = max(minPruneThreshold, 2*len(r.tickets))
 }
 
-// minPrune is how many used tickets are held before any is looked at for dropping.
-const minPrune = 1024
+// minPruneThreshold is the number of used tickets below which none is pruned.
+const minPruneThreshold = 1024
--- a/idempotency/ticket_test.go
+++ b/idempotency/ticket_test.go
@@ -12,20 +12,20 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// callTicket sends a call with a ticket to a node, which passes it on to the issuer.
-func (n *testNode) callTicket(ticket *fleetv1.CallTicket, key string) (Answer, error) {
-	return n.runner.DoTicket(context.Background(), ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
+// callTicket sends a call with a ticket to a node, which forwards it to the issuer.
+func (n *testNode) callTicket(ticket *fleetv1.CallTicket, key string) (Response, error) {
+	return n.runner.DoTicket(context.Background(), ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 		peer := n.fleet.node(owner)
 		if peer.ctx.Err() != nil {
-			return Answer{}, result.New(result.OutcomeUnknown, "gone")
+			return Response{}, result.New(result.OutcomeUnknown, "gone")
 		}
 		return peer.runner.DoTicket(ctx, ticket, Digest{1}, peer.run(key), nil)
 	})
 }
 
-func TestTicketRunsOnceWithoutTheLog(t *testing.T) {
-	// The log is down for hours and a diver files a dive log. With a ticket the call
-	// runs all the same, once, wherever the caller sends it again.
+func TestTicketRunsOnceWithoutLog(t *testing.T) {
+	// The log is down. A call with a ticket still runs, and only once, whichever node the
+	// caller retries on.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -33,16 +33,16 @@
 		f.log.SetDown(true)
 		ticket := f.node("a").runner.NewTicket("account", "a")
 		for _, name := range []string{"b", "a", "b"} {
-			answer, err := f.node(name).callTicket(ticket, "dive")
+			response, err := f.node(name).callTicket(ticket, "dive")
 			is.NoErr(err)
-			is.Equal(string(answer.Body), "dive run 1")
+			is.Equal(string(response.Body), "dive run 1")
 		}
 	})
 }
 
-func TestTicketOfADeadNode(t *testing.T) {
-	// The node that issued the ticket is gone. It may have run the call before, so
-	// nobody runs it now.
+func TestTicketOfFailedNode(t *testing.T) {
+	// The node that issued the ticket has failed. It may have run the call, so no other
+	// node may run it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a", "b")
@@ -53,7 +53,7 @@
 		f.node("a").kill()
 		_, err = f.node("b").callTicket(ticket, "dive")
 		is.Equal(result.CodeOf(err), result.OutcomeUnknown)
-		// Another process took the dead one's address and is asked in its place.
+		// Another process took over the failed node's address and gets the call instead.
 		_, err = f.node("b").runner.DoTicket(context.Background(), ticket, Digest{1}, f.node("b").run("dive"), nil)
 		is.Equal(result.CodeOf(err), result.OutcomeUnknown)
 		is.Equal(f.service.count("dive"), 1)
@@ -61,8 +61,8 @@
 }
 
 func TestExpiredTicketNeverRunsAgain(t *testing.T) {
-	// A caller sends a ticket again the next day, when the node has forgotten the
-	// call. Run now, the order would be a duplicate.
+	// A caller reuses a ticket after the node has pruned the call. Running it now would
+	// run the call twice.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
@@ -71,7 +71,7 @@
 		_, err := f.node("a").callTicket(ticket, "order")
 		is.NoErr(err)
 		time.Sleep(TicketLifetime + time.Second)
-		f.node("a").runner.prune = 0 // looks for expired tickets at the next call
+		f.node("a").runner.pruneThreshold = 0 // prune expired tickets on the next call
 		_, err = f.node("a").callTicket(ticket, "order")
 		is.Equal(result.CodeOf(err), result.TicketExpired)
 		is.True(!result.From(err).NotRun())
@@ -79,8 +79,8 @@
 	})
 }
 
-func TestTicketAfterARefusal(t *testing.T) {
-	// The call was refused as not run; the same ticket must serve for the retry.
+func TestTicketIsReusableAfterRefusal(t *testing.T) {
+	// The call was refused as not run; a retry with the same ticket must succeed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
@@ -96,22 +96,22 @@
 	})
 }
 
-func TestCallerLeavesBeforeItsTicketRuns(t *testing.T) {
-	// A caller hangs up just as its call arrives and comes back with the same ticket.
-	// Answered with an empty success, its order would be lost without a trace.
+func TestCallerDisconnectsBeforeTicketRuns(t *testing.T) {
+	// A caller disconnects just as its call arrives and retries with the same ticket. If
+	// it got an empty success, its call would be lost unnoticed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
 		n := f.node("a")
 		ticket := n.runner.NewTicket("account", "a")
-		gone, leave := context.WithCancel(context.Background())
-		leave()
-		_, err := n.runner.DoTicket(gone, ticket, Digest{1}, n.run("order"), nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_, err := n.runner.DoTicket(ctx, ticket, Digest{1}, n.run("order"), nil)
 		is.Equal(result.CodeOf(err), result.CallerGone)
 		time.Sleep(time.Second)
-		answer, err := n.callTicket(ticket, "order")
+		response, err := n.callTicket(ticket, "order")
 		is.NoErr(err)
-		is.Equal(string(answer.Body), "order run 1")
+		is.Equal(string(response.Body), "order run 1")
 	})
 }
--- a/node/calls.go
+++ b/node/calls.go
@@ -30,7 +30,7 @@
 // newRunner returns what runs named calls of plain services.
 func (n *Node) newRunner() *idempotency.Runner {
 	return idempotency.NewRunner(idempotency.Options{
-		Incarnation: n.Incarnation(), Claims: n.claims, Journal: n.writer, Open: n.ledger.IsOpen,
+		Incarnation: n.Incarnation(), Claims: n.claims, Log: n.writer, IsOpen: n.ledger.IsOpen,
 		Clock: n.deps.Clock, Events: n.events,
 	})
 }
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -33,18 +33,18 @@
 }
 
 // forwardFunc passes a call on to the incarnation that alone may run it.
-type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Answer, error)
+type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Response, error)
 
 // callOnce runs a call that its caller named by a key or a ticket.
 func (s *Server) callOnce(ctx context.Context, p *preparedCall, forward forwardFunc) (upstream.CallResponse, error) {
 	if err := s.checkName(p.call); err != nil {
 		return upstream.CallResponse{}, s.refused(p.account.GetName(), err)
 	}
-	run := func(ctx context.Context) (idempotency.Answer, error) {
+	run := func(ctx context.Context) (idempotency.Response, error) {
 		answer, err := s.runCall(ctx, p)
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
-	var answer idempotency.Answer
+	var answer idempotency.Response
 	var err error
 	if p.call.Ticket != "" {
 		answer, err = s.onTicket(ctx, p, run, forward)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (s *Server) underKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+func (s *Server) underKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Response, error) {
 	named := idempotency.Call{
 		ID:     idempotency.ID{Account: p.account.GetName(), Key: p.call.IdempotencyKey},
 		Digest: digestOf(p.call),
@@ -79,20 +79,20 @@
 	if forward == nil {
 		return s.Runner.Do(ctx, named, run, nil)
 	}
-	return s.Runner.Do(ctx, named, run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, named, run, func(ctx context.Context, owner string) (idempotency.Response, error) {
 		return forward(ctx, owner, "")
 	})
 }
 
-func (s *Server) onTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+func (s *Server) onTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Response, error) {
 	ticket := &fleetv1.CallTicket{}
 	if s.Tickets == nil || s.Tickets.Open(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
-		return idempotency.Answer{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
+		return idempotency.Response{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
 	}
 	if forward == nil {
 		return s.Runner.DoTicket(ctx, ticket, digestOf(p.call), run, nil)
 	}
-	return s.Runner.DoTicket(ctx, ticket, digestOf(p.call), run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.DoTicket(ctx, ticket, digestOf(p.call), run, func(ctx context.Context, owner string) (idempotency.Response, error) {
 		return forward(ctx, owner, ticket.GetPeerAddress())
 	})
 }
@@ -115,13 +115,13 @@
 	if s.Peers == nil {
 		return nil
 	}
-	return func(ctx context.Context, incarnation, address string) (idempotency.Answer, error) {
+	return func(ctx context.Context, incarnation, address string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", p.account.GetName(), "key", p.call.IdempotencyKey, "to", incarnation)
 		answer, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
 			Account: p.account.GetName(), Service: p.call.Service, Method: p.call.Method, Path: p.call.Path,
 			Headers: p.call.Headers, Body: p.call.Body, Key: p.call.IdempotencyKey, Ticket: p.call.Ticket,
 		})
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
 }
 
