--- a/event/bench_test.go
+++ b/event/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkRecord is what one event costs the request path.
+// BenchmarkRecord measures the cost of one event on the request path.
 func BenchmarkRecord(b *testing.B) {
 	clock := clockwork.NewRealClock()
 	r := NewRecorder(NewHLC(clock), "3f2b8c1e-5a77-4d0e-9a6c-000000000001", 20_000, log.NewNopLogger())
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkRecordParallel is the same on all cores at once, as requests record.
+// BenchmarkRecordParallel measures recording on all cores at once, as requests do.
 func BenchmarkRecordParallel(b *testing.B) {
 	clock := clockwork.NewRealClock()
 	r := NewRecorder(NewHLC(clock), "3f2b8c1e-5a77-4d0e-9a6c-000000000001", 20_000, log.NewNopLogger())
--- a/event/budget.go
+++ b/event/budget.go
@@ -1,6 +1,6 @@
 package event
 
-// Events of budgets.
+// Budget events.
 const (
 	ShareGranted      Number = 301
 	ShareRefused      Number = 302
@@ -26,23 +26,23 @@
 
 var budgetKinds = map[Number]Kind{
 	ShareGranted:      {"ShareGranted", "The log granted this node tokens of a budget."},
-	ShareRefused:      {"ShareRefused", "The log granted this node nothing."},
-	ShareReturned:     {"ShareReturned", "This node gave tokens back to the pool."},
+	ShareRefused:      {"ShareRefused", "The log granted this node no tokens of a budget."},
+	ShareReturned:     {"ShareReturned", "This node returned tokens to the budget's pool."},
 	TopUpInForce:      {"TopUpInForce", "A top-up took effect on this node."},
-	SpendRightLapsed:  {"SpendRightLapsed", "The node's right to spend ran out before it could renew it."},
+	SpendRightLapsed:  {"SpendRightLapsed", "The node's right to spend expired before it was renewed."},
 	IncarnationOpened: {"IncarnationOpened", "The log opened an incarnation."},
 	IncarnationClosed: {"IncarnationClosed", "The log closed an incarnation."},
 	PartBorrowed:      {"PartBorrowed", "A peer reserved a part of a request for this node."},
-	PartLent:          {"PartLent", "This node reserved a part of a peer's request out of its own share."},
-	PartResolved:      {"PartResolved", "This node ended a part that it lent to a node since closed."},
-	ShareMoved:        {"ShareMoved", "This node moved a part of its share to a peer, through the log."},
-	ClosingSilent:     {"ClosingSilent", "This node asks the log to close an incarnation whose right to spend has surely run out."},
-	RecoveryStarted:   {"RecoveryStarted", "This node settles what a closed incarnation left open."},
+	PartLent:          {"PartLent", "This node reserved a part of a peer's request from its own share."},
+	PartResolved:      {"PartResolved", "This node resolved a part that it had lent to a node that has since been closed."},
+	ShareMoved:        {"ShareMoved", "This node transferred a part of its share to a peer through the log."},
+	ClosingSilent:     {"ClosingSilent", "This node asks the log to close an incarnation whose right to spend has certainly expired."},
+	RecoveryStarted:   {"RecoveryStarted", "This node settles the requests that a closed incarnation left open."},
 	RecoveryWaiting:   {"RecoveryWaiting", "Recovery waits for nodes that may know of requests of the closed incarnation."},
-	RequestRecovered:  {"RequestRecovered", "Recovery decided what a request of a closed incarnation is billed."},
-	RecoveryFinished:  {"RecoveryFinished", "A closed incarnation's unspent tokens are back in the pool."},
-	ShareWrittenOff:   {"ShareWrittenOff", "A closed incarnation's tokens are written off: nobody could tell in time what it spent of them."},
-	Unwitnessed:       {"Unwitnessed", "A request is dispatched though no other node could be told of it."},
-	WitnessChanged:    {"WitnessChanged", "This node tells its open requests to another node from now on."},
-	SettledForSilent:  {"SettledForSilent", "This node put into the log what a node that doesn't answer had told it of finished requests."},
+	RequestRecovered:  {"RequestRecovered", "Recovery determined how many tokens are billed for a request of a closed incarnation."},
+	RecoveryFinished:  {"RecoveryFinished", "The unspent tokens of a closed incarnation were returned to the pool."},
+	ShareWrittenOff:   {"ShareWrittenOff", "The tokens of a closed incarnation were written off: how many it had spent could not be determined in time."},
+	Unwitnessed:       {"Unwitnessed", "A request was dispatched although no other node could be told of it."},
+	WitnessChanged:    {"WitnessChanged", "This node reports its open requests to another node from now on."},
+	SettledForSilent:  {"SettledForSilent", "This node appended to the log the finished requests that an unresponsive node had reported to it."},
 }
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -2,17 +2,17 @@
 
 import "maps"
 
-// Kind describes a number for the catalogue in the docs.
+// Kind describes an event number in the catalogue.
 type Kind struct {
 	Name string
-	// Meaning is one sentence for people.
+	// Meaning is a one-sentence description.
 	Meaning string
 }
 
-// Kind returns the description of the number.
+// Kind returns the kind of event with this number, or a zero Kind if there is none.
 func (n Number) Kind() Kind { return catalogue[n] }
 
-// All returns every known event.
+// All returns all kinds of events by number.
 func All() map[Number]Kind { return maps.Clone(catalogue) }
 
 var catalogue = merge(nodeKinds, logKinds, budgetKinds, requestKinds, upstreamKinds, fleetKinds)
--- a/event/counts.go
+++ b/event/counts.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// counts holds how often each kind of event was recorded. The map is made whole
-// before its first use and never changed, so that it is read without a lock.
+// counts holds the number of recorded events by kind. The map is fully populated before
+// its first use and never modified, so that it can be read without a lock.
 type counts map[Number]*atomic.Uint64
 
 func newCounts() counts {
@@ -20,19 +20,19 @@
 	}
 }
 
-// Counts returns by name how often each kind of event was recorded since the node's
-// start, those that the ring dropped since included. Kinds that never came are left out.
+// Counts returns the number of recorded events by name since the node's start, including
+// events that the ring has dropped. Kinds without any event are omitted.
 func (r *Recorder) Counts() map[string]uint64 {
-	seen := map[string]uint64{}
+	byName := map[string]uint64{}
 	for number, count := range r.counts {
 		if n := count.Load(); n > 0 {
-			seen[number.Kind().Name] = n
+			byName[number.Kind().Name] = n
 		}
 	}
-	return seen
+	return byName
 }
 
-// Dropped returns how many events the ring no longer holds.
+// Dropped returns the number of events that the ring has dropped.
 func (r *Recorder) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/event/fleet.go
+++ b/event/fleet.go
@@ -1,6 +1,6 @@
 package event
 
-// Events of membership, addresses and leases.
+// Membership, address and lease events.
 const (
 	PeerJoined         Number = 601
 	PeerSuspect        Number = 602
@@ -20,28 +20,28 @@
 	ServingWithoutLog  Number = 619
 	ProcessStalled     Number = 620
 	RecordsFetched     Number = 621
-	// OrderGiven is the first of the numbers for engine orders.
+	// OrderGiven is the first number reserved for engine orders.
 	OrderGiven Number = 640
 )
 
 var fleetKinds = map[Number]Kind{
-	OrderGiven:         {"OrderGiven", "The holder of the lease gave an engine an order; code 0 means that it was taken."},
-	RelayFailed:        {"RelayFailed", "The peer that log records come from was silent or behind; this node reads the log itself for a while."},
-	SnapshotWritten:    {"SnapshotWritten", "The folded state is in the log again."},
-	SnapshotFailed:     {"SnapshotFailed", "A snapshot was not completed; it is tried again."},
-	StateRestored:      {"StateRestored", "The records needed had aged out; the state was taken from a snapshot or a peer."},
-	PeerReplaced:       {"PeerReplaced", "A new incarnation holds the address of another node."},
-	DrainOrdered:       {"DrainOrdered", "An operator's drain of this node took effect or was taken back."},
-	DrainAnnounced:     {"DrainAnnounced", "The other nodes were told that this one leaves."},
-	UpstreamLeaving:    {"UpstreamLeaving", "The platform's list shows an upstream as leaving; it gets no new work."},
-	InstancesDown:      {"InstancesDown", "The platform's instance list does not answer; the last one known stays in use."},
-	ServingWithoutLog:  {"ServingWithoutLog", "The log is out of reach; the node serves with the highest configuration its peers hold."},
-	RecordsFetched:     {"RecordsFetched", "A node of the data centre gave this one records of the log; the store was asked at most where the log ends."},
-	ProcessStalled:     {"ProcessStalled", "The process was stopped for a while; what it missed is not held against the other nodes."},
-	PeerJoined:         {"PeerJoined", "Another node answers."},
-	PeerSuspect:        {"PeerSuspect", "Another node stopped answering."},
-	PeerGone:           {"PeerGone", "Another node is taken as gone for routing."},
-	LeaseTaken:         {"LeaseTaken", "This node took a lease."},
-	LeaseLost:          {"LeaseLost", "This node lost or gave up a lease."},
+	OrderGiven:         {"OrderGiven", "The holder of the lease sent an order to an engine; code 0 means that it was accepted."},
+	RelayFailed:        {"RelayFailed", "The peer that relays log records was unresponsive or behind; this node reads the log itself for a while."},
+	SnapshotWritten:    {"SnapshotWritten", "A snapshot of the folded state was written to the log."},
+	SnapshotFailed:     {"SnapshotFailed", "A snapshot was not completed; it is retried."},
+	StateRestored:      {"StateRestored", "The records needed were past their retention; the state was restored from a snapshot or a peer."},
+	PeerReplaced:       {"PeerReplaced", "A new incarnation took over the address of another node."},
+	DrainOrdered:       {"DrainOrdered", "An operator's drain of this node took effect or was cancelled."},
+	DrainAnnounced:     {"DrainAnnounced", "The other nodes were told that this one is leaving."},
+	UpstreamLeaving:    {"UpstreamLeaving", "The platform's list shows an upstream as leaving; it gets no new requests."},
+	InstancesDown:      {"InstancesDown", "The platform's instance list is unavailable; the last known list stays in use."},
+	ServingWithoutLog:  {"ServingWithoutLog", "The log is unreachable; the node serves with the latest configuration that its peers hold."},
+	RecordsFetched:     {"RecordsFetched", "A node of the data centre sent this one records of the log; the store was asked at most for the end of the log."},
+	ProcessStalled:     {"ProcessStalled", "The process was paused for a while; what it missed does not count against the other nodes."},
+	PeerJoined:         {"PeerJoined", "Another node responds."},
+	PeerSuspect:        {"PeerSuspect", "Another node stopped responding."},
+	PeerGone:           {"PeerGone", "Another node is treated as gone for routing."},
+	LeaseTaken:         {"LeaseTaken", "This node acquired a lease."},
+	LeaseLost:          {"LeaseLost", "This node lost or released a lease."},
 	AddressesHandedOut: {"AddressesHandedOut", "A caller was told which addresses to use."},
 }
--- a/event/log.go
+++ b/event/log.go
@@ -1,6 +1,6 @@
 package event
 
-// Events of the log, configuration and operators.
+// Log, configuration and operator events.
 const (
 	LogUnreachable  Number = 201
 	LogReachable    Number = 202
@@ -11,19 +11,19 @@
 	BatchVoid       Number = 207
 	LogReadLate     Number = 208
 	GathererFailed  Number = 210
-	// OperatorCalled is the first of the audit events.
+	// OperatorCalled is the first number reserved for audit events.
 	OperatorCalled Number = 240
 )
 
 var logKinds = map[Number]Kind{
-	OperatorCalled:  {"OperatorCalled", "An operator called this node; outcome and reason tell whether it was accepted."},
-	LogUnreachable:  {"LogUnreachable", "The platform's log stopped answering this node."},
-	LogReachable:    {"LogReachable", "The platform's log answers this node again."},
-	ConfigAccepted:  {"ConfigAccepted", "An operator's change won and was read back."},
-	ConfigRefused:   {"ConfigRefused", "An operator's change lost against another or broke a rule."},
+	OperatorCalled:  {"OperatorCalled", "An operator called this node; outcome and reason tell whether the call was accepted."},
+	LogUnreachable:  {"LogUnreachable", "The platform's log stopped responding to this node."},
+	LogReachable:    {"LogReachable", "The platform's log responds to this node again."},
+	ConfigAccepted:  {"ConfigAccepted", "An operator's change was accepted and read back from the log."},
+	ConfigRefused:   {"ConfigRefused", "An operator's change conflicted with another one or broke a rule."},
 	ConfigInForce:   {"ConfigInForce", "A change took effect on this node."},
-	OperatorRefused: {"OperatorRefused", "An operator call was refused for its token or role."},
-	GathererFailed:  {"GathererFailed", "The node that appends for this data centre gave no answer; this node appends for itself for a while."},
-	LogReadLate:     {"LogReadLate", "A topic of the log was read later than usual, though no reading had failed."},
-	BatchVoid:       {"BatchVoid", "A batch was void because its sequence had passed."},
+	OperatorRefused: {"OperatorRefused", "An operator call was refused because of its token or role."},
+	GathererFailed:  {"GathererFailed", "The node that appends for this data centre did not respond; this node appends for itself for a while."},
+	LogReadLate:     {"LogReadLate", "A topic of the log was read later than usual, although no read had failed."},
+	BatchVoid:       {"BatchVoid", "A batch was void because its sequence number had passed."},
 }
--- a/event/logline.go
+++ b/event/logline.go
@@ -12,54 +12,55 @@
 	"github.com/juju/errors"
 )
 
-// Line is an event as a node's log holds it.
-type Line struct {
+// LogLine is an event read from a node's log.
+type LogLine struct {
 	Event
-	// At is the node's time of day, which may be wrong by seconds and may jump.
-	At time.Time
-	// Order is the line's place in its file; lines of one node are in order whatever
-	// its clock does.
-	Order int
+	// Time is the node's wall clock time, which may be off by seconds and may jump.
+	Time time.Time
+	// Index is the line's position in its file. It orders the lines of one node even if
+	// the node's clock jumps.
+	Index int
 }
 
-// ReadLog reads the events out of a log. Lines that aren't events, or are cut off, are
-// counted and passed over; so is whatever a collector put before a line's first pair.
-func ReadLog(r io.Reader) (lines []Line, skipped int, err error) {
+// ReadLog parses the events of a log. Lines that aren't events or are truncated are
+// skipped and counted. Any prefix that a log collector put before a line's first
+// key=value pair is ignored.
+func ReadLog(r io.Reader) (lines []LogLine, skipped int, err error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return nil, 0, errors.Trace(err)
 	}
-	for order, text := range bytes.Split(raw, []byte("\n")) {
+	for index, text := range bytes.Split(raw, []byte("\n")) {
 		if len(bytes.TrimSpace(text)) == 0 {
 			continue
 		}
-		line, ok := parseLine(text)
+		line, ok := parseLogLine(text)
 		if !ok {
 			skipped++
 			continue
 		}
-		line.Order = order
+		line.Index = index
 		lines = append(lines, line)
 	}
 	return lines, skipped, nil
 }
 
-func parseLine(text []byte) (Line, bool) {
+func parseLogLine(text []byte) (LogLine, bool) {
 	if start := bytes.Index(text, []byte("level=")); start > 0 {
 		text = text[start:]
 	}
-	line := Line{Event: Event{Fields: make(map[string]string)}}
+	line := LogLine{Event: Event{Fields: make(map[string]string)}}
 	d := logfmt.NewDecoder(bytes.NewReader(text))
 	if !d.ScanRecord() {
-		return Line{}, false
+		return LogLine{}, false
 	}
 	for d.ScanKeyval() {
-		line.take(string(d.Key()), string(d.Value()))
+		line.setField(string(d.Key()), string(d.Value()))
 	}
 	return line, d.Err() == nil && line.Number.Kind().Name != ""
 }
 
-func (l *Line) take(key, value string) {
+func (l *LogLine) setField(key, value string) {
 	switch key {
 	case "event":
 		number, err := strconv.ParseUint(value, 10, 32)
@@ -67,9 +68,9 @@
 			l.Number = Number(number)
 		}
 	case "ts":
-		at, err := time.Parse(time.RFC3339Nano, value)
+		t, err := time.Parse(time.RFC3339Nano, value)
 		if err == nil {
-			l.At = at
+			l.Time = t
 		}
 	case "node":
 		l.Node = value
@@ -79,28 +80,28 @@
 	}
 }
 
-// Story returns the lines that carry an id in any field, of all nodes together. Each
-// node's lines keep their order; nodes follow each other by the time of their first line.
-func Story(lines []Line, id string) []Line {
-	var story []Line
-	first := make(map[string]time.Time)
+// Trace returns the lines of all nodes that have an id in any field. The lines of a node
+// keep their order, and nodes are ordered by the time of their first line.
+func Trace(lines []LogLine, id string) []LogLine {
+	var matched []LogLine
+	firstTime := make(map[string]time.Time)
 	for _, l := range lines {
-		if !l.carries(id) {
+		if !l.mentions(id) {
 			continue
 		}
-		story = append(story, l)
-		if at, ok := first[l.Node]; !ok || l.At.Before(at) {
-			first[l.Node] = l.At
+		matched = append(matched, l)
+		if t, ok := firstTime[l.Node]; !ok || l.Time.Before(t) {
+			firstTime[l.Node] = l.Time
 		}
 	}
-	slices.SortStableFunc(story, func(x, y Line) int {
+	slices.SortStableFunc(matched, func(x, y LogLine) int {
 		if x.Node == y.Node {
-			return x.Order - y.Order
+			return x.Index - y.Index
 		}
-		if c := first[x.Node].Compare(first[y.Node]); c != 0 {
+		if c := firstTime[x.Node].Compare(firstTime[y.Node]); c != 0 {
 			return c
 		}
 		return strings.Compare(x.Node, y.Node)
 	})
-	return story
+	return matched
 }
--- a/event/node.go
+++ b/event/node.go
@@ -1,6 +1,6 @@
 package event
 
-// Events of a node's life.
+// Node lifecycle events.
 const (
 	NodeStarting   Number = 101
 	NodeServing    Number = 102
@@ -15,12 +15,12 @@
 
 var nodeKinds = map[Number]Kind{
 	NodeStarting:   {"NodeStarting", "A node incarnation starts and reads the log."},
-	NodeServing:    {"NodeServing", "The node holds the configuration and takes requests."},
-	NodeDraining:   {"NodeDraining", "The node takes no new addresses and finishes what it has."},
-	NodeStopped:    {"NodeStopped", "The node settled everything and ended."},
+	NodeServing:    {"NodeServing", "The node has the configuration and accepts requests."},
+	NodeDraining:   {"NodeDraining", "The node's address is no longer handed out; the node finishes its open requests."},
+	NodeStopped:    {"NodeStopped", "The node settled all its requests and stopped."},
 	NodeClosed:     {"NodeClosed", "The node learned that the fleet closed its incarnation."},
-	LinesDropped:   {"LinesDropped", "Log lines were dropped because the output took them too slowly; the count follows."},
-	SettingsRead:   {"SettingsRead", "The settings were read again; what changed is in force or named."},
-	MetricsAbsent:  {"MetricsAbsent", "The metrics can't be served on the address set for them; the node serves callers all the same."},
-	PanicRecovered: {"PanicRecovered", "A request hit a defect; the node goes on."},
+	LinesDropped:   {"LinesDropped", "Log lines were dropped because the output was too slow; the count follows."},
+	SettingsRead:   {"SettingsRead", "The settings were reloaded; each changed setting is in force or named."},
+	MetricsAbsent:  {"MetricsAbsent", "The metrics can't be served on their configured address; the node still serves callers."},
+	PanicRecovered: {"PanicRecovered", "A request caused a panic; the node continues."},
 }
--- a/event/request.go
+++ b/event/request.go
@@ -1,9 +1,10 @@
 package event
 
-// RetryAfterField holds when a refused caller was told to come back.
+// RetryAfterField is the name of the field with the time after which a refused caller was
+// told to retry.
 const RetryAfterField = "retry_after"
 
-// Events of requests.
+// Request events.
 const (
 	OverloadBegan     Number = 450
 	OverloadEnded     Number = 451
@@ -25,21 +26,21 @@
 )
 
 var requestKinds = map[Number]Kind{
-	OverloadBegan:     {"OverloadBegan", "Requests of a service have waited on this node without a break; waits are kept short now."},
-	OverloadEnded:     {"OverloadEnded", "A service refuses nothing for want of room any more on this node."},
+	OverloadBegan:     {"OverloadBegan", "Requests of a service have been queued on this node without a break; queueing time is kept short now."},
+	OverloadEnded:     {"OverloadEnded", "This node no longer refuses requests of a service for lack of capacity."},
 	RequestAdmitted:   {"RequestAdmitted", "Tokens are reserved for a request."},
 	RequestRefused:    {"RequestRefused", "A request was refused; the code tells why."},
 	RequestDispatched: {"RequestDispatched", "A request was sent to an upstream."},
-	RequestFinished:   {"RequestFinished", "The caller got the whole answer."},
+	RequestFinished:   {"RequestFinished", "The caller got the complete response."},
 	RequestFailed:     {"RequestFailed", "A request failed after it was sent."},
 	RequestSettled:    {"RequestSettled", "The settlement of a request is in the log."},
-	CallerLeft:        {"CallerLeft", "The caller left before the answer was complete."},
+	CallerLeft:        {"CallerLeft", "The caller disconnected before the response was complete."},
 	CallClaimed:       {"CallClaimed", "The log gave this node the idempotency key of a call."},
-	CallForwarded:     {"CallForwarded", "A call was passed on to the node that owns its key or ticket."},
-	StreamResumed:     {"StreamResumed", "A caller reads on at this node from a stream that another began."},
-	StreamMoved:       {"StreamMoved", "The caller of a stream reads on at another node; this one still settles."},
-	AttemptRetried:    {"AttemptRetried", "A request is sent again to another upstream."},
-	RetryDenied:       {"RetryDenied", "A request is not sent again: the node's retry budget is spent."},
-	RequestEnded:      {"RequestEnded", "A request ended; the outcome tells how, and used what its account pays."},
-	AnswerRerun:       {"AnswerRerun", "An engine was lost within an answer; another one repeats it from the start."},
+	CallForwarded:     {"CallForwarded", "A call was forwarded to the node that owns its key or ticket."},
+	StreamResumed:     {"StreamResumed", "A caller resumed on this node a stream that another node began."},
+	StreamMoved:       {"StreamMoved", "The caller of a stream resumed it on another node; this one still settles it."},
+	AttemptRetried:    {"AttemptRetried", "A request is retried on another upstream."},
+	RetryDenied:       {"RetryDenied", "A request is not retried: the node's retry budget is exhausted."},
+	RequestEnded:      {"RequestEnded", "A request ended; outcome tells how, and used what its account is billed."},
+	AnswerRerun:       {"AnswerRerun", "An engine was lost during a response; another one repeats the response from the start."},
 }
--- a/event/upstream.go
+++ b/event/upstream.go
@@ -1,6 +1,6 @@
 package event
 
-// Events of upstreams.
+// Upstream events.
 const (
 	UpstreamUnhealthy  Number = 501
 	UpstreamHealthy    Number = 502
@@ -11,10 +11,10 @@
 )
 
 var upstreamKinds = map[Number]Kind{
-	UpstreamUnhealthy:  {"UpstreamUnhealthy", "An upstream gets no new work."},
-	UpstreamHealthy:    {"UpstreamHealthy", "An upstream gets new work again."},
-	UpstreamProbed:     {"UpstreamProbed", "An upstream that got no new work is tried with one request at a time."},
+	UpstreamUnhealthy:  {"UpstreamUnhealthy", "An upstream gets no new requests."},
+	UpstreamHealthy:    {"UpstreamHealthy", "An upstream gets new requests again."},
+	UpstreamProbed:     {"UpstreamProbed", "An upstream that got no new requests is probed with one request at a time."},
 	UpstreamListed:     {"UpstreamListed", "The list of upstreams changed for this node: one joined or left, or all were read again."},
-	TokenBoundExceeded: {"TokenBoundExceeded", "An engine counted more tokens than its service declares; this node uses the bound by bytes until the declaration is changed."},
-	AnswerRejected:     {"AnswerRejected", "An upstream's answer was cut or for another request."},
+	TokenBoundExceeded: {"TokenBoundExceeded", "An engine counted more tokens than its service declares; this node uses the byte-based bound until the declaration is changed."},
+	AnswerRejected:     {"AnswerRejected", "An upstream's response was truncated or for another request."},
 }
--- a/gather/appender.go
+++ b/gather/appender.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	a.c.Events.Clock().Observe(event.Stamp(response.GetHlc()))
+	a.c.Events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	if code := result.Code(response.GetCode()); code != result.OK {
 		return result.New(code, "%s", response.GetMessage())
 	}
--- a/lossreport/report.go
+++ b/lossreport/report.go
@@ -44,7 +44,7 @@
 
 // New counts the lines of any number of nodes in intervals. Times are the nodes' own, which
 // may be wrong by seconds.
-func New(lines []event.Line, every time.Duration) *Report {
+func New(lines []event.LogLine, every time.Duration) *Report {
 	r := &Report{Every: every}
 	byBegin := make(map[time.Time]*Interval)
 	for i := range lines {
@@ -52,7 +52,7 @@
 		if !ends {
 			continue
 		}
-		begin := lines[i].At.Truncate(every)
+		begin := lines[i].Time.Truncate(every)
 		in, known := byBegin[begin]
 		if !known {
 			in = &Interval{Begin: begin, Ended: make(map[Cause]int)}
--- a/node/calls.go
+++ b/node/calls.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return upstream.CallResponse{}, p.unreachable(incarnation)
 	}
-	n.events.Clock().Observe(event.Stamp(response.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	return forwardedAnswer(response)
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	info     *recordv1.NodeInfo
 
 	events     *event.Recorder
-	kept       *event.Keeper
+	kept       *event.Archive
 	lifecycle  *stateless.StateMachine
 	config     *config.State
 	watchers   *watchers
@@ -91,7 +91,7 @@
 	}
 	hlc := event.NewHLC(deps.Clock)
 	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
-	n.kept = event.NewKeeper(max(1, settings.EventMemory/keptShare))
+	n.kept = event.NewArchive(max(1, settings.EventMemory/keptShare))
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.configInForce)
 	n.ledger = budget.NewLedger()
@@ -186,7 +186,7 @@
 // folded is told of each batch in offset order, in the folding goroutine.
 func (n *Node) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
 	n.snapshots.Folded(batch, proto.Size(batch))
-	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(batch.GetHlc()))
 	n.budgets.folded(batch, verdicts)
 	n.recordFolded(batch, verdicts)
 	n.writer.Folded(batch, verdicts)
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -152,10 +152,10 @@
 		line := n.Ledger().Budget(testBudget)
 		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, told %d, remembers %d", n.Incarnation(), n.State(),
 			line.Spent, f.engines.used(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.teller.Len(), n.budgets.memory.Len())
-		events, _ := n.events.Since("")
+		events, _ := n.events.Find("")
 		for _, e := range events {
 			if e.Number >= event.SpendRightLapsed && e.Number <= event.WitnessChanged && e.Number != event.RecoveryWaiting {
-				f.t.Log(e.Stamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
+				f.t.Log(e.Timestamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
 			}
 		}
 	}
