--- a/idempotency/claims.go
+++ b/idempotency/claims.go
@@ -134,8 +134,8 @@
 	return result.AlreadyRan
 }
 
-// applyOutcome records the applyOutcome of a call. An applyOutcome from a node that doesn't own
-// the claim, or one that follows a first applyOutcome, has no effect.
+// applyOutcome records the outcome of a call. An outcome from a node that doesn't own
+// the claim, or one that follows a first outcome, has no effect.
 func (c *Claims) applyOutcome(pos fold.Position, entry *recordv1.CallOutcome) fold.Verdict {
 	id := ID{entry.GetAccount(), entry.GetKey()}
 	claim, known := c.claims[id]
--- a/idempotency/history_test.go
+++ b/idempotency/history_test.go
@@ -152,7 +152,7 @@
 	return h.ops
 }
 
-// injectFault injects one random injectFault.
+// injectFault injects one random fault.
 func (f *testFleet) injectFault(draw func(int) int) {
 	switch draw(6) {
 	case 0, 1:
