--- a/eventstream/doc.go
+++ b/eventstream/doc.go
@@ -1,5 +1,5 @@
-// Package eventstream reads a stream of server-sent events one whole event at a time.
+// Package eventstream reads a stream of server-sent events, one complete event at a time.
 //
-// A stream that is cut within an event must not hand the part on: a caller would take
-// it for the whole event, and a stream that resumes would repeat it.
+// If a stream is cut within an event, the partial event must not be passed on: a caller
+// would take it for a complete event, and a resumed stream would repeat it.
 package eventstream
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -8,66 +8,66 @@
 	"strconv"
 )
 
-// MaxEvent bounds one event in bytes; a longer one is taken for a broken stream.
-const MaxEvent = 256 << 10
+// MaxEventBytes is the maximum size of an event; a longer event means a broken stream.
+const MaxEventBytes = 256 << 10
 
-// ErrTooLong tells that an event is longer than MaxEvent.
-var ErrTooLong = errors.New("an event is too long")
+// ErrTooLong is returned for an event longer than MaxEventBytes.
+var ErrTooLong = errors.New("event exceeds the maximum size")
 
-// Event is one event as it came.
+// Event is one event as received.
 type Event struct {
-	// ID is the event's number; HasID is unset if it has none.
+	// ID is the event's numeric ID. HasID is false if the event has none.
 	ID    int64
 	HasID bool
-	// Raw holds the event's bytes with the empty line that ends it. It is valid until
-	// the next call of Next.
+	// Raw holds the event's bytes, including the empty line that terminates it. It is
+	// valid until the next call of Next.
 	Raw []byte
 }
 
 // Reader reads events. It isn't safe for concurrent use.
 type Reader struct {
-	r   *bufio.Reader
+	br  *bufio.Reader
 	raw []byte
 }
 
-// bufferSize is the read buffer in bytes: a few events.
+// bufferSize is the size of the read buffer in bytes, enough for a few events.
 const bufferSize = 2 << 10
 
-// NewReader returns a reader of the stream.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, bufferSize)} }
+// NewReader returns a Reader that reads events from r.
+func NewReader(r io.Reader) *Reader { return &Reader{br: bufio.NewReaderSize(r, bufferSize)} }
 
-// Buffered tells whether more of the stream has been read already.
-func (r *Reader) Buffered() bool { return r.r.Buffered() > 0 }
+// Buffered reports whether unprocessed data of the stream is buffered.
+func (r *Reader) Buffered() bool { return r.br.Buffered() > 0 }
 
-// Next returns the next whole event. At the end of the stream it returns io.EOF, or
+// Next returns the next complete event. At the end of the stream it returns io.EOF, or
 // io.ErrUnexpectedEOF if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	var e Event
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return Event{}, err
 		}
-		text := bytes.TrimRight(line, "\r\n")
-		if len(text) == 0 {
+		content := bytes.TrimRight(line, "\r\n")
+		if len(content) == 0 {
 			e.Raw = r.raw
 			return e, nil
 		}
-		e.readID(text)
+		e.readID(content)
 	}
 }
 
-// line reads one line and adds it to the event.
-func (r *Reader) line() ([]byte, error) {
+// readLine reads one line and appends it to the raw event.
+func (r *Reader) readLine() ([]byte, error) {
 	start := len(r.raw)
 	for {
-		part, err := r.r.ReadSlice('\n')
-		r.raw = append(r.raw, part...)
+		chunk, err := r.br.ReadSlice('\n')
+		r.raw = append(r.raw, chunk...)
 		switch {
 		case err == nil:
 			return r.raw[start:], nil
-		case len(r.raw) > MaxEvent:
+		case len(r.raw) > MaxEventBytes:
 			return nil, ErrTooLong
 		case err == bufio.ErrBufferFull:
 			continue
--- a/eventstream/reader_test.go
+++ b/eventstream/reader_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestReadsEvents(t *testing.T) {
+func TestReadEvents(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(strings.NewReader("id: 4\ndata: a\n\ndata: b\r\n\r\n"))
 	e, err := r.Next()
@@ -26,24 +26,24 @@
 	is.Equal(err, io.EOF)
 }
 
-// An engine crashes within an event. The part must not be handed on: the caller would
-// take it for an event, and the engine that goes on would send the event again.
-func TestCutEventIsAnError(t *testing.T) {
+// An engine crashes within an event. The partial event must not be returned: the caller
+// would take it for an event, and the engine that resumes would send the event again.
+func TestTruncatedEventIsAnError(t *testing.T) {
 	is := is.New(t)
-	for _, cut := range []string{"id: 4\nda", "id: 4\ndata: a\n", "i"} {
-		_, err := NewReader(strings.NewReader(cut)).Next()
+	for _, truncated := range []string{"id: 4\nda", "id: 4\ndata: a\n", "i"} {
+		_, err := NewReader(strings.NewReader(truncated)).Next()
 		is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	}
 }
 
-// A broken engine sends one line without end. Memory must not grow with it.
-func TestEndlessEventIsAnError(t *testing.T) {
+// A broken engine sends an endless line. Memory must not grow without bound.
+func TestOversizedEventIsAnError(t *testing.T) {
 	is := is.New(t)
-	_, err := NewReader(strings.NewReader(strings.Repeat("x", 2*MaxEvent))).Next()
+	_, err := NewReader(strings.NewReader(strings.Repeat("x", 2*MaxEventBytes))).Next()
 	is.Equal(err, ErrTooLong)
 }
 
-// FuzzReader checks that whatever is read is passed on byte for byte.
+// FuzzReader checks that all events are returned byte for byte.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\n"))
 	f.Add([]byte("id:\n\n\n"))
@@ -58,7 +58,7 @@
 			out = append(out, e.Raw...)
 		}
 		if !bytes.HasPrefix(raw, out) {
-			t.Fatalf("%q isn't a beginning of %q", out, raw)
+			t.Fatalf("%q isn't a prefix of %q", out, raw)
 		}
 	})
 }
