--- a/node/settings.go
+++ b/node/settings.go
@@ -91,7 +91,7 @@
 	require(s.Appends.From > 0 && s.Appends.Answer > 0 && s.Appends.LeastRest > 0, "policy of appends isn't positive")
 	require(s.ClaimChunk > 0, "claim chunk is zero")
 	require(s.AddressLifetime > 0, "address lifetime isn't positive")
-	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecret, "token secret is shorter than 32 bytes")
+	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecretLen, "token secret is shorter than 32 bytes")
 	require(s.Snapshots.Records > 0 && s.Snapshots.Bytes > 0 && s.Snapshots.Age > 0, "snapshot policy isn't positive")
 	require(s.EventMemory > 0, "event memory is zero")
 	if len(mistakes) > 0 {
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -100,7 +100,7 @@
 	settings.ClaimChunk = 1000
 	settings.AddressLifetime = time.Second
 	settings.EventMemory = 100_000
-	settings.TokenSecret = make([]byte, signed.MinSecret)
+	settings.TokenSecret = make([]byte, signed.MinSecretLen)
 	f.topUps++
 	name := fmt.Sprintf("n%d-%d", i, f.topUps)
 	node, err := New(settings, Deps{
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -29,7 +29,7 @@
 		return "", nil, result.New(result.InternalError, "this node hands out no tickets")
 	}
 	ticket = s.Runner.NewTicket(account.GetName(), s.PeerAddress)
-	return s.Tickets.Seal(ticket), ticket, nil
+	return s.Tickets.Sign(ticket), ticket, nil
 }
 
 // forwardFunc passes a call on to the incarnation that alone may run it.
@@ -86,7 +86,7 @@
 
 func (s *Server) onTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Response, error) {
 	ticket := &fleetv1.CallTicket{}
-	if s.Tickets == nil || s.Tickets.Open(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
+	if s.Tickets == nil || s.Tickets.Verify(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
 		return idempotency.Response{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
 	}
 	if forward == nil {
--- a/request/stream_test.go
+++ b/request/stream_test.go
@@ -196,7 +196,7 @@
 	good := sink.cursors[0]
 	cursor, err := n.openCursor("account", good)
 	is.NoErr(err)
-	foreign := signed.NewSigner([]byte("of another fleet"), CursorPurpose).Seal(cursor)
+	foreign := signed.NewSigner([]byte("of another fleet"), CursorPurpose).Sign(cursor)
 	for _, call := range []ResumeCall{
 		{Key: otherKey, Cursor: good},
 		{Key: testKey, Cursor: "A" + good[1:]},
--- a/signed/doc.go
+++ b/signed/doc.go
@@ -1,4 +1,4 @@
-// Package signed makes short texts that callers keep and bring back, and that only
-// the fleet can have made: tickets and stream cursors. All nodes share one secret,
-// from their settings.
+// Package signed creates and verifies short signed tokens that callers keep and send
+// back: tickets and stream cursors. Only nodes of the fleet can create them, since all
+// nodes share one secret from their settings.
 package signed
--- a/signed/signer.go
+++ b/signed/signer.go
@@ -13,88 +13,88 @@
 )
 
 const (
-	// MinSecret is the least length of a secret, in bytes.
-	MinSecret = 32
-	// MaxText bounds a text that Open looks at, in bytes. A caller's header could
-	// otherwise make a node decode megabytes.
-	MaxText = 2048
-	// sumBytes of the HMAC are sent: 128 bits can't be guessed within a text's life.
-	sumBytes  = 16
+	// MinSecretLen is the minimum length of a secret in bytes.
+	MinSecretLen = 32
+	// MaxTokenLen is the maximum length in bytes of a token that Verify decodes. Without
+	// the limit, a caller's header could make a node decode megabytes.
+	MaxTokenLen = 2048
+	// macLen is the length in bytes to which the HMAC is truncated. 128 bits can't be
+	// guessed within a token's lifetime.
+	macLen    = 16
 	separator = '.'
 )
 
-// ErrInvalid is what Open answers for a text that this fleet didn't make for the
-// purpose.
+// ErrInvalid is returned for a token that this fleet didn't sign for the purpose.
 var ErrInvalid = errors.New("not signed by this fleet")
 
-// encoding is strict: each content has one text only.
+// encoding is strict, so that each payload has exactly one token.
 var encoding = base64.RawURLEncoding.Strict()
 
-// Signer makes and checks the texts of one purpose. It is safe for concurrent use.
+// Signer signs and verifies the tokens of one purpose. It is safe for concurrent use.
 type Signer struct {
-	workers sync.Pool
+	pool sync.Pool
 }
 
-// worker holds what one text needs, to be used again.
-type worker struct {
-	mac                hash.Hash
-	content, text, sum []byte
+// state holds the reusable hash and buffers for signing or verifying one token.
+type state struct {
+	hmac                   hash.Hash
+	payload, token, digest []byte
 }
 
-// NewSigner returns a signer. A text made for one purpose is invalid for another,
-// so that a caller can't use a cursor as a ticket.
+// NewSigner returns a signer for one purpose. A token signed for one purpose is invalid
+// for another, so that a caller can't use a cursor as a ticket.
 func NewSigner(secret []byte, purpose string) *Signer {
-	outer := hmac.New(sha256.New, secret)
-	outer.Write([]byte(purpose))
-	key := outer.Sum(nil)
-	return &Signer{workers: sync.Pool{New: func() any { return &worker{mac: hmac.New(sha256.New, key)} }}}
+	kdf := hmac.New(sha256.New, secret)
+	kdf.Write([]byte(purpose))
+	key := kdf.Sum(nil)
+	return &Signer{pool: sync.Pool{New: func() any { return &state{hmac: hmac.New(sha256.New, key)} }}}
 }
 
-// Seal returns the message as a signed text.
-func (s *Signer) Seal(message proto.Message) string {
-	w := s.workers.Get().(*worker)
-	defer s.workers.Put(w)
+// Sign encodes a message as a signed token.
+func (s *Signer) Sign(message proto.Message) string {
+	st := s.pool.Get().(*state)
+	defer s.pool.Put(st)
 	var err error
-	w.content, err = proto.MarshalOptions{}.MarshalAppend(w.content[:0], message)
+	st.payload, err = proto.MarshalOptions{}.MarshalAppend(st.payload[:0], message)
 	if err != nil {
 		panic(err) // generated messages always marshal
 	}
-	w.text = encoding.AppendEncode(w.text[:0], w.content)
-	w.text = append(w.text, separator)
-	w.text = encoding.AppendEncode(w.text, w.sign(w.content))
-	return string(w.text)
+	st.token = encoding.AppendEncode(st.token[:0], st.payload)
+	st.token = append(st.token, separator)
+	st.token = encoding.AppendEncode(st.token, st.mac(st.payload))
+	return string(st.token)
 }
 
-// Open reads a text that Seal made into the message, or fails with ErrInvalid.
-func (s *Signer) Open(text string, into proto.Message) error {
-	head, tail, found := strings.Cut(text, string(separator))
-	if !found || len(text) > MaxText {
+// Verify decodes a token created by Sign into a message, or returns ErrInvalid.
+func (s *Signer) Verify(token string, message proto.Message) error {
+	encodedPayload, encodedMAC, found := strings.Cut(token, string(separator))
+	if !found || len(token) > MaxTokenLen {
 		return errors.Trace(ErrInvalid)
 	}
-	content, err := encoding.DecodeString(head)
+	payload, err := encoding.DecodeString(encodedPayload)
 	if err != nil {
 		return errors.Trace(ErrInvalid)
 	}
-	sum, err := encoding.DecodeString(tail)
-	if err != nil || !s.isSigned(content, sum) {
+	mac, err := encoding.DecodeString(encodedMAC)
+	if err != nil || !s.validMAC(payload, mac) {
 		return errors.Trace(ErrInvalid)
 	}
-	if proto.Unmarshal(content, into) != nil {
+	if proto.Unmarshal(payload, message) != nil {
 		return errors.Trace(ErrInvalid)
 	}
 	return nil
 }
 
-func (s *Signer) isSigned(content, sum []byte) bool {
-	w := s.workers.Get().(*worker)
-	defer s.workers.Put(w)
-	return hmac.Equal(sum, w.sign(content))
+func (s *Signer) validMAC(payload, mac []byte) bool {
+	st := s.pool.Get().(*state)
+	defer s.pool.Put(st)
+	return hmac.Equal(mac, st.mac(payload))
 }
 
-// sign returns the HMAC of a content, valid until the worker's next use.
-func (w *worker) sign(content []byte) []byte {
-	w.mac.Reset()
-	w.mac.Write(content)
-	w.sum = w.mac.Sum(w.sum[:0])
-	return w.sum[:sumBytes]
+// mac returns the truncated HMAC of a payload. It is valid until the next use of s.
+func (s *state) mac(payload []byte) []byte {
+	s.hmac.Reset()
+	s.hmac.Write(payload)
+	s.digest = s.hmac.Sum(s.digest[:0])
+	return s.digest[:macLen]
 }
