--- a/gateway/run.go
+++ b/gateway/run.go
@@ -114,7 +114,7 @@
 		c.refuse(c.unknown(ctx, why))
 	default:
 		c.outcome = "refused"
-		c.refuse(result.New(result.NoUpstream, "%s", why).After(c.g.settings.BusyRetry))
+		c.refuse(result.New(result.NoUpstream, "%s", why).WithRetryAfter(c.g.settings.BusyRetry))
 	}
 }
 
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -25,5 +25,5 @@
 	if policy.Admit(usual, c.route.Objective, draw()) {
 		return nil
 	}
-	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).After(policy.RetryAfter(draw()))
+	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", usual.Round(time.Millisecond), c.route.Objective).WithRetryAfter(policy.RetryAfter(draw()))
 }
--- a/idempotency/runner.go
+++ b/idempotency/runner.go
@@ -88,7 +88,7 @@
 			return response, err
 		}
 	}
-	return Response{}, result.New(result.CallInProgress, "the key is being claimed").After(retryAfter)
+	return Response{}, result.New(result.CallInProgress, "the key is being claimed").WithRetryAfter(retryAfter)
 }
 
 // await waits for a call to finish, and runs it if it is ready. retry reports that the
@@ -141,7 +141,7 @@
 		if entry.waiters == 0 && entry.claim != nil && entry.claim.Withdraw() {
 			r.drop(entry, dropped)
 		}
-		return Response{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").After(retryAfter)
+		return Response{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").WithRetryAfter(retryAfter)
 	case done:
 		return entry.response, entry.err
 	case ready:
@@ -151,7 +151,7 @@
 		}
 		return Response{}, result.New(result.CallerGone, "the caller left before the call was run")
 	}
-	return Response{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").After(retryAfter)
+	return Response{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").WithRetryAfter(retryAfter)
 }
 
 // start runs a ready call independently of its caller: a caller that disconnects must
@@ -183,13 +183,13 @@
 	claim, known := r.Claims.Get(call.ID)
 	switch {
 	case !known:
-		return Response{}, result.New(result.CallInProgress, "the key is being given up").After(retryAfter)
+		return Response{}, result.New(result.CallInProgress, "the key is being given up").WithRetryAfter(retryAfter)
 	case claim.Digest != string(call.Digest[:]):
 		return Response{}, keyReusedError(call.ID.Key)
 	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner) && forward != nil:
 		return forward(ctx, claim.Owner)
 	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner):
-		return Response{}, result.New(result.CallInProgress, "another node owns the key").After(retryAfter)
+		return Response{}, result.New(result.CallInProgress, "another node owns the key").WithRetryAfter(retryAfter)
 	case claim.End == recordv1.CallEnd_CALL_END_RAN:
 		return Response{}, result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", claim.Status)
 	}
--- a/node/drain.go
+++ b/node/drain.go
@@ -115,5 +115,5 @@
 
 // errDrained is what a node answers that started under an operator's drain.
 func errDrained() error {
-	return result.New(result.NodeDrained, "operators drained this node").After(time.Second)
+	return result.New(result.NodeDrained, "operators drained this node").WithRetryAfter(time.Second)
 }
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -133,7 +133,7 @@
 	view := s.Config()
 	account := view.Account(f.GetAccount())
 	if account == nil {
-		return upstream.CallResponse{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).Doubt()
+		return upstream.CallResponse{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).WithMayHaveRun()
 	}
 	if f.GetService() == "" {
 		return s.forwardedChat(ctx, account, f)
@@ -143,7 +143,7 @@
 		IdempotencyKey: f.GetKey(), Ticket: f.GetTicket(),
 	})
 	if err != nil {
-		return upstream.CallResponse{}, result.From(err).Doubt()
+		return upstream.CallResponse{}, result.From(err).WithMayHaveRun()
 	}
 	return s.callOnce(ctx, prepared, nil)
 }
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -23,7 +23,7 @@
 func (s *Server) chatOnce(ctx context.Context, call ChatCall, sink Sink) error {
 	account, err := s.authenticate(s.Config(), call.Key)
 	if err != nil {
-		return result.From(s.refused("", err)).Doubt()
+		return result.From(s.refused("", err)).WithMayHaveRun()
 	}
 	if err := s.checkName(call.named()); err != nil {
 		return s.refused(account.GetName(), err)
--- a/result/budget.go
+++ b/result/budget.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/grpc/codes"
 
-// Codes about budgets.
+// Codes for budget errors.
 const (
 	NoBudget          Code = 2001
 	BudgetSpent       Code = 2002
--- a/result/caller.go
+++ b/result/caller.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/grpc/codes"
 
-// Codes that ask the caller to act.
+// Codes for errors that the caller must resolve.
 const (
 	MalformedRequest Code = 1001
 	UnknownKey       Code = 1002
--- a/result/code.go
+++ b/result/code.go
@@ -6,39 +6,39 @@
 	"google.golang.org/grpc/codes"
 )
 
-// Code is a numbered result. Numbers are never reused. Thousands
-// group them, and each group has a file of its own: 1 the caller, 2 the budget,
-// 3 operators, 4 upstreams, 5 the fleet itself.
+// Code is a numbered result. Numbers are never reused. They are grouped by thousands,
+// with a file for each group: 1xxx caller, 2xxx budgets, 3xxx operators, 4xxx upstreams
+// and admission, 5xxx the fleet itself.
 type Code uint32
 
-// OK tells that the request was served.
+// OK means that the request was served.
 const OK Code = 0
 
-// Info describes a code for the table in the docs and for both APIs.
+// Info describes a code for the documentation and for the HTTP and gRPC APIs.
 type Info struct {
 	Name string
-	// HTTP is the status that carries the code over HTTP.
+	// HTTP is the HTTP status returned with the code.
 	HTTP int
-	// GRPC is the status that carries the code over gRPC.
+	// GRPC is the gRPC status returned with the code.
 	GRPC codes.Code
-	// Retry tells whether sending the same request again later can help.
+	// Retry reports whether retrying the same request later can succeed.
 	Retry bool
-	// NotRun tells that the request certainly did not run at an upstream.
+	// NotRun reports that the request certainly did not run at an upstream.
 	NotRun bool
-	// Meaning is one sentence for people.
+	// Meaning is a one-sentence description.
 	Meaning string
 }
 
-// Info returns the description of the code; unknown codes read as InternalError.
+// Info returns the description of the code. Unknown codes are described as InternalError.
 func (c Code) Info() Info {
-	if info, ok := table[c]; ok {
+	if info, ok := infos[c]; ok {
 		return info
 	}
-	return table[InternalError]
+	return infos[InternalError]
 }
 
 // String returns the name of the code.
 func (c Code) String() string { return c.Info().Name }
 
-// All returns every known code.
-func All() map[Code]Info { return maps.Clone(table) }
+// All returns the descriptions of all known codes.
+func All() map[Code]Info { return maps.Clone(infos) }
--- a/result/error.go
+++ b/result/error.go
@@ -7,70 +7,71 @@
 	"github.com/juju/errors"
 )
 
-// Error is a result code with what a person needs to act on it.
+// Error is a result code with details for the caller.
 type Error struct {
 	Code    Code
 	Message string
-	// RetryAfter is when to come back; zero when a retry can't help or at once will do.
+	// RetryAfter is how long to wait before a retry. It is zero if a retry can't succeed or
+	// no wait is needed.
 	RetryAfter time.Duration
-	// MayHaveRun is set on a refusal of one try whose call may have run in an
-	// earlier one: the code's "not run" isn't true of the call then.
+	// MayHaveRun is set if one attempt was refused but the call may have run in an earlier
+	// one, so that the code's "not run" doesn't apply to the call.
 	MayHaveRun bool
-	// Request is the id under which the fleet's events tell of the request; empty when
-	// it has none.
+	// Request is the ID of the request in the fleet's events, or empty if it has none.
 	Request string
 }
 
-// NotRun tells that the request certainly did not run at an upstream.
+// NotRun reports that the request certainly did not run at an upstream.
 func (e *Error) NotRun() bool { return e.Code.Info().NotRun && !e.MayHaveRun }
 
-// Doubt returns the error without the claim that nothing ran.
-func (e *Error) Doubt() *Error {
-	doubted := *e
-	doubted.MayHaveRun = true
-	return &doubted
+// WithMayHaveRun returns a copy of the error with MayHaveRun set.
+func (e *Error) WithMayHaveRun() *Error {
+	copied := *e
+	copied.MayHaveRun = true
+	return &copied
 }
 
-// Of returns the error with the id of its request; an id that it has already stays.
-func (e *Error) Of(request string) *Error {
+// WithRequest returns the error with the ID of its request. An ID that is already set is
+// kept.
+func (e *Error) WithRequest(request string) *Error {
 	if e.Request != "" {
 		return e
 	}
-	named := *e
-	named.Request = request
-	return &named
+	copied := *e
+	copied.Request = request
+	return &copied
 }
 
-// Error returns number, name and message.
+// Error returns the code's number and name and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", uint32(e.Code), e.Code, e.Message)
 }
 
-// New returns an Error with a formatted message.
+// New returns an Error with the given code and a formatted message.
 func New(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns the same error with the time after which a retry can help.
-func (e *Error) After(d time.Duration) *Error {
-	later := *e
-	later.RetryAfter = d
-	return &later
+// WithRetryAfter returns a copy of the error with RetryAfter set.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
+	copied := *e
+	copied.RetryAfter = d
+	return &copied
 }
 
-// From finds the Error within err; any other error reads as InternalError.
+// From returns the Error in the chain of err, or an InternalError if there is none.
 func From(err error) *Error {
 	if err == nil {
 		return nil
 	}
-	var known *Error
-	if errors.As(err, &known) {
-		return known
+	var resultErr *Error
+	if errors.As(err, &resultErr) {
+		return resultErr
 	}
 	return New(InternalError, "%v", err)
 }
 
-// CodeOf returns the code within err, OK for nil.
+// CodeOf returns the code of err, or OK if err is nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
--- a/result/fleet.go
+++ b/result/fleet.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/grpc/codes"
 
-// Codes about the fleet itself.
+// Codes for errors of the fleet itself.
 const (
 	NotServing         Code = 5001
 	Draining           Code = 5002
--- a/result/operator.go
+++ b/result/operator.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/grpc/codes"
 
-// Codes that ask operators to act.
+// Codes for errors that operators must resolve.
 const (
 	VersionConflict   Code = 3001
 	InvalidResource   Code = 3002
--- a/result/table.go
+++ b/result/table.go
@@ -6,7 +6,7 @@
 	"google.golang.org/grpc/codes"
 )
 
-var table = merge(
+var infos = merge(
 	map[Code]Info{OK: {"OK", 200, codes.OK, false, false, "The request was served."}},
 	callerInfos, budgetInfos, operatorInfos, upstreamInfos, fleetInfos,
 )
--- a/result/upstream.go
+++ b/result/upstream.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/grpc/codes"
 
-// Codes about upstreams and admission.
+// Codes for upstream and admission errors.
 const (
 	NoUpstream       Code = 4001
 	UpstreamFailed   Code = 4002
