--- a/config/doc.go
+++ b/config/doc.go
@@ -1,6 +1,6 @@
-// Package config folds operators' changes into versioned resources and publishes
-// them as immutable views for the request path.
+// Package config folds operators' changes into versioned resources and publishes them as
+// immutable views for the request path.
 //
-// A resource's version is the log offset of the change that set it last. A change
-// names the version it was made against and is refused when another came first.
+// The version of a resource is the log offset of the last change that set it. A change
+// specifies the version it is based on and is refused if another change came first.
 package config
--- a/config/kind.go
+++ b/config/kind.go
@@ -26,7 +26,7 @@
 // String returns kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// KeyOf returns the key of a resource; false when it holds none.
+// KeyOf returns the key of a resource, and false if its kind isn't set.
 func KeyOf(r *operatorv1.Resource) (Key, bool) {
 	switch kind := r.GetKind().(type) {
 	case *operatorv1.Resource_Account:
--- a/config/page.go
+++ b/config/page.go
@@ -4,30 +4,30 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// pageBytes is about how large a page gets: well below the four megabytes that gRPC
-// takes in one message, which all resources of a large fleet exceed many times.
+// pageBytes is the approximate size of a page. It is well below gRPC's message limit of
+// four megabytes, which all resources of a large fleet exceed many times.
 const pageBytes = 1 << 20
 
-// Page returns the resources behind the key after, sorted by kind and name, and the
-// key to continue behind; that is empty at the end.
+// Page returns the resources following the key after, sorted by kind and name, and the
+// key to pass for the next page, which is empty on the last page.
 func (v *View) Page(after string) (page []*operatorv1.VersionedResource, next string) {
-	bytes, last := 0, ""
-	v.resources.Ascend(after, func(key string, held stored) bool {
+	size, last := 0, ""
+	v.resources.Ascend(after, func(key string, stored storedResource) bool {
 		if key == after {
 			return true
 		}
-		if bytes >= pageBytes {
+		if size >= pageBytes {
 			next = last
 			return false
 		}
 		last = key
-		bytes += len(held.packed)
-		page = append(page, held.versioned())
+		size += len(stored.packed)
+		page = append(page, stored.versioned())
 		return true
 	})
 	return page, next
 }
 
-func (s stored) versioned() *operatorv1.VersionedResource {
+func (s storedResource) versioned() *operatorv1.VersionedResource {
 	return &operatorv1.VersionedResource{Version: s.version, Resource: s.unpack()}
 }
--- a/config/scale_test.go
+++ b/config/scale_test.go
@@ -10,7 +10,7 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// The size of two years: see docs/CAPACITY.md.
+// The configuration size expected after two years, see docs/CAPACITY.md.
 const (
 	scaleAccounts  = 43_000
 	scaleBudgets   = 220_000
@@ -46,8 +46,8 @@
 	return s
 }
 
-// BenchmarkChangeAtScale measures one change of one account at the size of two
-// years, and reports the memory that the configuration takes.
+// BenchmarkChangeAtScale measures one change of one account at the size expected after
+// two years, and reports the memory used by the configuration.
 func BenchmarkChangeAtScale(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -11,7 +11,7 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// savedState is the snapshot form of State.
+// savedState is the encoding of State in a snapshot.
 type savedState struct {
 	Offset    uint64
 	Resources []savedResource
@@ -33,17 +33,17 @@
 func (s *State) Snapshot() ([]byte, error) {
 	view := s.View()
 	saved := savedState{Offset: view.Offset}
-	view.resources.Scan(func(_ string, held stored) bool {
-		saved.Resources = append(saved.Resources, savedResource{held.version, []byte(held.packed)})
+	view.resources.Scan(func(_ string, stored storedResource) bool {
+		saved.Resources = append(saved.Resources, savedResource{stored.version, []byte(stored.packed)})
 		return true
 	})
-	for _, id := range s.order {
+	for _, id := range s.verdictOrder {
 		saved.Verdicts = append(saved.Verdicts, savedVerdict{id, s.verdicts[id]})
 	}
 	return json.Marshal(saved)
 }
 
-// Restore implements fold.Part. It leaves the state as it was when data is broken.
+// Restore implements fold.Part. If data is invalid, the state is left unchanged.
 func (s *State) Restore(data []byte) error {
 	var saved savedState
 	if err := json.Unmarshal(data, &saved); err != nil {
@@ -60,7 +60,7 @@
 	}
 	s.reset()
 	for _, v := range saved.Verdicts {
-		s.remember(v.ID, v.Verdict)
+		s.storeVerdict(v.ID, v.Verdict)
 	}
 	s.view.Store(view)
 	return nil
--- a/config/validate_test.go
+++ b/config/validate_test.go
@@ -8,26 +8,26 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// A mistyped priority or token bound would be in force everywhere within seconds.
-func TestPrioritiesAndTokenBoundsAreChecked(t *testing.T) {
+// A mistyped priority or token bound would take effect on all nodes within seconds.
+func TestValidatePrioritiesAndTokenBounds(t *testing.T) {
 	is := is.New(t)
-	mistakes := func(r *operatorv1.Resource) int { return len(Validate(r)) }
+	countProblems := func(r *operatorv1.Resource) int { return len(Validate(r)) }
 	account := func(priority int32) *operatorv1.Resource {
 		return &operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{
 			Name: "a", KeySha256: []string{HashKey("key")}, Priority: priority}}}
 	}
-	engines := func(perKiB uint32) *operatorv1.Resource {
+	engineService := func(perKiB uint32) *operatorv1.Resource {
 		return &operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{
 			Name: "s", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"m"}, MaxTokensPerKib: perKiB,
 			MaxContextTokens: 8192, PriorityOrder: operatorv1.PriorityOrder_PRIORITY_ORDER_LOWER_FIRST}}}
 	}
-	is.Equal(mistakes(account(LeastPriority)), 0)
-	is.Equal(mistakes(account(MostPriority)), 0)
-	is.Equal(mistakes(account(LeastPriority-1)), 1)
-	is.Equal(mistakes(account(MostPriority+1)), 1)
-	is.Equal(mistakes(engines(mostTokensPerKiB)), 0)
-	is.Equal(mistakes(engines(mostTokensPerKiB+1)), 1)
-	plain := engines(1)
+	is.Equal(countProblems(account(MinPriority)), 0)
+	is.Equal(countProblems(account(MaxPriority)), 0)
+	is.Equal(countProblems(account(MinPriority-1)), 1)
+	is.Equal(countProblems(account(MaxPriority+1)), 1)
+	is.Equal(countProblems(engineService(maxTokensPerKiB)), 0)
+	is.Equal(countProblems(engineService(maxTokensPerKiB+1)), 1)
+	plain := engineService(1)
 	plain.GetService().Kind, plain.GetService().Models = operatorv1.ServiceKind_SERVICE_KIND_PLAIN, nil
-	is.Equal(mistakes(plain), 3)
+	is.Equal(countProblems(plain), 3)
 }
--- a/config/view_test.go
+++ b/config/view_test.go
@@ -16,7 +16,7 @@
 
 var sampleNames = []string{"a", "b", "c"}
 
-// drawChange draws a change of any kind whose names and keys overlap with others.
+// drawChange generates a change of any kind, with names and keys that overlap.
 func drawChange(t *rapid.T) *operatorv1.Change {
 	name := rapid.SampledFrom(sampleNames).Draw(t, "name")
 	other := rapid.SampledFrom(sampleNames).Draw(t, "other")
@@ -36,9 +36,9 @@
 	return &operatorv1.Change{AnyVersion: true, Resource: r, Delete: rapid.Bool().Draw(t, "delete")}
 }
 
-// Whatever changes come, what the request path looks up is what the resources say.
-// An index that kept a deleted key would let a caller in whom operators shut out.
-func TestIndexesFollowTheResources(t *testing.T) {
+// After any changes, the indexes used by the request path must match the resources. An
+// index that kept a deleted key would admit a caller whom operators have locked out.
+func TestIndexesMatchResources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(nil)
 		for i := range rapid.IntRange(1, 40).Draw(t, "changes") {
@@ -51,12 +51,12 @@
 
 func checkIndexes(t *rapid.T, v *View) {
 	upstreams, services, tokens := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, held := range v.All() {
-		key, _ := KeyOf(held.GetResource())
-		if !proto.Equal(v.Versioned(key), held) {
-			t.Fatalf("%s alone is not what the list has", key)
+	for _, resource := range v.All() {
+		key, _ := KeyOf(resource.GetResource())
+		if !proto.Equal(v.Versioned(key), resource) {
+			t.Fatalf("Versioned(%s) differs from the resource in All", key)
 		}
-		r := held.GetResource()
+		r := resource.GetResource()
 		upstreams[r.GetUpstream().GetName()] = true
 		services[r.GetService().GetName()] = true
 		tokens[r.GetOperatorToken().GetName()] = true
@@ -66,7 +66,7 @@
 			t.Fatalf("key %s finds account %s, which doesn't have it", name, account.GetName())
 		}
 		if token := v.OperatorToken(name); token != nil && !tokens[token.GetName()] {
-			t.Fatalf("token %s stands for the deleted %s", name, token.GetName())
+			t.Fatalf("token %s belongs to the deleted %s", name, token.GetName())
 		}
 		if service := v.ServiceByModel(name); service != nil && !services[service.GetName()] {
 			t.Fatalf("model %s is served by the deleted %s", name, service.GetName())
@@ -77,52 +77,52 @@
 			}
 		}
 		for _, service := range sampleNames {
-			if budget := v.Budget(name, service); budget != "" && !v.HasBudget(budget) {
+			if budget := v.BudgetName(name, service); budget != "" && !v.HasBudget(budget) {
 				t.Fatalf("account %s draws on the deleted budget %s", name, budget)
 			}
 		}
 	}
 }
 
-// A view that was handed to a request must not change under it when operators go on.
-func TestViewsNeverChange(t *testing.T) {
+// A view in use by a request must not change when operators make further changes.
+func TestViewsAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(nil)
 		var views []*View
-		var pictures [][]*operatorv1.VersionedResource
+		var contents [][]*operatorv1.VersionedResource
 		for i := range rapid.IntRange(1, 20).Draw(t, "changes") {
 			s.Apply(fold.Position{Offset: uint64(i + 1)}, &recordv1.Entry{Body: &recordv1.Entry_Config{
 				Config: &recordv1.ConfigChange{ChangeId: fmt.Sprint(i), Changes: []*operatorv1.Change{drawChange(t), drawChange(t)}}}})
 			views = append(views, s.View())
-			pictures = append(pictures, s.View().All())
+			contents = append(contents, s.View().All())
 		}
 		for i, view := range views {
-			for j, held := range view.All() {
-				if !proto.Equal(held, pictures[i][j]) {
-					t.Fatalf("view %d changed: %s is now %s", i, pictures[i][j], held)
+			for j, resource := range view.All() {
+				if !proto.Equal(resource, contents[i][j]) {
+					t.Fatalf("view %d changed: %s is now %s", i, contents[i][j], resource)
 				}
 			}
 		}
 	})
 }
 
-// Two client accounts are given the same key. Were both accepted, one would pay for
+// Two client accounts are given the same key. If both were accepted, one would pay for
 // the other's requests.
-func TestOneKeyBelongsToOneAccount(t *testing.T) {
+func TestKeyCannotBelongToTwoAccounts(t *testing.T) {
 	is := is.New(t)
 	s := NewState(nil)
-	give := func(offset uint64, account string) fold.Verdict {
+	setKey := func(offset uint64, account string) fold.Verdict {
 		verdict, _ := s.Apply(fold.Position{Offset: offset}, &recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{
 			ChangeId: account, Changes: []*operatorv1.Change{{Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Account{
 				Account: &operatorv1.Account{Name: account, KeySha256: []string{HashKey("k")}}}}}}}}})
 		return verdict
 	}
-	is.True(give(1, "a").OK())
-	is.Equal(give(2, "b").Code, result.InvalidResource)
+	is.True(setKey(1, "a").OK())
+	is.Equal(setKey(2, "b").Code, result.InvalidResource)
 	is.Equal(s.View().AccountByKey("k").GetName(), "a")
 }
 
-func TestSnapshotKeepsTheConfiguration(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	is := is.New(t)
 	s := NewState(nil)
 	change := &recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{ChangeId: "1", Changes: []*operatorv1.Change{
@@ -136,5 +136,5 @@
 	is.Equal(restored.View().AccountByKey("k").GetName(), "a")
 	is.Equal(restored.View().Offset, uint64(7))
 	again, _ := restored.Apply(fold.Position{Offset: 9}, change)
-	is.Equal(again, first) // the change id is remembered
+	is.Equal(again, first) // the verdict of the change ID is kept
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) drainOrdered() bool { return n.Config().Drained(n.info.GetPeerAddress()) }
+func (n *Node) drainOrdered() bool { return n.Config().IsDrained(n.info.GetPeerAddress()) }
 
 // wait polls until done, until limit has passed (0: no limit) or ctx ends.
 func (n *Node) wait(ctx context.Context, done func() bool, limit time.Duration) {
--- a/request/priority_test.go
+++ b/request/priority_test.go
@@ -46,7 +46,7 @@
 	}{
 		{``, 0, none, 0, ""},
 		{`,"priority":9`, 0, none, 0, ""},
-		{`,"priority":-9999999999`, 0, none, config.LeastPriority, ""},
+		{`,"priority":-9999999999`, 0, none, config.MinPriority, ""},
 		{``, 3, lower, 3, "-3"},
 		{`,"priority":null`, 3, higher, 3, "3"},
 		{`,"priority":9`, 3, lower, 3, "-3"},
