--- a/catalog/holder.go
+++ b/catalog/holder.go
@@ -16,8 +16,8 @@
 // Current returns the view in force, or nil before the first one is known.
 func (h *Holder) Current() *View { return h.current.Load() }
 
-// First returns a channel that is closed once a view is in force.
-func (h *Holder) First() <-chan struct{} {
+// Ready returns a channel that is closed once a view is in force.
+func (h *Holder) Ready() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.first == nil {
--- a/catalog/split.go
+++ b/catalog/split.go
@@ -1,8 +1,8 @@
 package catalog
 
-// Choose returns the service for a request by the route's weights; draw is uniform in
+// ChooseService returns the service for a request by the route's weights; draw is uniform in
 // [0, 1). It returns an empty name if no service has a weight.
-func (r *Route) Choose(draw float64) string {
+func (r *Route) ChooseService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -31,7 +31,7 @@
 	MaxGap time.Duration
 	// Priority ranks requests, 0 first.
 	Priority int
-	Split    []Weight
+	Split    []WeightedService
 	// MaxAttempts bounds the upstreams on which one request may run.
 	MaxAttempts int
 	// Anonymous routes need no key.
@@ -40,13 +40,13 @@
 	Resumable bool
 }
 
-// Repeatable tells whether a request may run again after it may have run.
-func (r *Route) Repeatable() bool {
+// Retryable tells whether a request may run again after it may have run.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Weight is a service's part of a route's requests.
-type Weight struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
--- a/catalog/view.go
+++ b/catalog/view.go
@@ -78,8 +78,8 @@
 // Account returns a client account by name, or nil.
 func (v *View) Account(name string) *Account { return v.accounts[name] }
 
-// NeedsKey tells whether a route's requests must name a client account.
-func (v *View) NeedsKey(r *Route) bool { return v.keyed && !r.Anonymous }
+// RequiresKey tells whether a route's requests must name a client account.
+func (v *View) RequiresKey(r *Route) bool { return v.keyed && !r.Anonymous }
 
 // Authenticate returns the account that holds a key, or nil.
 func (v *View) Authenticate(key string) *Account { return v.keys[key] }
--- a/edgenode/announcer.go
+++ b/edgenode/announcer.go
@@ -56,7 +56,7 @@
 
 func (a *announcer) awaitRoster(ctx context.Context) {
 	begun := a.node.deps.Clock.Now()
-	for ctx.Err() == nil && !a.node.roster.Read() && a.node.deps.Clock.Now()-begun < firstAnnounce {
+	for ctx.Err() == nil && !a.node.roster.HasRead() && a.node.deps.Clock.Now()-begun < firstAnnounce {
 		periodic.Pause(ctx, firstCheck)
 	}
 }
@@ -66,8 +66,8 @@
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	rec := a.node.record()
-	a.every = presence.Every(a.node.roster.Live(), rec)
-	rec.EveryMs = a.every.Milliseconds()
+	a.every = presence.RecordInterval(a.node.roster.Live(), rec)
+	rec.IntervalMs = a.every.Milliseconds()
 	value, err := json.Marshal(&rec)
 	if err != nil {
 		return errors.Trace(err)
@@ -96,6 +96,6 @@
 	if own := time.Duration(n.fastestWrite.Load()); own > 0 {
 		return own.Milliseconds()
 	}
-	earlier, _ := n.roster.Last(n.settings.Node)
-	return earlier.StoreMs
+	earlier, _ := n.roster.LastRecord(n.settings.Node)
+	return earlier.StoreWriteMs
 }
--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -103,10 +103,10 @@
 }
 
 // Fetch asks a node of the bubble for records.
-func (b *bubble) Fetch(ctx context.Context, address string, ask peerfetch.Ask, progress func()) (peerfetch.Reply, error) {
+func (b *bubble) Fetch(ctx context.Context, address string, ask peerfetch.Request, progress func()) (peerfetch.Reply, error) {
 	if n := b.reachable(address); n != nil {
 		progress()
-		return n.copies[ask.Topic].Answer(ctx, ask), nil
+		return n.copies[ask.Topic].Handle(ctx, ask), nil
 	}
 	<-ctx.Done()
 	return peerfetch.Reply{}, ctx.Err()
@@ -131,7 +131,7 @@
 
 // lostIncarnation leaves what a node that has lost power left in the store.
 func (b *bubble) lostIncarnation(node string, s site) {
-	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, Peer: node, Capacity: s.capacity, StoreMs: 4, Ready: true})
+	record, err := json.Marshal(presence.Record{Node: node, Incarnation: "lost", Region: s.region, DataCentre: s.dataCentre, Address: node, PeerAddress: node, Capacity: s.capacity, StoreWriteMs: 4, Ready: true})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 func view(string, []byte) (*catalog.View, bool, error) {
 	route := func(path, service string) *catalog.Route {
 		return &catalog.Route{Name: path, Host: host, PathPrefix: path, Kind: catalog.Idempotent, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 1,
-			Split: []catalog.Weight{{Service: service, Weight: 1}}}
+			Split: []catalog.WeightedService{{Service: service, Weight: 1}}}
 	}
 	return catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("/plain/", "app"), route("/prompt/", "llm")},
 		[]*catalog.Service{{Name: "app"}, {Name: "llm", Engine: &catalog.Engine{Slots: 8, TokensPerEvent: 6}}},
@@ -167,8 +167,8 @@
 // answering answers each request at once.
 type answering struct{}
 
-func (answering) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Answer, error) {
-	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
+func (answering) Send(context.Context, *directory.Upstream, *gateway.Dispatch) (*gateway.Response, error) {
+	return &gateway.Response{Status: http.StatusOK, Header: http.Header{}, Length: 2, Signed: true, Body: strings.NewReader("ok"), Close: func() {}}, nil
 }
 
 // noLender reaches no other node.
@@ -202,7 +202,7 @@
 	n, err := Start(context.Background(), Settings{Node: name, Incarnation: "new-" + name, Start: prepaid.ProcessStart{ClockReading: clocks.Read(), BootID: "boot-" + name},
 		Address: name, Peer: name, Capacity: s.capacity, DataCentre: s.dataCentre, Region: s.region, Regions: map[string]string{s.dataCentre: s.region},
 		Repeats: repeats.Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}},
-		Deps{Clock: bubbleClock{}, TimeOfDay: clocks.Wall, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
+		Deps{Clock: bubbleClock{}, WallClock: clocks.Wall, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
 			Events:  event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), name, 64, log.NewNopLogger()),
 			Metrics: gateway.NewMetrics(false), DecodeConfig: decode, DecodeUpstream: decodeEntry})
 	if err != nil {
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -42,15 +42,15 @@
 // Deps are what a node works with.
 type Deps struct {
 	Clock bootclock.Clock
-	// TimeOfDay is the instance's time of day.
-	TimeOfDay prepaid.WallClock
+	// WallClock is the instance's time of day.
+	WallClock prepaid.WallClock
 	Topics    Topics
 	Upstreams gateway.Upstreams
 	// Lending carries asks to other nodes.
 	Lending lending.Transport
 	// Peers carries asks for records to nodes of the data centre; nil lets the node read
 	// everything from the store.
-	Peers   peerfetch.Caller
+	Peers   peerfetch.Transport
 	Events  *event.Recorder
 	Metrics *gateway.Metrics
 	// DecodeConfig reads a configuration; false tells that the record is none.
--- a/edgenode/fleet.go
+++ b/edgenode/fleet.go
@@ -15,12 +15,12 @@
 // that waited to read its own record back planned nothing for a second, and all prompts were
 // refused meanwhile.
 func (f *fleet) IsPlanner() bool {
-	if f.leaving.Load() || !f.roster.Read() {
+	if f.leaving.Load() || !f.roster.HasRead() {
 		return false
 	}
 	own := (*Node)(f).record()
 	for _, r := range f.roster.Active() {
-		if r.Node != own.Node && presence.Before(&r, &own) {
+		if r.Node != own.Node && presence.Precedes(&r, &own) {
 			return false
 		}
 	}
--- a/edgenode/loans.go
+++ b/edgenode/loans.go
@@ -17,10 +17,10 @@
 	var peers []lending.Peer
 	for _, r := range n.roster.Live() {
 		holding := holdings[r.Node]
-		if r.Node == n.settings.Node || r.Peer == "" || holding.Ceiling == 0 {
+		if r.Node == n.settings.Node || r.PeerAddress == "" || holding.Ceiling == 0 {
 			continue
 		}
-		peers = append(peers, lending.Peer{Node: r.Node, Address: r.Peer, SameRegion: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Unused: holding.Unused})
+		peers = append(peers, lending.Peer{Node: r.Node, Address: r.PeerAddress, SameRegion: r.Region == n.settings.Region, Ceiling: holding.Ceiling, Unused: holding.Unused})
 	}
 	return peers
 }
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -50,7 +50,7 @@
 	// rosterTried is closed once the first reading of the nodes' records has ended.
 	rosterTried chan struct{}
 	// copies holds the newest records of topics, by name, for nodes of the data centre.
-	copies map[string]*peerfetch.Copy
+	copies map[string]*peerfetch.Replica
 	loops  sync.WaitGroup
 	// stop ends the loops.
 	stop context.CancelFunc
@@ -62,7 +62,7 @@
 func Start(ctx context.Context, settings Settings, deps Deps) (*Node, error) {
 	n := &Node{settings: settings, deps: deps, catalog: &catalog.Holder{}, rosterTried: make(chan struct{}),
 		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), begun: deps.Clock.Now()}
-	n.copies = map[string]*peerfetch.Copy{configTopic: peerfetch.NewCopy(deps.Clock), upstreamTopic: peerfetch.NewCopy(deps.Clock)}
+	n.copies = map[string]*peerfetch.Replica{configTopic: peerfetch.NewReplica(deps.Clock), upstreamTopic: peerfetch.NewReplica(deps.Clock)}
 	if settings.Capacity < smallCapacity {
 		periodic.Pause(ctx, rand.N(smallStartDelay))
 	}
@@ -70,12 +70,12 @@
 	n.stop = stop
 	n.follow(loops, n.operators(), &configHandler{n, n.logReadings("config")}, configPace)
 	upstreams := upstreamPace
-	upstreams.Extra = n.quietExtra
+	upstreams.ExtraPause = n.quietExtra
 	n.follow(loops, n.upstreams(), &upstreamHandler{n, n.logReadings("upstreams")}, upstreams)
 	nodes := presencePace
-	nodes.Extra = n.presenceExtra
+	nodes.ExtraPause = n.presenceExtra
 	n.follow(loops, deps.Topics.Presence, &presenceHandler{node: n, readings: n.logReadings("presence")}, nodes)
-	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.TimeOfDay}
+	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.WallClock}
 	holder := prepaid.Holder{Node: settings.Node, Region: settings.Region, Capacity: settings.Capacity, Incarnation: settings.Incarnation, BootID: settings.Start.BootID}
 	n.share = prepaid.NewShare(prepaid.DefaultSettings(), clocks, holder)
 	n.announcer = &announcer{node: n}
@@ -85,12 +85,12 @@
 		Clock: deps.Clock, Catalog: n.catalog, Directory: n.directory,
 		Picker: placement.NewPicker(placement.DefaultSettings(), settings.Regions),
 		Share:  n.share, Upstreams: deps.Upstreams, Events: deps.Events, Metrics: deps.Metrics,
-		Borrower: lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
-		Report:   n.report, Nodes: n.nodes, Repeats: settings.Repeats,
+		Borrower:    lending.NewBorrower(deps.Lending, deps.Clock, settings.Incarnation, n.lenders),
+		ReportUsage: n.report, LiveNodes: n.nodes, RetryLimits: settings.Repeats,
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
 	grants := grantPace
-	grants.Extra = n.grantExtra
+	grants.ExtraPause = n.grantExtra
 	n.follow(loops, deps.Topics.Grants, n.grants, grants)
 	n.run(loops, n.expireLoans)
 	n.run(loops, n.reportOn)
@@ -171,7 +171,7 @@
 
 // record is what the node writes about itself.
 func (n *Node) record() presence.Record {
-	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, Peer: n.settings.Peer,
-		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreMs: n.storeMs(),
+	return presence.Record{Node: n.settings.Node, Incarnation: n.settings.Incarnation, Address: n.settings.Address, PeerAddress: n.settings.Peer,
+		DataCentre: n.settings.DataCentre, Region: n.settings.Region, Capacity: n.settings.Capacity, StoreWriteMs: n.storeMs(),
 		Ready: n.Ready(), Leaving: n.leaving.Load()}
 }
--- a/edgenode/presencehandler.go
+++ b/edgenode/presencehandler.go
@@ -25,7 +25,7 @@
 func (h *presenceHandler) Apply(records []keyedlog.Record) {
 	for _, r := range records {
 		if r.Deleted {
-			h.node.roster.Forget(r.Key)
+			h.node.roster.Remove(r.Key)
 			continue
 		}
 		var rec presence.Record
@@ -33,24 +33,24 @@
 			h.node.deps.Events.Record(event.BatchVoid, "topic", "presence", "key", r.Key, "error", err)
 			continue
 		}
-		h.node.roster.Hear(rec)
+		h.node.roster.Update(rec)
 	}
 }
 
 // tried tells those who wait for the first reading that it is over.
 func (h *presenceHandler) tried() { h.first.Do(func() { close(h.node.rosterTried) }) }
 
-// Lost stops the clock by which silent nodes are dropped.
-func (h *presenceHandler) Lost(err error) {
-	h.node.roster.Lost()
+// ReadFailed stops the clock by which silent nodes are dropped.
+func (h *presenceHandler) ReadFailed(err error) {
+	h.node.roster.ReadFailed()
 	h.readings.lost(err)
 	h.tried()
 }
 
-// Caught lets it run and logs which nodes came or went.
-func (h *presenceHandler) Caught(r keyedlog.Reading) {
+// ReadSucceeded lets it run and logs which nodes came or went.
+func (h *presenceHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.readings.caught(r)
-	h.node.roster.Caught()
+	h.node.roster.ReadSucceeded()
 	h.tried()
 	now := make(map[string]string)
 	for _, r := range h.node.roster.Live() {
--- a/edgenode/records.go
+++ b/edgenode/records.go
@@ -34,16 +34,16 @@
 	if n.deps.Peers == nil {
 		return topic
 	}
-	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.neighbours, Fleet: func() int { return len(n.roster.Live()) }, Known: n.rosterTried, NewestOnly: newestOnly,
-		Caller: n.deps.Peers, Copy: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
+	return &peerfetch.Topic{Topic: topic, Name: name, Self: n.settings.Node, Peers: n.neighbours, FleetSize: func() int { return len(n.roster.Live()) }, PeersKnown: n.rosterTried, NewestOnly: newestOnly,
+		Transport: n.deps.Peers, Replica: n.copies[name], Clock: n.deps.Clock, Events: n.deps.Events}
 }
 
 // neighbours returns the nodes of this data centre, this one included.
 func (n *Node) neighbours() []peerfetch.Peer {
 	var peers []peerfetch.Peer
 	for _, r := range n.roster.Live() {
-		if r.DataCentre == n.settings.DataCentre && r.Peer != "" {
-			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.Peer, Capacity: r.Capacity})
+		if r.DataCentre == n.settings.DataCentre && r.PeerAddress != "" {
+			peers = append(peers, peerfetch.Peer{Node: r.Node, Address: r.PeerAddress, Capacity: r.Capacity})
 		}
 	}
 	return peers
@@ -68,6 +68,6 @@
 }
 
 func hasIP(r *presence.Record, ip string) bool {
-	host, _, err := net.SplitHostPort(r.Peer)
+	host, _, err := net.SplitHostPort(r.PeerAddress)
 	return err == nil && host == ip
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -58,22 +58,22 @@
 // admit decides whether the request may be sent at all.
 func (c *call) admit(ctx context.Context) *result.Error {
 	if c.view = c.g.awaitConfig(ctx, c.r.TimeLeft); c.view == nil {
-		return result.New(result.NotServing, "no configuration is known yet").WithRetryAfter(c.g.settings.StartRetry)
+		return result.New(result.NotServing, "no configuration is known yet").WithRetryAfter(c.g.settings.StartupRetryAfter)
 	}
 	c.route = c.view.Match(c.r.Host, c.r.Path)
 	if c.route == nil {
 		return result.New(result.UnknownService, "no route has this host and path")
 	}
-	if c.view.NeedsKey(c.route) {
+	if c.view.RequiresKey(c.route) {
 		if c.account = c.view.Authenticate(c.r.Key); c.account == nil {
 			return result.New(result.UnknownKey, "the key belongs to no client account")
 		}
 	}
-	if c.service = c.view.Service(c.route.Choose(draw())); c.service == nil {
-		return result.New(result.NoUpstream, "the route has no service").WithRetryAfter(c.g.settings.BusyRetry)
+	if c.service = c.view.Service(c.route.ChooseService(draw())); c.service == nil {
+		return result.New(result.NoUpstream, "the route has no service").WithRetryAfter(c.g.settings.BusyRetryAfter)
 	}
-	if c.left() < c.g.settings.MinSend {
-		return result.New(result.Overloaded, "too little time is left").WithRetryAfter(c.g.settings.BusyRetry)
+	if c.left() < c.g.settings.MinTimeLeft {
+		return result.New(result.Overloaded, "too little time is left").WithRetryAfter(c.g.settings.BusyRetryAfter)
 	}
 	return c.reserve(ctx)
 }
@@ -104,9 +104,9 @@
 
 func (c *call) shortRetry() time.Duration {
 	if c.tally.KnownShortage || c.tally.Asked > c.tally.Unanswered {
-		return c.g.settings.ScarceRetry
+		return c.g.settings.FleetShortageRetryAfter
 	}
-	return c.g.settings.ShortRetry
+	return c.g.settings.LocalShortageRetryAfter
 }
 
 // borrow has another node reserve the tokens. Without it a node whose part of an account
@@ -124,9 +124,9 @@
 }
 
 func (c *call) reserveAfterReport(ctx context.Context) prepaid.Outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.g.settings.ReportWait)
+	ctx, cancel := context.WithTimeout(ctx, c.g.settings.ReportTimeout)
 	defer cancel()
-	if err := c.g.Report(ctx); err != nil {
+	if err := c.g.ReportUsage(ctx); err != nil {
 		return prepaid.Insufficient // the reporter logs why
 	}
 	return c.g.Share.Reserve(c.account.Name, c.r.most(), c.account.Prepaid)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,13 +28,13 @@
 	Metrics   *Metrics
 	// Borrower borrows from other nodes' shares.
 	Borrower *lending.Borrower
-	// Report reports the share's use at once and returns when that is acknowledged.
-	Report func(context.Context) error
-	// Nodes is how many nodes serve now.
-	Nodes      func() int
-	Repeats    repeats.Limits
-	DataCentre string
-	Region     string
+	// ReportUsage reports the share's use at once and returns when that is acknowledged.
+	ReportUsage func(context.Context) error
+	// LiveNodes is how many nodes serve now.
+	LiveNodes   func() int
+	RetryLimits repeats.Limits
+	DataCentre  string
+	Region      string
 }
 
 // Gateway serves requests. It is safe for concurrent use.
@@ -71,7 +71,7 @@
 	defer g.mu.Unlock()
 	b, ok := g.budgets[service]
 	if !ok {
-		b = repeats.NewBudget(g.Deps.Repeats, g.Clock)
+		b = repeats.NewBudget(g.Deps.RetryLimits, g.Clock)
 		g.budgets[service] = b
 	}
 	return b
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 )
 
 // script decides how an upstream answers.
-type script func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error)
+type script func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error)
 
 // upstreams is a fake that records what was sent.
 type upstreams struct {
@@ -36,7 +36,7 @@
 	script script
 }
 
-func (f *upstreams) Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
+func (f *upstreams) Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, d)
 	f.mu.Unlock()
@@ -82,7 +82,7 @@
 	holder := &catalog.Holder{}
 	route := func(name string, kind catalog.Kind, attempts int, resumable bool) *catalog.Route {
 		return &catalog.Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: 5 * time.Second, Objective: 100 * time.Millisecond,
-			MaxGap: 20 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable, Split: []catalog.Weight{{Service: "s", Weight: 1}}}
+			MaxGap: 20 * time.Millisecond, MaxAttempts: attempts, Resumable: resumable, Split: []catalog.WeightedService{{Service: "s", Weight: 1}}}
 	}
 	holder.Publish(catalog.NewView(1, catalog.Limits{}, []*catalog.Route{route("read", catalog.Idempotent, 2, false), route("file", catalog.NonIdempotent, 1, false),
 		route("stream", catalog.Streaming, 2, true), route("once", catalog.Streaming, 1, false)},
@@ -96,8 +96,8 @@
 	report := func(context.Context) error { b.share.Compose(); b.share.Acknowledge(); return nil }
 	b.Gateway = New(DefaultSettings(), Deps{Clock: clock, Catalog: holder, Directory: table, Picker: placement.NewPicker(placement.DefaultSettings(), nil),
 		Share: b.share, Upstreams: b.up, Events: event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "n", 64, log.NewNopLogger()), Metrics: NewMetrics(false),
-		Borrower: lending.NewBorrower(nil, clock, "n", func(string) []lending.Peer { return nil }), Report: report, Nodes: func() int { return 1 },
-		Repeats: repeats.Limits{Ratio: 0.2, Extra: extra, Window: window}, DataCentre: "dc", Region: "r"})
+		Borrower: lending.NewBorrower(nil, clock, "n", func(string) []lending.Peer { return nil }), ReportUsage: report, LiveNodes: func() int { return 1 },
+		RetryLimits: repeats.Limits{Ratio: 0.2, Extra: extra, Window: window}, DataCentre: "dc", Region: "r"})
 	return b
 }
 
@@ -112,8 +112,8 @@
 		TimeLeft: 4 * time.Second, Arrived: b.clock.Now(), PromptTokens: 100, MaxOutput: 600}
 }
 
-func answer(status int, events bool, body io.Reader) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, Length: -1, Signed: true, Events: events, Body: body, Close: func() {}}
+func answer(status int, events bool, body io.Reader) *Response {
+	return &Response{Status: status, Header: http.Header{}, Length: -1, Signed: true, IsEventStream: events, Body: body, Close: func() {}}
 }
 
 func numbered(from, to int) string {
@@ -133,17 +133,17 @@
 
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func silent(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Answer, error) {
+func silent(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
 // An engine goes dark with a request that may be repeated. Its caller must not wait until
 // the deadline while other engines are free; and the second engine is asked once only.
-func TestSilentUpstreamIsLeftForAnother(t *testing.T) {
+func TestSilentUpstreamIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	var b *bed
-	b = newBed(100, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
+	b = newBed(100, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 		if len(b.up.sent) == 1 {
 			return silent(ctx, u, d)
 		}
@@ -157,7 +157,7 @@
 
 // The same with a request that must run at most once: it may have run, so it is never
 // sent again, and the answer doesn't claim that it didn't run.
-func TestSilentUpstreamKeepsAnOrder(t *testing.T) {
+func TestNonIdempotentIsNotRetriedAfterSilence(t *testing.T) {
 	is := is.New(t)
 	b := newBed(100, silent)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -169,9 +169,9 @@
 }
 
 // A broken connection is not a "not run" either.
-func TestBrokenConnectionKeepsAnOrder(t *testing.T) {
+func TestNonIdempotentIsNotRetriedAfterReset(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		return nil, errors.New("reset")
 	})
 	c := b.serve(context.Background(), "file")
@@ -180,10 +180,10 @@
 }
 
 // Nothing listens at the first upstreams. Nothing was sent, so an order may try others.
-func TestUnsentOrderGoesOn(t *testing.T) {
+func TestUnsentNonIdempotentIsRetried(t *testing.T) {
 	is := is.New(t)
 	var b *bed
-	b = newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b = newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		if len(b.up.sent) < 3 {
 			return nil, fmt.Errorf("%w: refused", ErrNotSent)
 		}
@@ -195,9 +195,9 @@
 
 // Every upstream refuses for want of room. The budget for repeats bounds what the node
 // adds to that, and each caller learns at once that nothing ran and when to come back.
-func TestRepeatsAreBounded(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := newBed(10, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b := newBed(10, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		a := answer(503, false, strings.NewReader(""))
 		a.NotRun = true
 		return a, nil
@@ -212,14 +212,14 @@
 
 // A stream is cut within its fourth event and another engine goes on. The caller sees
 // each event once, in order, also when the other engine repeats some.
-func TestResumedStreamHasEachEventOnce(t *testing.T) {
+func TestResumedStreamDeliversEachEventOnce(t *testing.T) {
 	is := is.New(t)
 	var b *bed
-	b = newBed(100, func(_ context.Context, _ *directory.Upstream, d *Dispatch) (*Answer, error) {
+	b = newBed(100, func(_ context.Context, _ *directory.Upstream, d *Dispatch) (*Response, error) {
 		if len(b.up.sent) == 1 {
 			return answer(200, true, cutAfter(numbered(1, 3)+"id: 4\nda")), nil
 		}
-		is.Equal(d.After, int64(3))
+		is.Equal(d.LastEventID, int64(3))
 		return answer(200, true, strings.NewReader(numbered(2, 6))), nil
 	})
 	c := b.serve(context.Background(), "stream")
@@ -231,9 +231,9 @@
 
 // A stream that can't resume is cut. The answer must not end as if it were whole, and the
 // account pays for the prompt and what was delivered.
-func TestCutStreamIsAborted(t *testing.T) {
+func TestTruncatedStreamIsAborted(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		return answer(200, true, cutAfter(numbered(1, 3))), nil
 	})
 	c := b.serve(context.Background(), "once")
@@ -243,9 +243,9 @@
 }
 
 // The caller has gone when the second event is written. Nothing is sent elsewhere for it.
-func TestNothingIsRepeatedForACallerThatLeft(t *testing.T) {
+func TestNoRetryAfterCallerDisconnects(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		return answer(200, true, strings.NewReader(numbered(1, 3))), nil
 	})
 	c := &caller{gone: true}
@@ -255,9 +255,9 @@
 }
 
 // A request that never ran costs its account nothing, whatever was set aside for it.
-func TestRequestThatDidntRunCostsNothing(t *testing.T) {
+func TestUnexecutedRequestCostsNothing(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) { return nil, ErrNotSent })
+	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) { return nil, ErrNotSent })
 	b.serve(context.Background(), "once")
 	is.Equal(b.share.Status("one").Spent, int64(0))
 	is.Equal(b.share.Status("one").Reserved, int64(0))
@@ -265,15 +265,15 @@
 
 // The time that a caller waits counts from when its request was read, also while the
 // machine was suspended; an upstream is told what is left of it.
-func TestUpstreamsLearnWhatIsLeft(t *testing.T) {
+func TestUpstreamsReceiveRemainingTime(t *testing.T) {
 	is := is.New(t)
-	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Answer, error) {
+	b := newBed(100, func(context.Context, *directory.Upstream, *Dispatch) (*Response, error) {
 		return answer(200, false, strings.NewReader("ok")), nil
 	})
 	r := b.request("read")
 	b.clock.Advance(3 * time.Second)
 	b.Serve(context.Background(), r, &caller{})
-	is.Equal(b.up.sent[0].Left, time.Second)
+	is.Equal(b.up.sent[0].Remaining, time.Second)
 	late := &caller{}
 	b.clock.Advance(time.Second)
 	b.Serve(context.Background(), r, late)
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -18,39 +18,39 @@
 type Dispatch struct {
 	*Request
 	Account string
-	// Left is the time after which the upstream may stop.
-	Left time.Duration
-	// After is the last event that the caller has, if HasAfter.
-	After    int64
-	HasAfter bool
+	// Remaining is the time after which the upstream may stop.
+	Remaining time.Duration
+	// LastEventID is the last event that the caller has, if HasAfter.
+	LastEventID    int64
+	HasLastEventID bool
 	// Urgency ranks the request at engines, 0 first.
 	Urgency int
 }
 
-// Answer is the start of an upstream's answer. Close must be called; before the body's
+// Response is the start of an upstream's answer. Close must be called; before the body's
 // end it stops the upstream's work.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length in bytes; negative if unsaid.
 	Length int64
 	// NotRun: the upstream says that it didn't run the request.
 	NotRun bool
-	// Elsewhere: another upstream has the address by now.
-	Elsewhere bool
+	// AddressReassigned: another upstream has the address by now.
+	AddressReassigned bool
 	// Signed: the answer bears the upstream's signature.
 	Signed bool
-	// Events: the body is a stream of events.
-	Events bool
-	Body   io.Reader
-	Close  func()
+	// IsEventStream: the body is a stream of events.
+	IsEventStream bool
+	Body          io.Reader
+	Close         func()
 }
 
 // Upstreams sends requests. It never sends one twice.
 type Upstreams interface {
 	// Send returns the start of the answer. Ending ctx closes the connection. An error
 	// that doesn't wrap ErrNotSent leaves open whether the request ran.
-	Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error)
+	Send(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error)
 }
 
 // Sink takes the answer to the caller.
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -27,8 +27,8 @@
 	PromptTokens, MaxOutput int64
 	Prefix                  []placement.PromptPart
 	// ResumeAfter is the last event that the caller has of an earlier attempt.
-	ResumeAfter int64
-	HasResume   bool
+	ResumeAfter    int64
+	HasResumeAfter bool
 }
 
 // most returns the most tokens that the request can use.
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -82,13 +82,13 @@
 }
 
 func (c *call) maySendAgain(ctx context.Context, v verdict) bool {
-	if c.gone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.left() < c.g.settings.MinSend {
+	if c.gone || ctx.Err() != nil || c.sends >= c.g.settings.MaxSends || c.left() < c.g.settings.MinTimeLeft {
 		return false
 	}
 	if c.ran == 0 {
 		return true
 	}
-	if !c.route.Repeatable() || c.ran >= c.route.MaxAttempts {
+	if !c.route.Retryable() || c.ran >= c.route.MaxAttempts {
 		return false
 	}
 	// A stream can be joined only where its events are numbered.
@@ -114,7 +114,7 @@
 		c.refuse(c.unknown(ctx, why))
 	default:
 		c.outcome = "refused"
-		c.refuse(result.New(result.NoUpstream, "%s", why).WithRetryAfter(c.g.settings.BusyRetry))
+		c.refuse(result.New(result.NoUpstream, "%s", why).WithRetryAfter(c.g.settings.BusyRetryAfter))
 	}
 }
 
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -58,16 +58,16 @@
 		return v
 	}
 	c.g.Picker.Observe(c.query(), u)
-	if answer.Events && answer.Status < 300 {
+	if answer.IsEventStream && answer.Status < 300 {
 		return c.stream(ctx, u, answer, silence, answered)
 	}
 	return c.whole(ctx, u, answer)
 }
 
 func (c *call) dispatch() *Dispatch {
-	d := &Dispatch{Request: c.r, Account: c.accountName(), Left: c.left(), After: c.r.ResumeAfter, HasAfter: c.r.HasResume, Urgency: c.urgency()}
+	d := &Dispatch{Request: c.r, Account: c.accountName(), Remaining: c.left(), LastEventID: c.r.ResumeAfter, HasLastEventID: c.r.HasResumeAfter, Urgency: c.urgency()}
 	if c.hasEvent {
-		d.After, d.HasAfter = c.lastEvent, true
+		d.LastEventID, d.HasLastEventID = c.lastEvent, true
 	}
 	return d
 }
@@ -99,12 +99,12 @@
 }
 
 // refusedBy handles answers that say that the request didn't run.
-func (c *call) refusedBy(u *directory.Upstream, answer *Answer) (verdict, bool) {
-	if !answer.NotRun && !answer.Elsewhere {
+func (c *call) refusedBy(u *directory.Upstream, answer *Response) (verdict, bool) {
+	if !answer.NotRun && !answer.AddressReassigned {
 		return 0, false
 	}
-	c.observe(u, answer.Elsewhere)
-	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "elsewhere", answer.Elsewhere, "not_run", true)
+	c.observe(u, answer.AddressReassigned)
+	c.g.Events.Record(event.AnswerRejected, "request", c.r.ID, "upstream", u.ID, "status", answer.Status, "elsewhere", answer.AddressReassigned, "not_run", true)
 	return notRun, true
 }
 
@@ -115,7 +115,7 @@
 
 // whole reads an answer to its end before the caller sees any of it, so that one that
 // breaks off can still be replaced.
-func (c *call) whole(ctx context.Context, u *directory.Upstream, answer *Answer) verdict {
+func (c *call) whole(ctx context.Context, u *directory.Upstream, answer *Response) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWhole))
 	if err == nil && len(body) == maxWhole {
 		return c.long(u, answer, body)
@@ -147,7 +147,7 @@
 }
 
 // long passes an answer on that is too large to hold.
-func (c *call) long(u *directory.Upstream, answer *Answer, head []byte) verdict {
+func (c *call) long(u *directory.Upstream, answer *Response, head []byte) verdict {
 	if c.started {
 		return mayHaveRun
 	}
--- a/gateway/shed_test.go
+++ b/gateway/shed_test.go
@@ -21,7 +21,7 @@
 	free map[string]time.Time
 }
 
-func (q *queues) serve(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Answer, error) {
+func (q *queues) serve(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Response, error) {
 	q.mu.Lock()
 	begin := time.Now()
 	if free := q.free[u.ID]; free.After(begin) {
@@ -41,7 +41,7 @@
 // A crowd sends twice what four engines can read, for three seconds. Queued, nearly all
 // answers are late, and callers who come after the crowd wait behind it. Most of what the
 // engines can do must be on time, and two seconds after the crowd everybody is served.
-func TestCrowdLeavesMostAnswersOnTime(t *testing.T) {
+func TestOverloadKeepsMostAnswersOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := &queues{each: 10 * time.Millisecond, free: make(map[string]time.Time)}
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -42,7 +42,7 @@
 	w := &silenceWatch{c: c, u: u, cancel: cancel}
 	wait := time.Duration(c.g.settings.SilenceFactor * float64(c.route.Objective))
 	last := c.ran+1 >= c.route.MaxAttempts
-	if c.route.Repeatable() && !last && wait > 0 && c.left()-wait >= c.route.Objective/2 {
+	if c.route.Retryable() && !last && wait > 0 && c.left()-wait >= c.route.Objective/2 {
 		w.arm(wait)
 	}
 	return w
@@ -105,5 +105,5 @@
 	if c.repeatTaken.Swap(false) {
 		return true
 	}
-	return c.g.repeats(c.service.Name).TryRetry(c.g.Nodes())
+	return c.g.repeats(c.service.Name).TryRetry(c.g.LiveNodes())
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -34,7 +34,7 @@
 }
 
 // after answers once a time has passed.
-func after(ctx context.Context, d time.Duration) (*Answer, error) {
+func after(ctx context.Context, d time.Duration) (*Response, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -46,11 +46,11 @@
 // A crowd keeps an engine busy: it answers its callers one after the other, each late. Taken
 // away from it, a request begins anew behind others elsewhere, and the budget for repeats is
 // used up by requests that would have been answered.
-func TestBusyUpstreamKeepsItsRequests(t *testing.T) {
+func TestBusyUpstreamKeepsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var sent atomic.Int64
-		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Answer, error) {
+		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, d *Dispatch) (*Response, error) {
 			if n := sent.Add(1); n > 1 {
 				return after(ctx, 10*time.Millisecond)
 			}
@@ -73,10 +73,10 @@
 
 // An engine is late and the budget for repeats is spent. The request must stay where it is:
 // taken away with nowhere to go it would fail, though its engine answers in time.
-func TestSpentBudgetTakesNoRequestAway(t *testing.T) {
+func TestExhaustedRetryBudgetCancelsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBubbleBed(0, func(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Answer, error) {
+		b := newBubbleBed(0, func(ctx context.Context, _ *directory.Upstream, _ *Dispatch) (*Response, error) {
 			return after(ctx, time.Second)
 		})
 		is.Equal(b.ask("read").status, 200)
@@ -87,11 +87,11 @@
 // An engine goes dark under a crowd, while the others hold many requests for some time.
 // Counted by its open requests alone it looks no worse than they do, and a quarter of all
 // callers waits there until their deadlines.
-func TestNewRequestsLeaveADarkUpstream(t *testing.T) {
+func TestNewRequestsAvoidUnresponsiveUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var dark atomic.Int64
-		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Answer, error) {
+		b := newBubbleBed(1000, func(ctx context.Context, u *directory.Upstream, _ *Dispatch) (*Response, error) {
 			if u.ID == "u0" {
 				dark.Add(1)
 				<-ctx.Done()
--- a/gateway/startup.go
+++ b/gateway/startup.go
@@ -25,9 +25,9 @@
 	if view := g.Catalog.Current(); view != nil {
 		return view
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(g.settings.StartWait, timeLeft/timeLeftPart))
+	ctx, cancel := context.WithTimeout(ctx, min(g.settings.StartupWait, timeLeft/timeLeftPart))
 	defer cancel()
-	for _, known := range []<-chan struct{}{g.Catalog.First(), g.Directory.Synced()} {
+	for _, known := range []<-chan struct{}{g.Catalog.Ready(), g.Directory.Synced()} {
 		select {
 		case <-known:
 		case <-ctx.Done():
@@ -41,7 +41,7 @@
 	if c.g.Share.Granted() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(c.g.settings.StartWait, c.route.Objective/objectivePart))
+	ctx, cancel := context.WithTimeout(ctx, min(c.g.settings.StartupWait, c.route.Objective/objectivePart))
 	defer cancel()
 	select {
 	case <-c.g.Share.FirstGrant():
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -11,7 +11,7 @@
 
 // stream passes events on as they arrive, whole ones only. The answer ends as complete
 // only if the upstream's did.
-func (c *call) stream(ctx context.Context, u *directory.Upstream, answer *Answer, silence *silenceWatch, answered func()) verdict {
+func (c *call) stream(ctx context.Context, u *directory.Upstream, answer *Response, silence *silenceWatch, answered func()) verdict {
 	if !answer.Signed {
 		c.observe(u, false)
 		return mayHaveRun
@@ -42,7 +42,7 @@
 
 // begin sends the answer's head before its first event. A stream that goes on at
 // another upstream keeps the head that the caller has.
-func (c *call) begin(answer *Answer) {
+func (c *call) begin(answer *Response) {
 	if c.started {
 		return
 	}
--- a/httpapi/error_test.go
+++ b/httpapi/error_test.go
@@ -11,7 +11,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func TestEveryRefusalSaysWhenToComeBack(t *testing.T) {
+func TestErrorsCarryRetryAfter(t *testing.T) {
 	// A caller that isn't told when to come back comes back at once, and a fleet that
 	// is short of something gets more load just then.
 	is := is.New(t)
--- a/idempotency/fleet_test.go
+++ b/idempotency/fleet_test.go
@@ -58,7 +58,7 @@
 	events := event.NewRecorder(event.NewHLC(clock), name, 100, log.NewNopLogger())
 	writer := recordlog.NewWriter(f.log, "fleet", name, clock, events.Clock(), time.Millisecond)
 	claims := NewClaims(DefaultLimits())
-	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *batch, v []fold.Verdict) { writer.Folded(b, v) })
+	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *batch, v []fold.Verdict) { writer.HandleFolded(b, v) })
 	n := &testNode{fleet: f, name: name, slot: slot, claims: claims}
 	n.ctx, n.kill = context.WithCancel(context.Background())
 	n.runner = NewRunner(Options{Incarnation: name, Claims: claims, Log: writer, IsOpen: f.isOpen, Clock: clock, Events: events})
--- a/internal/experiment/atmostonce/node.go
+++ b/internal/experiment/atmostonce/node.go
@@ -34,7 +34,7 @@
 	writer := recordlog.NewWriter(w.log, "fleet", name, clock, events.Clock(), w.options.Gather)
 	claims := idempotency.NewClaims(idempotency.DefaultLimits())
 	follower := recordlog.NewFollower(w.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *recordv1.Batch, v []fold.Verdict) {
-		writer.Folded(b, v)
+		writer.HandleFolded(b, v)
 	})
 	n := &node{world: w, name: name}
 	n.ctx, n.kill = context.WithCancel(context.Background())
--- a/node/calls.go
+++ b/node/calls.go
@@ -87,7 +87,7 @@
 	err := n.Serving()
 	var answer upstream.CallResponse
 	if err == nil {
-		answer, err = n.requests.Forwarded(ctx, call)
+		answer, err = n.requests.HandleForwarded(ctx, call)
 	} else {
 		err = result.From(err).WithMayHaveRun()
 	}
--- a/node/gather.go
+++ b/node/gather.go
@@ -18,9 +18,9 @@
 	n.appender = gather.NewAppender(gather.Config{
 		Self: n.info, Members: n.members.All, Local: n.gatherer,
 		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allRead),
-		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, AllRead: n.allRead,
+		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, GatheredSupported: n.allRead,
 	})
-	n.writer.Through(n.appender)
+	n.writer.SetAppender(n.appender)
 }
 
 // answerHandOn appends a batch of another node.
--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 		OperatorAddress: settings.OperatorAddress,
 		Region:          settings.Region,
 		DataCentre:      settings.DataCentre,
-		RecordForms:     record.Forms,
+		RecordForms:     record.SupportedForms,
 	}
 	hlc := event.NewHLC(deps.Clock)
 	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
@@ -111,7 +111,7 @@
 	n.requests = &request.Server{
 		Config: n.config.View, Reserver: n.budgets.reserver, Picker: n.balancer, Admission: n.admission,
 		Client: deps.Upstreams, Events: n.events, Clock: deps.Clock, Region: settings.Region,
-		Staying: n.staying,
+		ExcludeLeaving: n.staying,
 	}
 	n.nameRequests()
 	n.metrics = n.newMetrics()
@@ -185,11 +185,11 @@
 
 // folded is told of each batch in offset order, in the folding goroutine.
 func (n *Node) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
-	n.snapshots.Folded(batch, proto.Size(batch))
+	n.snapshots.HandleFolded(batch, proto.Size(batch))
 	n.events.Clock().Observe(event.Timestamp(batch.GetHlc()))
 	n.budgets.folded(batch, verdicts)
 	n.recordFolded(batch, verdicts)
-	n.writer.Folded(batch, verdicts)
+	n.writer.HandleFolded(batch, verdicts)
 }
 
 func (n *Node) recordFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
--- a/node/settings.go
+++ b/node/settings.go
@@ -88,7 +88,7 @@
 	require(s.SpendRight > 2*s.HeartbeatInterval, "spend right isn't above two heartbeat intervals")
 	require(s.LeaseTerm >= time.Second, "lease term is under a second")
 	require(s.Gather >= 0, "gather time is negative")
-	require(s.Appends.From > 0 && s.Appends.Answer > 0 && s.Appends.LeastRest > 0, "policy of appends isn't positive")
+	require(s.Appends.MinDataCentreNodes > 0 && s.Appends.Timeout > 0 && s.Appends.MinBackoff > 0, "policy of appends isn't positive")
 	require(s.ClaimChunk > 0, "claim chunk is zero")
 	require(s.AddressLifetime > 0, "address lifetime isn't positive")
 	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecretLen, "token secret is shorter than 32 bytes")
--- a/peerfetch/copy.go
+++ b/peerfetch/copy.go
@@ -13,8 +13,8 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// Copy holds the newest records of a topic for peers. It is safe for concurrent use.
-type Copy struct {
+// Replica holds the newest records of a topic for peers. It is safe for concurrent use.
+type Replica struct {
 	mu      sync.Mutex
 	records map[string]keyedlog.Record
 	// complete is the offset from which all records are known, those that delete a key
@@ -36,16 +36,16 @@
 // neverArrived is the time of a part that hasn't come.
 const neverArrived = math.MinInt64
 
-// NewCopy returns a copy that holds nothing.
-func NewCopy(clock bootclock.Clock) *Copy {
-	return &Copy{complete: -1, next: -1, grown: make(chan struct{}), clock: clock}
+// NewReplica returns a copy that holds nothing.
+func NewReplica(clock bootclock.Clock) *Replica {
+	return &Replica{complete: -1, next: -1, grown: make(chan struct{}), clock: clock}
 }
 
 // reading is a reading of the store, which calls progress for each part that arrives.
 type reading func(progress func()) (records []keyedlog.Record, next int64, err error)
 
 // receive runs a reading and notes what arrives.
-func (c *Copy) receive(progress func(), read reading) ([]keyedlog.Record, int64, error) {
+func (c *Replica) receive(progress func(), read reading) ([]keyedlog.Record, int64, error) {
 	c.arrivedAt.Store(neverArrived)
 	c.readings.Add(1)
 	defer c.readings.Add(-1)
@@ -56,20 +56,20 @@
 }
 
 // arriving tells whether records are on their way.
-func (c *Copy) arriving() bool {
+func (c *Replica) arriving() bool {
 	at := c.arrivedAt.Load()
 	return c.readings.Load() > 0 && at != neverArrived && c.clock.Now()-time.Duration(at) < arrivingFor
 }
 
 // Next returns the offset up to which the topic was read; negative before the first reading.
-func (c *Copy) Next() int64 {
+func (c *Replica) Next() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.next
 }
 
 // Reset replaces everything by the newest records.
-func (c *Copy) Reset(records []keyedlog.Record, next int64) {
+func (c *Replica) Reset(records []keyedlog.Record, next int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if next < c.next {
@@ -82,7 +82,7 @@
 }
 
 // Extend adds the records from an offset on.
-func (c *Copy) Extend(from int64, records []keyedlog.Record, next int64) {
+func (c *Replica) Extend(from int64, records []keyedlog.Record, next int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next < 0 || from > c.next || next <= c.next {
@@ -93,7 +93,7 @@
 	c.wake()
 }
 
-func (c *Copy) put(records []keyedlog.Record) {
+func (c *Replica) put(records []keyedlog.Record) {
 	for _, r := range records {
 		if old, ok := c.records[r.Key]; !ok || old.Offset <= r.Offset {
 			c.records[r.Key] = r
@@ -101,13 +101,13 @@
 	}
 }
 
-func (c *Copy) wake() {
+func (c *Replica) wake() {
 	close(c.grown)
 	c.grown = make(chan struct{})
 }
 
-// Answer answers an ask. It waits as long as the ask allows until the topic was read far enough.
-func (c *Copy) Answer(ctx context.Context, ask Ask) Reply {
+// Handle answers an ask. It waits as long as the ask allows until the topic was read far enough.
+func (c *Replica) Handle(ctx context.Context, ask Request) Reply {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
 	for {
@@ -122,14 +122,14 @@
 	}
 }
 
-func (c *Copy) answer(ask Ask) (Reply, <-chan struct{}) {
+func (c *Replica) answer(ask Request) (Reply, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.next < 0 || c.next < ask.End:
-		return Reply{Behind: true, Arriving: c.arriving(), Next: c.next}, c.grown
+		return Reply{Behind: true, Receiving: c.arriving(), Next: c.next}, c.grown
 	case ask.From >= 0 && ask.From < c.complete:
-		return Reply{Forgotten: true, Next: c.next}, nil
+		return Reply{Incomplete: true, Next: c.next}, nil
 	}
 	reply := Reply{Next: c.next}
 	for _, r := range c.records {
--- a/peerfetch/http.go
+++ b/peerfetch/http.go
@@ -22,18 +22,18 @@
 )
 
 // Client carries asks over kept connections.
-type Client struct{ Wire *httpwire.Client }
+type Client struct{ HTTP *httpwire.Client }
 
 // Fetch sends an ask and reads its reply.
-func (c *Client) Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error) {
+func (c *Client) Fetch(ctx context.Context, address string, ask Request, progress func()) (Reply, error) {
 	var reply Reply
-	err := c.Wire.PostJSON(ctx, address, Path, &ask, &reply, maxReply, progress)
+	err := c.HTTP.PostJSON(ctx, address, Path, &ask, &reply, maxReply, progress)
 	return reply, err
 }
 
 // Handler answers the asks of peers out of copies by topic. A configuration holds callers' keys,
 // so only addresses that known names are answered.
-func Handler(copies map[string]*Copy, known func(ip string) bool) http.Handler {
+func Handler(copies map[string]*Replica, known func(ip string) bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, req *http.Request) {
 		ip, _, err := net.SplitHostPort(req.RemoteAddr)
@@ -46,7 +46,7 @@
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		var ask Ask
+		var ask Request
 		if err := json.Unmarshal(raw, &ask); err != nil {
 			http.Error(w, "not an ask", http.StatusBadRequest)
 			return
@@ -57,7 +57,7 @@
 			return
 		}
 		ask.WaitMs = min(ask.WaitMs, peerWait.Milliseconds())
-		out, err := json.Marshal(held.Answer(req.Context(), ask))
+		out, err := json.Marshal(held.Handle(req.Context(), ask))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
--- a/peerfetch/messages.go
+++ b/peerfetch/messages.go
@@ -6,8 +6,8 @@
 	"lavenderpin.dev/lavenderpin/keyedlog"
 )
 
-// Ask asks a peer for the records of a topic.
-type Ask struct {
+// Request asks a peer for the records of a topic.
+type Request struct {
 	Topic string `json:"topic"`
 	// From is the first offset that the asker hasn't read; negative asks for each key's
 	// newest record.
@@ -22,16 +22,16 @@
 type Reply struct {
 	// Behind tells that the peer hasn't read as far as was asked, Arriving that it is
 	// receiving records at the moment.
-	Behind   bool `json:"behind,omitempty"`
-	Arriving bool `json:"arriving,omitempty"`
-	// Forgotten tells that the peer doesn't hold all records since From.
-	Forgotten bool              `json:"forgotten,omitempty"`
-	Records   []keyedlog.Record `json:"records,omitempty"`
+	Behind    bool `json:"behind,omitempty"`
+	Receiving bool `json:"arriving,omitempty"`
+	// Incomplete tells that the peer doesn't hold all records since From.
+	Incomplete bool              `json:"forgotten,omitempty"`
+	Records    []keyedlog.Record `json:"records,omitempty"`
 	// Next is the offset to read on from.
 	Next int64 `json:"next"`
 }
 
-// Caller carries an ask to a peer. progress is called whenever a part of the reply arrives.
-type Caller interface {
-	Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error)
+// Transport carries an ask to a peer. progress is called whenever a part of the reply arrives.
+type Transport interface {
+	Fetch(ctx context.Context, address string, ask Request, progress func()) (Reply, error)
 }
--- a/peerfetch/start_test.go
+++ b/peerfetch/start_test.go
@@ -20,18 +20,18 @@
 	topic.Self, topic.NewestOnly = "new", true
 	peers := topic.Peers()[:min(near, len(topic.Peers()))]
 	topic.Peers = func() []Peer { return peers }
-	topic.Fleet = func() int { return fleet }
+	topic.FleetSize = func() int { return fleet }
 	return topic
 }
 
 // Guards against a starting node that reads all records from the store because its own
 // record isn't read back yet, without which its neighbours refuse it.
-func TestStartingNodeWaitsUntilItIsKnown(t *testing.T) {
+func TestStartingNodeWaitsUntilListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
 		write(t, store, "1")
-		held := NewCopy(bubbleClock{})
+		held := NewReplica(bubbleClock{})
 		held.Reset([]keyedlog.Record{{Key: "config", Value: []byte("1")}}, 1)
 		topic := starting(store, copies{"n0": held, "n1": held}, 5, 20)
 		known := topic.Peers()
@@ -52,7 +52,7 @@
 
 // Guards against nodes of a small fleet that wait for neighbours who will never come, while
 // their callers wait for an upstream.
-func TestSmallFleetWaitsForNobody(t *testing.T) {
+func TestSmallFleetDoesNotWaitForPeers(t *testing.T) {
 	for _, near := range []int{0, 1, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -69,7 +69,7 @@
 
 // Guards against nodes of a large fleet's first start that each read all records, since
 // nobody is known yet.
-func TestFirstStartOfALargeFleetWaitsForPeers(t *testing.T) {
+func TestFirstStartOfLargeFleetWaitsForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
--- a/peerfetch/topic.go
+++ b/peerfetch/topic.go
@@ -63,18 +63,18 @@
 	// Self is this node's name, Peers returns the nodes of its data centre, itself included.
 	Self  string
 	Peers func() []Peer
-	// Fleet returns how many nodes are known in all.
-	Fleet func() int
-	// Known is closed once the peers were read for the first time, or couldn't be.
-	Known <-chan struct{}
+	// FleetSize returns how many nodes are known in all.
+	FleetSize func() int
+	// PeersKnown is closed once the peers were read for the first time, or couldn't be.
+	PeersKnown <-chan struct{}
 	// NewestOnly leaves it to the store what follows the newest records: for topics whose
 	// records are small, and many only together.
 	NewestOnly bool
 
-	Caller Caller
-	Copy   *Copy
-	Clock  bootclock.Clock
-	Events *event.Recorder
+	Transport Transport
+	Replica   *Replica
+	Clock     bootclock.Clock
+	Events    *event.Recorder
 }
 
 // Newest reads the newest records from peers that are up to date, or from the store.
@@ -88,15 +88,15 @@
 			return nil, 0, err
 		}
 		if ok {
-			t.Copy.Reset(reply.Records, reply.Next)
+			t.Replica.Reset(reply.Records, reply.Next)
 			return reply.Records, reply.Next, nil
 		}
 	}
-	records, next, err := t.Copy.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
+	records, next, err := t.Replica.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
 		return t.Topic.Newest(ctx, progress)
 	})
 	if err == nil {
-		t.Copy.Reset(records, next)
+		t.Replica.Reset(records, next)
 	}
 	return records, next, err
 }
@@ -106,10 +106,10 @@
 	end, err := t.startAt(ctx)
 	progress()
 	if err == nil {
-		reply, ok := t.fetch(ctx, place, sources, Ask{From: -1, End: end}, progress)
+		reply, ok := t.fetch(ctx, place, sources, Request{From: -1, End: end}, progress)
 		return reply, ok, nil
 	}
-	if reply, ok := t.newer(ctx, sources, Ask{From: -1, End: t.Copy.Next() + 1}, progress); ok {
+	if reply, ok := t.newer(ctx, sources, Request{From: -1, End: t.Replica.Next() + 1}, progress); ok {
 		return reply, true, nil
 	}
 	return Reply{}, false, err
@@ -119,7 +119,7 @@
 // has read nothing yet takes whatever a peer has, and asks the store afterwards: while all
 // nodes start, the answer would wait behind what they all read.
 func (t *Topic) startAt(ctx context.Context) (int64, error) {
-	if t.Copy.Next() < 0 {
+	if t.Replica.Next() < 0 {
 		return 0, nil
 	}
 	return t.end(ctx)
@@ -131,7 +131,7 @@
 	timer := time.NewTimer(knownPatience)
 	defer timer.Stop()
 	select {
-	case <-t.Known:
+	case <-t.PeersKnown:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -165,7 +165,7 @@
 		return !slices.ContainsFunc(peers, func(p Peer) bool { return p.Node == t.Self })
 	}
 	if len(peers) > 0 {
-		return t.Fleet() >= manyNodes
+		return t.FleetSize() >= manyNodes
 	}
 	return isLong()
 }
@@ -177,7 +177,7 @@
 		end, err := t.end(ctx)
 		progress()
 		if err != nil {
-			if reply, ok := t.newer(ctx, sources, Ask{From: from, End: from + 1}, progress); ok {
+			if reply, ok := t.newer(ctx, sources, Request{From: from, End: from + 1}, progress); ok {
 				return t.extend(from, reply)
 			}
 			return nil, 0, err
@@ -188,26 +188,26 @@
 		}
 		// An end before what was read is stale; a reading of the store waits for news.
 		if end > from {
-			if reply, ok := t.fetch(ctx, place, sources, Ask{From: from, End: end}, progress); ok {
+			if reply, ok := t.fetch(ctx, place, sources, Request{From: from, End: end}, progress); ok {
 				return t.extend(from, reply)
 			}
 		}
 	}
-	records, next, err := t.Copy.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
+	records, next, err := t.Replica.receive(progress, func(progress func()) ([]keyedlog.Record, int64, error) {
 		return t.Topic.Read(ctx, from, wait, progress)
 	})
 	if err == nil {
-		t.Copy.Extend(from, records, next)
+		t.Replica.Extend(from, records, next)
 	}
 	return records, next, err
 }
 
 // extend takes over what a peer has since an offset.
 func (t *Topic) extend(from int64, reply Reply) ([]keyedlog.Record, int64, error) {
-	if reply.Forgotten {
-		return nil, 0, keyedlog.ErrForgotten
+	if reply.Incomplete {
+		return nil, 0, keyedlog.ErrOffsetExpired
 	}
-	t.Copy.Extend(from, reply.Records, reply.Next)
+	t.Replica.Extend(from, reply.Records, reply.Next)
 	return reply.Records, reply.Next, nil
 }
 
@@ -219,7 +219,7 @@
 
 // newer asks each peer once for more than is known. A node that can't ask the store, since it is cut off or its link is
 // full, takes what its peers have learned meanwhile.
-func (t *Topic) newer(ctx context.Context, sources []Peer, ask Ask, progress func()) (Reply, bool) {
+func (t *Topic) newer(ctx context.Context, sources []Peer, ask Request, progress func()) (Reply, bool) {
 	ask.Topic = t.Name
 	for _, source := range sources {
 		if reply, err := t.ask(ctx, source, ask, progress); err == nil && !reply.Behind {
@@ -231,7 +231,7 @@
 }
 
 // fetch asks peers until one is far enough or the patience is over.
-func (t *Topic) fetch(ctx context.Context, place int, sources []Peer, ask Ask, progress func()) (Reply, bool) {
+func (t *Topic) fetch(ctx context.Context, place int, sources []Peer, ask Request, progress func()) (Reply, bool) {
 	ask.Topic, ask.WaitMs = t.Name, peerWait.Milliseconds()
 	begun := t.Clock.Now()
 	until := begun + patience(place)
@@ -240,7 +240,7 @@
 		for i := range sources {
 			source := sources[(first+i)%len(sources)]
 			reply, err := t.ask(ctx, source, ask, progress)
-			if err == nil && reply.Arriving {
+			if err == nil && reply.Receiving {
 				until = min(begun+arrivingPatience, max(until, t.Clock.Now()+longestRound))
 			}
 			if err != nil || reply.Behind {
@@ -256,10 +256,10 @@
 	return Reply{}, false
 }
 
-func (t *Topic) ask(ctx context.Context, source Peer, ask Ask, progress func()) (Reply, error) {
+func (t *Topic) ask(ctx context.Context, source Peer, ask Request, progress func()) (Reply, error) {
 	limited, arriving, cancel := stall.Limit(ctx, peerTimeout, peerTimeout)
 	defer cancel()
-	return t.Caller.Fetch(limited, source.Address, ask, func() {
+	return t.Transport.Fetch(limited, source.Address, ask, func() {
 		arriving()
 		progress()
 	})
--- a/peerfetch/topic_test.go
+++ b/peerfetch/topic_test.go
@@ -45,16 +45,16 @@
 }
 
 // copies answers asks out of peers' copies; a peer without one is dark.
-type copies map[string]*Copy
+type copies map[string]*Replica
 
-func (c copies) Fetch(ctx context.Context, address string, ask Ask, progress func()) (Reply, error) {
+func (c copies) Fetch(ctx context.Context, address string, ask Request, progress func()) (Reply, error) {
 	held, ok := c[address]
 	if !ok {
 		<-ctx.Done()
 		return Reply{}, ctx.Err()
 	}
 	progress()
-	return held.Answer(ctx, ask), nil
+	return held.Handle(ctx, ask), nil
 }
 
 // fourth returns the topic of the fourth of a data centre's nodes.
@@ -66,7 +66,7 @@
 	}
 	known := make(chan struct{})
 	close(known)
-	return &Topic{Known: known, Topic: store, Name: "config", Self: "n3", Peers: func() []Peer { return peers }, Caller: held, Copy: NewCopy(bubbleClock{}), Clock: bubbleClock{},
+	return &Topic{PeersKnown: known, Topic: store, Name: "config", Self: "n3", Peers: func() []Peer { return peers }, Transport: held, Replica: NewReplica(bubbleClock{}), Clock: bubbleClock{},
 		Events: event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), "n3", 64, log.NewNopLogger())}
 }
 
@@ -85,11 +85,11 @@
 }
 
 // A node that reads what a peer holds takes a second copy over the link to the store.
-func TestReadsFromThePeerAlone(t *testing.T) {
+func TestReadsFromPeerOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
-		first := NewCopy(bubbleClock{})
+		first := NewReplica(bubbleClock{})
 		n := fourth(store, copies{"n0": first})
 		write(t, store, "1")
 		first.Reset([]keyedlog.Record{record("config", 0)}, 1)
@@ -108,11 +108,11 @@
 
 // All nodes start while the link to the store is full, and the store's word on where the log
 // ends doesn't come through. A node that waits for it knows no configuration for seconds.
-func TestStartsFromAPeerWithoutTheStore(t *testing.T) {
+func TestStartsFromPeerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := unreachable()
-		first := NewCopy(bubbleClock{})
+		first := NewReplica(bubbleClock{})
 		first.Reset([]keyedlog.Record{record("config", 4)}, 5)
 		n := fourth(store, copies{"n0": first})
 		records, next, err := n.Newest(t.Context(), func() {})
@@ -127,14 +127,14 @@
 
 // A node is cut off from the store, or its link is full, while its peers learn of a change. It
 // must not stay behind them.
-func TestTakesNewsFromPeersWithoutTheStore(t *testing.T) {
+func TestFetchesUpdatesFromPeersWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := unreachable()
-		second := NewCopy(bubbleClock{})
+		second := NewReplica(bubbleClock{})
 		second.Reset([]keyedlog.Record{record("config", 4)}, 5)
 		n := fourth(store, copies{"n1": second})
-		n.Copy.Reset([]keyedlog.Record{record("config", 4)}, 5)
+		n.Replica.Reset([]keyedlog.Record{record("config", 4)}, 5)
 		_, _, err := n.Read(t.Context(), 5, time.Second, func() {})
 		is.Equal(err, context.DeadlineExceeded)
 		second.Extend(5, []keyedlog.Record{record("config", 5)}, 6)
@@ -151,8 +151,8 @@
 
 // Peers that are dark, or that are cut off from the store and don't know it, must not keep a
 // node behind.
-func TestReadsTheStoreWhenPeersAreBehind(t *testing.T) {
-	for name, held := range map[string]copies{"dark": {}, "behind": {"n0": NewCopy(bubbleClock{}), "n1": NewCopy(bubbleClock{})}} {
+func TestReadsStoreWhenPeersAreBehind(t *testing.T) {
+	for name, held := range map[string]copies{"dark": {}, "behind": {"n0": NewReplica(bubbleClock{}), "n1": NewReplica(bubbleClock{})}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -174,12 +174,12 @@
 
 // A peer takes long to receive a large configuration itself. Nodes that read the store
 // meanwhile delay it and themselves.
-func TestWaitsForAPeerThatIsReceiving(t *testing.T) {
+func TestWaitsForPeerThatIsReceiving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
 		write(t, store, "1")
-		first := NewCopy(bubbleClock{})
+		first := NewReplica(bubbleClock{})
 		first.Reset(nil, 0)
 		go func() {
 			records, next, _ := first.receive(func() {}, func(progress func()) ([]keyedlog.Record, int64, error) {
@@ -191,7 +191,7 @@
 			})
 			first.Extend(0, records, next)
 		}()
-		n := fourth(store, copies{"n0": first, "n1": NewCopy(bubbleClock{})})
+		n := fourth(store, copies{"n0": first, "n1": NewReplica(bubbleClock{})})
 		records, _, err := n.Read(t.Context(), 0, time.Second, func() {})
 		is.NoErr(err)
 		is.Equal(len(records), 1)
@@ -200,12 +200,12 @@
 }
 
 // A peer's reading stalls. It must not be waited for any longer than one that never began.
-func TestReadsTheStoreWhenAPeerStalls(t *testing.T) {
+func TestReadsStoreWhenPeerStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &countingTopic{Topic: memtopic.New()}
 		write(t, store, "1")
-		first := NewCopy(bubbleClock{})
+		first := NewReplica(bubbleClock{})
 		first.Reset(nil, 0)
 		stalled, end := context.WithTimeout(t.Context(), 10*time.Second)
 		defer end()
@@ -226,13 +226,13 @@
 
 // The store's word on the end is seconds old. A node that asked peers for less than it has would
 // ask again and again, and one that waited for the old end would hear nothing.
-func TestStaleEndIsLeftToTheStore(t *testing.T) {
+func TestStaleEndIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memtopic.New()
 		write(t, store, "1")
 		write(t, store, "2")
-		ahead := NewCopy(bubbleClock{})
+		ahead := NewReplica(bubbleClock{})
 		ahead.Reset(nil, 9)
 		n := fourth(staleEnd{store, 0}, copies{"n0": ahead, "n1": ahead})
 		records, next, err := n.Read(t.Context(), 1, time.Second, func() {})
@@ -269,22 +269,22 @@
 }
 
 // A configuration holds callers' keys: whoever isn't a node of the fleet must not get it.
-func TestRecordsAreForNodesOnly(t *testing.T) {
+func TestHandlerServesOnlyNodes(t *testing.T) {
 	is := is.New(t)
-	held := NewCopy(bubbleClock{})
+	held := NewReplica(bubbleClock{})
 	held.Reset([]keyedlog.Record{record("config", 0)}, 1)
 	node := true
-	server := httptest.NewServer(Handler(map[string]*Copy{"config": held}, func(string) bool { return node }))
+	server := httptest.NewServer(Handler(map[string]*Replica{"config": held}, func(string) bool { return node }))
 	defer server.Close()
-	client := &Client{Wire: httpwire.NewClient(httpwire.Options{Clock: bootclock.System{}, DialTimeout: time.Second})}
+	client := &Client{HTTP: httpwire.NewClient(httpwire.Options{Clock: bootclock.System{}, DialTimeout: time.Second})}
 	address := server.Listener.Addr().String()
-	reply, err := client.Fetch(t.Context(), address, Ask{Topic: "config", From: -1, End: 1}, func() {})
+	reply, err := client.Fetch(t.Context(), address, Request{Topic: "config", From: -1, End: 1}, func() {})
 	is.NoErr(err)
 	is.Equal(reply, Reply{Records: []keyedlog.Record{record("config", 0)}, Next: 1})
-	_, err = client.Fetch(t.Context(), address, Ask{Topic: "spend", From: -1}, func() {})
+	_, err = client.Fetch(t.Context(), address, Request{Topic: "spend", From: -1}, func() {})
 	is.True(err != nil)
 	node = false
-	_, err = client.Fetch(t.Context(), address, Ask{Topic: "config", From: -1, End: 1}, func() {})
+	_, err = client.Fetch(t.Context(), address, Request{Topic: "config", From: -1, End: 1}, func() {})
 	is.True(err != nil)
 	resp, err := http.Get(server.URL + Path)
 	is.NoErr(err)
--- a/presence/pace.go
+++ b/presence/pace.go
@@ -29,8 +29,8 @@
 	return slices.ContainsFunc(large(near), func(r Record) bool { return r.Node == own.Node })
 }
 
-// Every returns the interval at which a node should write its own record.
-func Every(live []Record, own Record) time.Duration {
+// RecordInterval returns the interval at which a node should write its own record.
+func RecordInterval(live []Record, own Record) time.Duration {
 	every := max(leastEvery, min(quietEvery, time.Duration(len(live))*perNode))
 	if !named(live, own) {
 		return max(every, quietEvery)
@@ -42,19 +42,19 @@
 // and a few round trips between data centres; from another region it is 66 ms.
 const nearStore = 30 * time.Millisecond
 
-// Before tells whether one node comes before another for the fleet's singular duties: one in
+// Precedes tells whether one node comes before another for the fleet's singular duties: one in
 // the store's region before others, then the one with the larger capacity, then by name.
 //
 // After a fault that all nodes come back from at once, those of the other region share one
 // link for all that they read. A node there took up the duties 2.3 s later than one beside
 // the store would have.
-func Before(a, b *Record) bool {
+func Precedes(a, b *Record) bool {
 	return cmp.Or(cmp.Compare(a.distance(), b.distance()), cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Node, b.Node)) < 0
 }
 
 // distance ranks nodes by how far the store is.
 func (r *Record) distance() int {
-	if r.StoreMs > 0 && time.Duration(r.StoreMs)*time.Millisecond <= nearStore {
+	if r.StoreWriteMs > 0 && time.Duration(r.StoreWriteMs)*time.Millisecond <= nearStore {
 		return 0
 	}
 	return 1
--- a/presence/record.go
+++ b/presence/record.go
@@ -14,13 +14,13 @@
 	Capacity int `json:"c,omitempty"`
 	// Ready: the node takes new callers.
 	Ready bool `json:"re,omitempty"`
-	// Peer is where other nodes connect.
-	Peer string `json:"p,omitempty"`
-	// StoreMs is the shortest time that the node's process saw a write to the store take, in
+	// PeerAddress is where other nodes connect.
+	PeerAddress string `json:"p,omitempty"`
+	// StoreWriteMs is the shortest time that the node's process saw a write to the store take, in
 	// milliseconds; zero before it has seen one.
-	StoreMs int64 `json:"s,omitempty"`
-	// EveryMs is the interval of the node's records in milliseconds.
-	EveryMs int64 `json:"e,omitempty"`
+	StoreWriteMs int64 `json:"s,omitempty"`
+	// IntervalMs is the interval of the node's records in milliseconds.
+	IntervalMs int64 `json:"e,omitempty"`
 	// Leaving: the node finishes what it has and ends.
 	Leaving bool `json:"l,omitempty"`
 }
@@ -28,5 +28,5 @@
 // late returns how much longer than usual the node may be silent, for a number of its
 // records left out.
 func (r *Record) late(records int) time.Duration {
-	return time.Duration(records) * max(0, time.Duration(r.EveryMs)*time.Millisecond-leastEvery)
+	return time.Duration(records) * max(0, time.Duration(r.IntervalMs)*time.Millisecond-leastEvery)
 }
--- a/presence/roster.go
+++ b/presence/roster.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// SilentAfter is how long a node may be silent while the store can be read before
+	// LiveTimeout is how long a node may be silent while the store can be read before
 	// callers aren't sent to it any more: five records of one that writes at the least
 	// interval; one that writes more rarely may leave two more out.
-	SilentAfter = 2600 * time.Millisecond
-	// IdleAfter is how long it may be silent before another node takes its duties up:
+	LiveTimeout = 2600 * time.Millisecond
+	// ActiveTimeout is how long it may be silent before another node takes its duties up:
 	// three records, and one more of a node that writes more rarely. Doing so too early
 	// costs a few calls and nothing else, since every write of a duty is fenced.
-	IdleAfter = 1600 * time.Millisecond
+	ActiveTimeout = 1600 * time.Millisecond
 )
 
 // Roster is the nodes as last heard of. It is safe for concurrent use.
@@ -47,23 +47,23 @@
 	return &Roster{clock: clock, nodes: make(map[string]*member)}
 }
 
-// Hear takes a node's record.
-func (r *Roster) Hear(rec Record) {
+// Update takes a node's record.
+func (r *Roster) Update(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nodes[rec.Node] = &member{Record: rec, heard: r.readable}
 	r.changed()
 }
 
-// Read tells whether the nodes' records were ever read.
-func (r *Roster) Read() bool {
+// HasRead tells whether the nodes' records were ever read.
+func (r *Roster) HasRead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.caught || r.caughtAt != 0
 }
 
-// Last returns a node's last record; false if none was read.
-func (r *Roster) Last(node string) (Record, bool) {
+// LastRecord returns a node's last record; false if none was read.
+func (r *Roster) LastRecord(node string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.nodes[node]
@@ -73,8 +73,8 @@
 	return m.Record, true
 }
 
-// Forget drops a node whose record was deleted.
-func (r *Roster) Forget(node string) {
+// Remove drops a node whose record was deleted.
+func (r *Roster) Remove(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.nodes, node)
@@ -88,8 +88,8 @@
 // counts as time in which the store could be read.
 const mostBetweenReadings = 2 * time.Second
 
-// Caught notes a successful reading of the store.
-func (r *Roster) Caught() {
+// ReadSucceeded notes a successful reading of the store.
+func (r *Roster) ReadSucceeded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -100,8 +100,8 @@
 	r.caught, r.caughtAt = true, now
 }
 
-// Lost notes a failed reading: the time since the last successful one doesn't count.
-func (r *Roster) Lost() {
+// ReadFailed notes a failed reading: the time since the last successful one doesn't count.
+func (r *Roster) ReadFailed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.caught = false
@@ -112,7 +112,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.live == nil {
-		r.live = r.heardWithin(SilentAfter, silentRecords)
+		r.live = r.heardWithin(LiveTimeout, silentRecords)
 	}
 	return r.live
 }
@@ -123,7 +123,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.active == nil {
-		r.active = r.heardWithin(IdleAfter, idleRecords)
+		r.active = r.heardWithin(ActiveTimeout, idleRecords)
 	}
 	return r.active
 }
@@ -151,5 +151,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.nodes[node]
-	return ok && m.Incarnation == incarnation && !m.Leaving && r.readable-m.heard <= SilentAfter+m.late(silentRecords)
+	return ok && m.Incarnation == incarnation && !m.Leaving && r.readable-m.heard <= LiveTimeout+m.late(silentRecords)
 }
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// Forwarded runs a call that another node passed on; that node has authenticated
+// HandleForwarded runs a call that another node passed on; that node has authenticated
 // the caller.
-func (s *Server) Forwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallResponse, error) {
+func (s *Server) HandleForwarded(ctx context.Context, f *fleetv1.CallForward) (upstream.CallResponse, error) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	view := s.Config()
--- a/request/refusal_test.go
+++ b/request/refusal_test.go
@@ -14,7 +14,7 @@
 
 // A caller is refused and asks the operators in the morning why. Nothing was reserved
 // for it, so without an id of its own nobody could find its refusal among thousands.
-func TestEachRefusalCanBeFound(t *testing.T) {
+func TestRefusalsAreRecordedUnderUniqueIDs(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, standin.EngineOptions{})
 	n := s.newServer("a")
@@ -34,7 +34,7 @@
 
 // A request is admitted and fails at its engine. The error must bring the id under which
 // it was reserved, as the caller got no answer that names it.
-func TestAFailedRequestBringsItsID(t *testing.T) {
+func TestFailedRequestErrorCarriesRequestID(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, standin.EngineOptions{CutAfter: 1, Forget: true})
 	n := s.newServer("a")
--- a/request/server.go
+++ b/request/server.go
@@ -32,8 +32,8 @@
 	Events   *event.Recorder
 	Clock    clockwork.Clock
 	Region   string
-	// Staying leaves out the upstreams that the platform shows as leaving; may be nil.
-	Staying func([]*operatorv1.Upstream) []*operatorv1.Upstream
+	// ExcludeLeaving leaves out the upstreams that the platform shows as leaving; may be nil.
+	ExcludeLeaving func([]*operatorv1.Upstream) []*operatorv1.Upstream
 	// PeerAddress is where other nodes reach this one.
 	PeerAddress string
 
