--- a/event/hlc.go
+++ b/event/hlc.go
@@ -12,8 +12,8 @@
 // Timestamp is a hybrid logical timestamp: Unix milliseconds << 16 | counter.
 type Timestamp uint64
 
-// Time returns the wall-clock part.
-func (s Timestamp) Time() time.Time { return time.UnixMilli(int64(s >> counterBits)).UTC() }
+// Time returns the wall clock part of the timestamp.
+func (t Timestamp) Time() time.Time { return time.UnixMilli(int64(t >> counterBits)).UTC() }
 
 // HLC is a hybrid logical clock. It is safe for concurrent use and lock-free.
 type HLC struct {
@@ -21,10 +21,10 @@
 	last  atomic.Uint64
 }
 
-// NewHLC returns a clock that starts at the wall clock.
+// NewHLC returns a hybrid logical clock based on the given wall clock.
 func NewHLC(clock clockwork.Clock) *HLC { return &HLC{clock: clock} }
 
-// Now returns a stamp above every stamp given or observed before.
+// Now returns a timestamp greater than all those returned or observed before.
 func (h *HLC) Now() Timestamp {
 	wall := uint64(h.clock.Now().UnixMilli()) << counterBits
 	for {
@@ -36,11 +36,11 @@
 	}
 }
 
-// Observe moves the clock past a stamp received from another process.
-func (h *HLC) Observe(s Timestamp) {
+// Observe advances the clock past a timestamp received from another process.
+func (h *HLC) Observe(t Timestamp) {
 	for {
 		last := h.last.Load()
-		if uint64(s) <= last || h.last.CompareAndSwap(last, uint64(s)) {
+		if uint64(t) <= last || h.last.CompareAndSwap(last, uint64(t)) {
 			return
 		}
 	}
--- a/event/recorder_test.go
+++ b/event/recorder_test.go
@@ -13,7 +13,7 @@
 	return NewRecorder(NewHLC(clockwork.NewFakeClock()), "a", capacity, log.NewNopLogger())
 }
 
-// A value that changes after it was recorded must not change the story.
+// Modifying a value after it was recorded must not change the event.
 func TestRecordedValuesAreImmutable(t *testing.T) {
 	is := is.New(t)
 	r := newTestRecorder(4)
@@ -25,7 +25,7 @@
 	is.Equal(events[0].Fields, map[string]string{"list": "[1]", "why": "first", "n": "7", "nothing": "<nil>"})
 }
 
-// A busy node's ring runs over. Whoever reads it must see that events are missing.
+// The ring of a busy node overflows. Readers must see that events are missing.
 func TestDroppedEventsAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newTestRecorder(3)
@@ -36,8 +36,8 @@
 	is.Equal(len(events), 3)
 	is.Equal(events[0].Fields["n"], "2")
 	is.Equal(dropped, uint64(2))
-	newest, left := r.After(events[0].Timestamp, 1)
+	newest, omitted := r.After(events[0].Timestamp, 1)
 	is.Equal(len(newest), 1)
 	is.Equal(newest[0].Fields["n"], "4")
-	is.Equal(left, uint64(1))
+	is.Equal(omitted, uint64(1))
 }
--- a/idempotency/fleet_test.go
+++ b/idempotency/fleet_test.go
@@ -17,19 +17,19 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// testFleet is some runners over one log. It must run within a synctest bubble.
+// testFleet is a set of runners that share one log. It must run in a synctest bubble.
 type testFleet struct {
 	log     *standin.Log
 	service *testService
 
 	mu sync.Mutex
-	// nodes by incarnation; slots tells which one stands at a place now.
+	// nodes maps incarnations to nodes, and slots maps slots to their current incarnation.
 	nodes  map[string]*testNode
 	slots  map[string]string
 	closed map[string]bool
-	// tickets of calls whose callers use one, by the call's key.
+	// tickets maps the keys of calls that use a ticket to the ticket.
 	tickets map[string]*fleetv1.CallTicket
-	// replaced counts the incarnations that took another's place.
+	// replaced counts the incarnations that replaced another one.
 	replaced int
 }
 
@@ -75,7 +75,7 @@
 		n.kill()
 		n.runner.Stop()
 	}
-	time.Sleep(2 * claimWait) // calls end, and callers that wait for a claim leave
+	time.Sleep(2 * claimTimeout) // calls finish, and callers that wait for a claim time out
 }
 
 func (f *testFleet) isOpen(name string) bool {
@@ -84,14 +84,14 @@
 	return !f.closed[name]
 }
 
-// close makes the fleet hold an incarnation for ended, as the fold does.
+// close marks an incarnation as closed for the whole fleet, as the fold does.
 func (f *testFleet) close(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed[name] = true
 }
 
-// node returns the node of an incarnation, or the one that stands at a place now.
+// node returns the current node of a slot, or the node of an incarnation.
 func (f *testFleet) node(name string) *testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,33 +101,33 @@
 	return f.nodes[name]
 }
 
-// call sends a call with a key to a node. A node that is killed answers nothing.
+// call sends a call with a key to a node. A killed node doesn't respond.
 func (n *testNode) call(ctx context.Context, key string) (Response, error) {
-	named := Call{ID: ID{"account", key}, Digest: Digest{1}}
-	return n.answer(ctx, func(ctx context.Context) (Response, error) {
-		return n.runner.Do(ctx, named, n.run(key), func(ctx context.Context, owner string) (Response, error) {
+	c := Call{ID: ID{"account", key}, Digest: Digest{1}}
+	return n.respond(ctx, func(ctx context.Context) (Response, error) {
+		return n.runner.Do(ctx, c, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 			peer := n.fleet.node(owner)
-			return peer.answer(ctx, func(ctx context.Context) (Response, error) {
-				return peer.runner.Do(ctx, named, peer.run(key), nil)
+			return peer.respond(ctx, func(ctx context.Context) (Response, error) {
+				return peer.runner.Do(ctx, c, peer.run(key), nil)
 			})
 		})
 	})
 }
 
-// answer runs what a node does for a request, unless the node is killed.
-func (n *testNode) answer(ctx context.Context, do func(context.Context) (Response, error)) (Response, error) {
+// respond handles a request on the node, or fails if the node is killed.
+func (n *testNode) respond(ctx context.Context, handle func(context.Context) (Response, error)) (Response, error) {
 	type outcome struct {
-		answer Response
-		err    error
+		response Response
+		err      error
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		answer, err := do(ctx)
-		done <- outcome{answer, err}
+		response, err := handle(ctx)
+		done <- outcome{response, err}
 	}()
 	select {
 	case o := <-done:
-		return o.answer, o.err
+		return o.response, o.err
 	case <-n.ctx.Done():
 		return Response{}, result.New(result.PeerUnreachable, "node %s is dead", n.name)
 	}
@@ -147,7 +147,7 @@
 	mu    sync.Mutex
 	runs  map[string]int
 	delay time.Duration
-	// before may refuse a run or be told of it; after may lose its answer.
+	// before is called ahead of each run and may refuse it; after may drop its response.
 	before func(key string) error
 	after  func(key string) error
 }
--- a/signed/signer_test.go
+++ b/signed/signer_test.go
@@ -11,25 +11,25 @@
 var secret = make([]byte, MinSecretLen)
 
 func TestOnlyIntactTokensOfPurposeVerify(t *testing.T) {
-	// A caller alters a ticket, or uses a cursor as a ticket. Opened, it would run a
-	// call under a ticket that nobody issued, perhaps twice.
+	// A caller alters a ticket or uses a cursor as a ticket. If it were accepted, a call
+	// would run under a ticket that was never issued, perhaps twice.
 	is := is.New(t)
 	tickets := NewSigner(secret, "ticket")
-	text := tickets.Sign(&fleetv1.CallTicket{Incarnation: "a", Number: 7, Account: "x"})
+	token := tickets.Sign(&fleetv1.CallTicket{Incarnation: "a", Number: 7, Account: "x"})
 	ticket := &fleetv1.CallTicket{}
-	is.NoErr(tickets.Verify(text, ticket))
+	is.NoErr(tickets.Verify(token, ticket))
 	is.Equal(ticket.GetNumber(), uint64(7))
-	is.True(NewSigner(secret, "cursor").Verify(text, ticket) != nil)
-	is.True(NewSigner([]byte("another"), "ticket").Verify(text, ticket) != nil)
-	for i := range text {
+	is.True(NewSigner(secret, "cursor").Verify(token, ticket) != nil)
+	is.True(NewSigner([]byte("another"), "ticket").Verify(token, ticket) != nil)
+	for i := range token {
 		for _, other := range []byte("Aa0-_.") {
-			altered := []byte(text)
+			altered := []byte(token)
 			altered[i] = other
-			is.True(string(altered) == text || tickets.Verify(string(altered), ticket) != nil)
+			is.True(string(altered) == token || tickets.Verify(string(altered), ticket) != nil)
 		}
 	}
-	for end := range text {
-		is.True(tickets.Verify(text[:end], ticket) != nil)
+	for end := range token {
+		is.True(tickets.Verify(token[:end], ticket) != nil)
 	}
 }
 
@@ -39,10 +39,10 @@
 	f.Add("")
 	f.Add(".")
 	f.Add("AAAA.AAAA")
-	f.Fuzz(func(t *testing.T, text string) {
+	f.Fuzz(func(t *testing.T, token string) {
 		ticket := &fleetv1.CallTicket{}
-		if tickets.Verify(text, ticket) == nil && tickets.Sign(ticket) != text {
-			t.Fatalf("%q opened as %v", text, ticket)
+		if tickets.Verify(token, ticket) == nil && tickets.Sign(ticket) != token {
+			t.Fatalf("%q was verified as %v", token, ticket)
 		}
 	})
 }
