--- a/node/figure.go
+++ b/node/figure.go
@@ -14,7 +14,7 @@
 var figures = []figure{
 	{"incarnation", "name of this run of the node", func(n *Node) any { return n.Incarnation() }},
 	{"state", "starting, serving, draining, stopped, or closed by the fleet", func(n *Node) any { return n.State() }},
-	{"config_offset", "offset of the log up to which the configuration is in force here; nodes that differ for seconds are behind", func(n *Node) any { return n.Offset() }},
+	{"config_offset", "offset of the log up to which the configuration is in force here; nodes that differ for seconds are behind", func(n *Node) any { return n.AppliedOffset() }},
 	{"requests_in_flight", "requests that run on this node now", func(n *Node) any { return n.requests.InFlight() }},
 	{"admission", "by service: admitted, refused (of these expired and evicted), limit, in flight, waiting, standing queue; see operators/overload.md", func(n *Node) any { return n.admission.Status() }},
 	{"cache_event_gaps", "gaps in what engines told of their caches; some are normal", func(n *Node) any { return n.balancer.EventGaps() }},
--- a/node/gather.go
+++ b/node/gather.go
@@ -13,7 +13,7 @@
 // gatherAppends lets the writer hand its batches to the data centre's gatherer, which
 // this node may be itself.
 func (n *Node) gatherAppends() {
-	policy := n.settings.Appends
+	policy := n.settings.GatherPolicy
 	n.gatherer = gather.NewGatherer(n.deps.Log, n.settings.Stream, n.deps.Clock, policy, n.allRead)
 	n.appender = gather.NewAppender(gather.Config{
 		Self: n.info, Members: n.members.All, Local: n.gatherer,
--- a/node/gather_test.go
+++ b/node/gather_test.go
@@ -15,7 +15,7 @@
 // Six nodes hand their batches to the gatherers of their data centres, and one of these
 // crashes under load. What it held for others must be billed all the same, once, and
 // nobody may be refused for more than the moment in which the others notice.
-func TestTheGathererOfADataCentreCrashes(t *testing.T) {
+func TestGathererCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := gather.DefaultPolicy()
@@ -47,7 +47,7 @@
 
 // One node of an earlier version is left in the log. Records that it can't read must not
 // be written until it has gone, or it would fold other budgets than all others.
-func TestAnOldNodeKeepsRecordsPlain(t *testing.T) {
+func TestOldNodePreventsGatheredRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near)
--- a/node/node.go
+++ b/node/node.go
@@ -90,13 +90,13 @@
 		RecordForms:     record.SupportedForms,
 	}
 	hlc := event.NewHLC(deps.Clock)
-	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
-	n.kept = event.NewArchive(max(1, settings.EventMemory/keptShare))
+	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventCapacity, deps.Logger)
+	n.kept = event.NewArchive(max(1, settings.EventCapacity/keptShare))
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.configInForce)
 	n.ledger = budget.NewLedger()
 	n.holder = budget.NewShareHolder(n.info.GetIncarnation(), deps.Clock)
-	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.Gather)
+	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.BatchDelay)
 	n.writer.AddSource(n.settlements)
 	n.leaseTable = lease.NewTable()
 	n.leases = lease.NewManager(n.info.GetIncarnation(), settings.LeaseTerm, n.leaseTable, n.writer, deps.Clock, n.events)
@@ -136,8 +136,8 @@
 // Config returns the configuration in force on this node.
 func (n *Node) Config() *config.View { return n.config.View() }
 
-// Offset returns the highest log offset that this node has folded.
-func (n *Node) Offset() uint64 { return n.follower.Offset() }
+// AppliedOffset returns the highest log offset that this node has folded.
+func (n *Node) AppliedOffset() uint64 { return n.follower.Offset() }
 
 // Metrics returns the node's map; only daemons publish it.
 func (n *Node) Metrics() *expvar.Map { return n.metrics }
@@ -148,8 +148,8 @@
 // Leases returns the leases that this node holds or wants.
 func (n *Node) Leases() lease.Holder { return n.leases }
 
-// Journal returns the node's writer to the log.
-func (n *Node) Journal() *recordlog.Writer { return n.writer }
+// LogWriter returns the node's writer to the log.
+func (n *Node) LogWriter() *recordlog.Writer { return n.writer }
 
 // State returns where the node is in its life.
 func (n *Node) State() State { return n.lifecycle.MustState().(State) }
--- a/node/relay.go
+++ b/node/relay.go
@@ -89,7 +89,7 @@
 	started := n.deps.Clock.Now()
 	for n.State() == StateStarting && ctx.Err() == nil {
 		if n.deps.Clock.Since(started) > withoutLogAfter && n.follower.SinceRead() > withoutLogAfter && n.holdsHighest() {
-			n.events.Record(event.ServingWithoutLog, "offset", n.Offset())
+			n.events.Record(event.ServingWithoutLog, "offset", n.AppliedOffset())
 			n.ready()
 			return
 		}
@@ -105,9 +105,9 @@
 func (n *Node) holdsHighest() bool {
 	peers := n.relayPeers()
 	for _, p := range peers {
-		if p.Offset > n.Offset() {
+		if p.Offset > n.AppliedOffset() {
 			return false
 		}
 	}
-	return len(peers) > 0 && n.Offset() > 0
+	return len(peers) > 0 && n.AppliedOffset() > 0
 }
--- a/node/status.go
+++ b/node/status.go
@@ -8,10 +8,10 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Nodes returns the fleet as this node sees it, itself first.
-func (n *Node) Nodes() []*operatorv1.NodeStatus {
+// NodeStatuses returns the fleet as this node sees it, itself first.
+func (n *Node) NodeStatuses() []*operatorv1.NodeStatus {
 	self := nodeStatus(n.info, string(n.State()))
-	self.ConfigOffset = n.Offset()
+	self.ConfigOffset = n.AppliedOffset()
 	all := []*operatorv1.NodeStatus{self}
 	for _, member := range n.members.All() {
 		state := string(StateServing)
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -95,11 +95,11 @@
 	settings.Region, settings.DataCentre = region, fmt.Sprintf("%s-%d", region, i%2)
 	settings.PeerAddress = fmt.Sprintf("127.0.0.1:%d", 7000+i)
 	settings.HTTPAddress, settings.OperatorAddress = "127.0.0.1:1", "127.0.0.1:2"
-	settings.Appends = f.appends
-	settings.Policy, settings.SpendRight = f.policy, f.policy.SpendRight
+	settings.GatherPolicy = f.appends
+	settings.BudgetPolicy, settings.SpendRight = f.policy, f.policy.SpendRight
 	settings.ClaimChunk = 1000
 	settings.AddressLifetime = time.Second
-	settings.EventMemory = 100_000
+	settings.EventCapacity = 100_000
 	settings.TokenSecret = make([]byte, signed.MinSecretLen)
 	f.topUps++
 	name := fmt.Sprintf("n%d-%d", i, f.topUps)
