--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -92,7 +92,7 @@
 	for _, m := range h.Members {
 		n := m.Node()
 		final := FinalState{Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil,
-			Offset: n.Offset(), Lines: n.Ledger().Budgets(), Probe: probes[m.Address()]}
+			Offset: n.AppliedOffset(), Lines: n.Ledger().Budgets(), Probe: probes[m.Address()]}
 		if held := underTest(n.Config()); held != nil {
 			final.Version = held.GetVersion()
 		}
--- a/node/admission.go
+++ b/node/admission.go
@@ -12,14 +12,13 @@
 )
 
 const (
-	// defaultSlots are those of an upstream that declares none.
+	// defaultSlots applies to an upstream that declares no slots.
 	defaultSlots = 16
-	// overloadInterval is the time between two looks for overload to record.
+	// overloadInterval is the time between two checks for changes in overload.
 	overloadInterval = time.Second
 )
 
-// regionUpstreams is the balancer as seen from the node's region; it implements
-// admission.Upstreams.
+// regionUpstreams implements admission.Upstreams: the balancer's view from the node's region.
 type regionUpstreams struct {
 	balancer *routing.Balancer
 	region   string
@@ -37,10 +36,10 @@
 	return admission.NewController(n.deps.Clock, n.admissionSettings, regionUpstreams{n.balancer, n.settings.Region})
 }
 
-// admissionSettings gives a node its part of the slots of this region's engines to
-// start with, as the region's other nodes use them too, and lets it grow to twice all
-// of them. Plain services don't report their load, so nothing could make the limit
-// grow: they start with all slots.
+// admissionSettings returns an initial limit of this node's fraction of the region's engine
+// slots, as the region's other nodes use them too; the limit may grow to twice all of them.
+// Plain services don't report their load, so nothing could raise their limit: they start with
+// all slots.
 func (n *Node) admissionSettings(service string) admission.Settings {
 	view := n.Config()
 	slots := n.regionSlots(view.Upstreams(service))
@@ -51,10 +50,10 @@
 	return settings
 }
 
-// regionSlots sums up the slots of the upstreams in this region, or of all if there
-// are none here.
+// regionSlots returns the total slots of the upstreams in this region, or of all upstreams if
+// this region has none. Draining upstreams don't count.
 func (n *Node) regionSlots(upstreams []*operatorv1.Upstream) int {
-	near, all := 0, 0
+	local, total := 0, 0
 	for _, u := range upstreams {
 		slots := int(u.GetSlots())
 		if slots == 0 {
@@ -64,17 +63,17 @@
 		case u.GetDraining():
 			continue
 		case u.GetRegion() == n.settings.Region:
-			near += slots
+			local += slots
 		}
-		all += slots
+		total += slots
 	}
-	if near > 0 {
-		return near
+	if local > 0 {
+		return local
 	}
-	return all
+	return total
 }
 
-// regionNodes counts the nodes of this region that serve, this one included.
+// regionNodes returns the number of serving nodes in this region, including this one.
 func (n *Node) regionNodes() int {
 	count := 1
 	for _, member := range n.members.All() {
@@ -85,19 +84,19 @@
 	return count
 }
 
-// watchOverload records when a service becomes overloaded on this node, and when it no
-// longer is, until ctx ends.
+// watchOverload records an event whenever the overload of a service on this node begins or
+// ends, until ctx is done.
 func (n *Node) watchOverload(ctx context.Context) {
-	standing := map[string]bool{}
-	periodic.Run(ctx, n.deps.Clock, overloadInterval, func(context.Context) { n.recordOverload(standing) })
+	overloaded := map[string]bool{}
+	periodic.Run(ctx, n.deps.Clock, overloadInterval, func(context.Context) { n.recordOverload(overloaded) })
 }
 
-func (n *Node) recordOverload(standing map[string]bool) {
+func (n *Node) recordOverload(overloaded map[string]bool) {
 	for service, status := range n.admission.Status() {
-		if status.Standing == standing[service] {
+		if status.Standing == overloaded[service] {
 			continue
 		}
-		standing[service] = status.Standing
+		overloaded[service] = status.Standing
 		number := event.OverloadEnded
 		if status.Standing {
 			number = event.OverloadBegan
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -14,67 +14,68 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-// logSilence is how long the log may be silent to count as reachable. A read waits
-// a second for news at most.
-const logSilence = 5 * time.Second
+// maxLogReadAge is how long after the last completed read the log still counts as reachable.
+// A read waits at most one second for new records.
+const maxLogReadAge = 5 * time.Second
 
-// budgets is the part of a node that spends and brings back prepaid tokens.
+// budgets groups the components of a node that spend prepaid tokens and recover them from
+// dead nodes.
 type budgets struct {
-	reserver  *budget.Reserver
-	lender    *budget.Lender
-	borrower  *budget.Borrower
-	sizer     *budget.Sizer
-	memory    *witness.Store
-	teller    *witness.Replicator
-	watcher   *recovery.Watcher
-	recoverer *recovery.Recoverer
-	silent    *recovery.SilentSettler
-	copier    *witness.Copier
-	stopped   chan struct{}
+	reserver      *budget.Reserver
+	lender        *budget.Lender
+	borrower      *budget.Borrower
+	sizer         *budget.Sizer
+	witnessStore  *witness.Store
+	replicator    *witness.Replicator
+	watcher       *recovery.Watcher
+	recoverer     *recovery.Recoverer
+	silentSettler *recovery.SilentSettler
+	copier        *witness.Copier
+	stopped       chan struct{}
 }
 
 func (n *Node) newBudgets() budgets {
 	b := budgets{
-		lender:   budget.NewLender(n.holder, n.ledger, n.events),
-		borrower: budget.NewBorrower(n.Incarnation(), n.deps.Clock, n.deps.Peers, n.ledger, n.events),
-		stopped:  make(chan struct{}),
-		memory:   witness.NewStore(),
-		teller:   n.newTeller(),
-		watcher:  recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
+		lender:       budget.NewLender(n.holder, n.ledger, n.events),
+		borrower:     budget.NewBorrower(n.Incarnation(), n.deps.Clock, n.deps.Peers, n.ledger, n.events),
+		stopped:      make(chan struct{}),
+		witnessStore: witness.NewStore(),
+		replicator:   n.newReplicator(),
+		watcher:      recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
 	}
 	b.reserver = budget.NewReserver(budget.ReserverConfig{
 		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, ClaimChunk: n.settings.ClaimChunk,
-		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.teller,
+		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.replicator,
 		Stopped: b.stopped,
 	})
-	b.sizer = budget.NewSizer(n.settings.Policy, b.reserver)
+	b.sizer = budget.NewSizer(n.settings.BudgetPolicy, b.reserver)
 	b.recoverer = n.newRecoverer(b)
-	b.silent = n.newSilentSettler(b)
+	b.silentSettler = n.newSilentSettler(b)
 	b.copier = witness.NewCopier(witness.CopierConfig{
-		Clock: n.deps.Clock, Store: b.memory, Candidates: n.witnesses, Suspect: n.isSuspect, Send: b.teller.SendRequests,
+		Clock: n.deps.Clock, Store: b.witnessStore, Candidates: n.witnessCandidates, Suspect: n.isSuspect, Send: b.replicator.SendRequests,
 	})
 	return b
 }
 
 func (b *budgets) run(ctx context.Context) {
-	var wait sync.WaitGroup
-	for _, loop := range []func(context.Context){b.borrower.Run, b.sizer.Run, b.teller.Run, b.recoverer.Run, b.silent.Run, b.copier.Run} {
-		wait.Go(func() { loop(ctx) })
+	var wg sync.WaitGroup
+	for _, loop := range []func(context.Context){b.borrower.Run, b.sizer.Run, b.replicator.Run, b.recoverer.Run, b.silentSettler.Run, b.copier.Run} {
+		wg.Go(func() { loop(ctx) })
 	}
-	wait.Wait()
+	wg.Wait()
 	close(b.stopped)
 }
 
-func (b *budgets) folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (b *budgets) batchApplied(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	b.reserver.Folded(batch, verdicts)
-	b.memory.Folded(batch, verdicts)
-	b.teller.Folded(batch, verdicts)
+	b.witnessStore.Folded(batch, verdicts)
+	b.replicator.Folded(batch, verdicts)
 	b.watcher.Folded(batch, verdicts)
 }
 
-// logReachable tells whether an entry appended now is likely to be folded soon.
+// logReachable reports whether an entry appended now is likely to be applied soon.
 func (n *Node) logReachable() bool {
-	return !n.writer.Failing() && n.follower.SinceRead() < logSilence
+	return !n.writer.Failing() && n.follower.SinceRead() < maxLogReadAge
 }
 
 func (n *Node) budgetPeers() []budget.Peer {
@@ -87,7 +88,7 @@
 	return peers
 }
 
-// handleBudgets answers what peers ask about budgets; false when it is something else.
+// handleBudgets handles the peer requests about budgets. It returns false for any other request.
 func (n *Node) handleBudgets(r *fleetv1.Request, response *fleetv1.Response) bool {
 	var err error
 	switch body := r.GetBody().(type) {
@@ -101,11 +102,11 @@
 	case *fleetv1.Request_ShareAsk:
 		response.Body = &fleetv1.Response_ShareAnswer{ShareAnswer: n.budgets.reserver.MoveShare(r.GetFrom(), body.ShareAsk)}
 	case *fleetv1.Request_Witness:
-		err = n.remember(r.GetFrom(), body.Witness)
+		err = n.updateWitness(r.GetFrom(), body.Witness)
 		response.Body = &fleetv1.Response_Witnessed{Witnessed: &fleetv1.Witnessed{}}
 	case *fleetv1.Request_WitnessQuery:
 		var report *fleetv1.WitnessReport
-		report, err = n.witnessReport(body.WitnessQuery)
+		report, err = n.handleWitnessQuery(body.WitnessQuery)
 		response.Body = &fleetv1.Response_WitnessReport{WitnessReport: report}
 	default:
 		return false
--- a/node/budgets_test.go
+++ b/node/budgets_test.go
@@ -14,14 +14,14 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// testPolicy rides out twenty minutes.
+// testPolicy covers a log outage of twenty minutes.
 var testPolicy = budget.Policy{
 	Name: "test", SpendRight: 20 * time.Minute, Window: time.Minute, Horizon: 20 * time.Minute, Idle: 5 * time.Minute, LostAfter: 3 * time.Hour,
 }
 
-// drawFor sends a request to each node every fifteen seconds, tops up every half hour,
-// and returns the refusals by code.
-func (f *testFleet) drawFor(d time.Duration, nodes ...int) map[result.Code]int {
+// runLoad sends a request to each of nodes every fifteen seconds and tops up every half hour, for
+// the duration d. It returns the number of refusals by result code.
+func (f *testFleet) runLoad(d time.Duration, nodes ...int) map[result.Code]int {
 	refused := map[result.Code]int{}
 	for started, step := time.Now(), 0; time.Since(started) < d; step++ {
 		for _, i := range nodes {
@@ -38,34 +38,32 @@
 	return refused
 }
 
-// Divers on both coasts go on filing while the link between the regions is cut for
-// two hours, the office in one region tops the budget up, and both sides together
-// want far more than was prepaid. Without shares that only one side can spend the
-// account would end above its budget.
-func TestRegionsCutForHoursWithTopUps(t *testing.T) {
+// The link between the regions is cut for two hours while both sides send requests, together for
+// far more tokens than are prepaid, and the budget is topped up in one region. Without shares
+// that only one side can spend, the account would overspend its budget.
+func TestRegionPartitionWithTopUps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion, farRegion)
 		f.topUp(25_000)
-		f.drawFor(10*time.Minute, 0, 1, 2, 3)
+		f.runLoad(10*time.Minute, 0, 1, 2, 3)
 		f.net.setCut(true)
-		refused := f.drawFor(2*time.Hour, 0, 1, 2, 3)
+		refused := f.runLoad(2*time.Hour, 0, 1, 2, 3)
 		is.True(refused[result.BudgetSpent]+refused[result.BudgetReserved]+refused[result.BudgetUnreachable] > 0)
-		is.True(refused[result.SpendRightLapsed] > 0) // the far side stops after its term
+		is.True(refused[result.SpendRightLapsed] > 0) // the far region stops after its spend right
 		f.net.setCut(false)
 		f.awaitBilled(0)
 	})
 }
 
-// The store fails for two hours while all nodes are alive, and one of them crashes
-// in the middle. What it had used was never in the log; it is known only to the
-// node that it told. Without that, the account would be billed too little and
-// could spend the same tokens again.
-func TestStoreDownForHoursAndACrash(t *testing.T) {
+// The log is down for two hours, and one node crashes during the outage. Its usage never reached
+// the log and is known only to its witness. Without the witness the account would be billed too
+// little and could spend the same tokens again.
+func TestNodeCrashDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(200_000)
-		f.drawFor(10*time.Minute, 0, 1, 2)
+		f.runLoad(10*time.Minute, 0, 1, 2)
 		f.log.SetDown(true)
 		for range 50 {
 			_ = f.request(1, 300, 120)
@@ -80,18 +78,18 @@
 	})
 }
 
-// awaitReleased waits until the shares of node dead are back, as node i folds it,
-// and returns how long that took.
+// awaitReleased waits until the shares of node dead are released in the ledger of node i, and
+// returns how long that took.
 func (f *testFleet) awaitReleased(i, dead int) time.Duration {
 	started := time.Now()
 	f.await(func() bool { return !f.nodes[i].Ledger().Known(f.nodes[dead].Incarnation()) })
 	return time.Since(started)
 }
 
-// A node dies at some step of a request. The request must be billed what the engine
-// used for it, once, and the dead node's tokens must come back without anybody's
-// doing within its term and a minute.
-func TestKilledAtEachStep(t *testing.T) {
+// A node crashes at each step of a request. The request must be billed exactly once for what the
+// engine used, and the crashed node's shares must be released, without an operator, within 106% of
+// its spend right plus one minute.
+func TestNodeCrashAtEachRequestStep(t *testing.T) {
 	steps := map[string]func(f *testFleet){
 		"reserved": func(f *testFleet) {
 			_, _ = f.nodes[1].budgets.reserver.Reserve(context.Background(), testBudget, 300)
@@ -99,11 +97,11 @@
 		"witnessed, not sent": func(f *testFleet) { f.dispatch(1) },
 		"sent": func(f *testFleet) {
 			grant := f.dispatch(1)
-			f.engines.run(grant.Request().String(), 120)
+			f.engines.addUsage(grant.Request().String(), 120)
 		},
 		"finished, not settled": func(f *testFleet) {
 			grant := f.dispatch(1)
-			f.engines.run(grant.Request().String(), 120)
+			f.engines.addUsage(grant.Request().String(), 120)
 			grant.Finish(120)
 		},
 		"appended, answer lost": func(f *testFleet) {
@@ -116,7 +114,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := startFleet(t, testPolicy, near, near, far)
+				f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 				f.topUp(50_000)
 				is.NoErr(f.request(0, 300, 100))
 				is.NoErr(f.request(1, 300, 100))
@@ -126,7 +124,7 @@
 				f.awaitBilled(0)
 				line := f.checkLedger(0)
 				is.Equal(line.Lost, uint64(0))
-				is.Equal(line.Remaining(), line.Prepaid-f.engines.used())
+				is.Equal(line.Remaining(), line.Prepaid-f.engines.totalUsed())
 			})
 		})
 	}
@@ -140,53 +138,53 @@
 	return grant
 }
 
-// A node is cut off with a request reserved, past its right, and the fleet takes
-// its share back. Woken, it must not send the request: its tokens are somebody
-// else's by now, and the account would pay for both.
-func TestCutNodeCannotDispatchAfterItsClose(t *testing.T) {
+// A node is isolated with a reserved request until its spend right has expired and its share is
+// released. Reconnected, it must not dispatch the request: the tokens may be reserved by others by
+// then, and the account would pay for both.
+func TestIsolatedNodeCannotDispatchAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(50_000)
 		grant, err := f.nodes[1].budgets.reserver.Reserve(context.Background(), testBudget, 300)
 		is.NoErr(err)
-		f.net.silence(f.nodes[1].settings.PeerAddress)
+		f.net.isolate(f.nodes[1].settings.PeerAddress)
 		f.awaitReleased(0, 1)
-		f.net.serve(f.nodes[1].settings.PeerAddress, near, f.nodes[1].Node)
+		f.net.connect(f.nodes[1].settings.PeerAddress, nearRegion, f.nodes[1].Node)
 		err = grant.Dispatch(context.Background(), testEngine)
 		is.Equal(result.CodeOf(err), result.SpendRightLapsed)
 		is.Equal(result.CodeOf(f.request(1, 300, 120)), result.SpendRightLapsed)
 	})
 }
 
-// The log is down and one node's share is used up while the others hold plenty.
-// The caller must not be refused, and must not wait for the log either.
-func TestBorrowsFromPeersWhileTheLogIsDown(t *testing.T) {
+// The log is down and one node's share is used up while other nodes have tokens left. The request
+// must be neither refused nor delayed until the log is back.
+func TestBorrowsFromPeersDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(1, 900, 10))
 		is.NoErr(f.request(2, 900, 10))
 		f.log.SetDown(true)
 		time.Sleep(10 * time.Second)
 		started := time.Now()
-		is.NoErr(f.request(0, 1500, 1400)) // one part from each of two holders
-		is.True(time.Since(started) < askTimeouts)
+		is.NoErr(f.request(0, 1500, 1400)) // one part from each of two share holders
+		is.True(time.Since(started) < maxBorrowTime)
 		f.log.SetDown(false)
 		f.awaitBilled(0)
 	})
 }
 
-const askTimeouts = time.Second
+const maxBorrowTime = time.Second
 
-// Answers between nodes get lost after they took effect: a part reserved that the
-// borrower never hears of, a settlement that seems not to arrive. Tokens must
-// neither be billed twice nor stay reserved for ever.
-func TestLostAnswersBetweenNodes(t *testing.T) {
+// Responses between nodes are lost after the request took effect: a borrower doesn't learn of a
+// part reserved for it, or a settlement seems to fail. Tokens must neither be billed twice nor stay
+// reserved forever.
+func TestLostPeerResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(1, 900, 10))
 		is.NoErr(f.request(2, 900, 10))
@@ -209,12 +207,12 @@
 	})
 }
 
-// A node dies that runs a request on tokens which another node reserved for it. The
-// lender must learn what became of them, or they stay reserved for ever.
-func TestBorrowerDies(t *testing.T) {
+// A node crashes while it runs a request on tokens borrowed from other nodes. The lenders must
+// learn the outcome, or the tokens stay reserved forever.
+func TestBorrowerCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(1, 900, 10))
 		is.NoErr(f.request(2, 900, 10))
@@ -223,7 +221,7 @@
 		grant, err := f.nodes[0].budgets.reserver.Reserve(context.Background(), testBudget, 1500)
 		is.NoErr(err)
 		is.NoErr(grant.Dispatch(context.Background(), testEngine))
-		f.engines.run(grant.Request().String(), 1300)
+		f.engines.addUsage(grant.Request().String(), 1300)
 		f.crash(0)
 		f.log.SetDown(false)
 		f.awaitReleased(1, 0)
@@ -232,12 +230,12 @@
 	})
 }
 
-// A node dies that had reserved tokens for a request which another node still
-// runs. The part must be billed once, by what that request used in the end.
-func TestLenderDies(t *testing.T) {
+// A node crashes that had lent tokens to a request which is still running on another node. The
+// part must be billed exactly once, according to the request's final usage.
+func TestLenderCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(1, 900, 10))
 		is.NoErr(f.request(2, 900, 10))
@@ -248,20 +246,19 @@
 		is.NoErr(grant.Dispatch(context.Background(), testEngine))
 		f.crash(1)
 		f.log.SetDown(false)
-		f.engines.run(grant.Request().String(), 1300)
+		f.engines.addUsage(grant.Request().String(), 1300)
 		grant.Finish(1300)
 		f.awaitReleased(0, 1)
 		f.awaitBilled(0)
 	})
 }
 
-// A node and the one node that it told of its requests die together during a long
-// outage of the store. Nobody knows any more what was spent, so what is left of the
-// share must not be spent again: it is written off, visibly, after a stated time.
-func TestNodeAndItsWitnessDieInAnOutage(t *testing.T) {
+// A node and its witness crash together during a log outage. No node knows what was spent, so the
+// rest of the share must not be spent again: after Policy.LostAfter it is written off as lost.
+func TestNodeAndWitnessCrashDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(0, 300, 100))
 		is.NoErr(f.request(1, 300, 100))
@@ -275,6 +272,6 @@
 		f.awaitReleased(2, 0)
 		line := f.checkLedger(2)
 		is.True(line.Lost > 0)
-		is.True(line.Spent+line.Lost >= f.engines.used())
+		is.True(line.Spent+line.Lost >= f.engines.totalUsed())
 	})
 }
--- a/node/budgetstates.go
+++ b/node/budgetstates.go
@@ -8,18 +8,19 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// budgetsPerPage keeps an answer below the four megabytes that gRPC takes in one
-// message, also when every node of a large fleet holds a share of each budget.
+// budgetsPerPage keeps a response below gRPC's message limit of 4 MB even when every node of a
+// large fleet holds a share of each budget.
 const budgetsPerPage = 100
 
-// BudgetStates returns a page of the budgets behind the name after, as this node folds
-// them, sorted by name, and the name to continue behind; that is empty at the end.
+// BudgetStates returns the page of budgets whose names follow after, sorted by name, in the
+// state that this node has applied. The returned string is the after of the next page, empty
+// on the last one.
 func (n *Node) BudgetStates(after string) ([]*operatorv1.BudgetState, string) {
 	lines, next := n.ledger.Page(after, budgetsPerPage)
 	return n.budgetStates(lines), next
 }
 
-// BudgetState returns one budget; none when nothing was ever paid into it.
+// BudgetState returns the state of one budget, or nil if nothing was ever paid into it.
 func (n *Node) BudgetState(name string) []*operatorv1.BudgetState {
 	line := n.ledger.Budget(name)
 	if line.Prepaid == 0 {
@@ -32,8 +33,8 @@
 	var states []*operatorv1.BudgetState
 	view, incarnations := n.Config(), n.ledger.Incarnations()
 	for _, line := range lines {
-		held := view.Versioned(config.Key{Kind: config.KindBudget, Name: line.Budget})
-		state := &operatorv1.BudgetState{Budget: line.Budget, Account: held.GetResource().GetBudget().GetAccount(),
+		versioned := view.Versioned(config.Key{Kind: config.KindBudget, Name: line.Budget})
+		state := &operatorv1.BudgetState{Budget: line.Budget, Account: versioned.GetResource().GetBudget().GetAccount(),
 			Prepaid: line.Prepaid, Spent: line.Spent, Pool: line.Pool}
 		for incarnation, share := range line.Shares {
 			state.Shares = append(state.Shares, &operatorv1.ShareState{Incarnation: incarnation,
--- a/node/calls.go
+++ b/node/calls.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// forwardTimeout bounds a call passed on; the node that runs it gives an upstream
-	// that is silent up before.
-	forwardTimeout = 40 * time.Second
-	moveTimeout    = 2 * time.Second
-	forwardRetry   = time.Second
+	// forwardTimeout bounds a forwarded call. It is longer than the time after which the node
+	// that runs the call gives up on a silent upstream.
+	forwardTimeout    = 40 * time.Second
+	moveStreamTimeout = 2 * time.Second
+	forwardRetryAfter = time.Second
 )
 
-// nodePeers asks other nodes on behalf of requests; it implements request.Peers.
-type nodePeers struct{ node *Node }
+// requestPeers implements request.Peers: it sends peer requests on behalf of callers' requests.
+type requestPeers struct{ node *Node }
 
-var _ request.Peers = nodePeers{}
+var _ request.Peers = requestPeers{}
 
-// newRunner returns what runs named calls of plain services.
+// newRunner returns the runner for plain service calls with an idempotency key or a ticket.
 func (n *Node) newRunner() *idempotency.Runner {
 	return idempotency.NewRunner(idempotency.Options{
 		Incarnation: n.Incarnation(), Claims: n.claims, Journal: n.writer, Open: n.ledger.IsOpen,
@@ -36,7 +36,7 @@
 }
 
 // Forward implements request.Peers.
-func (p nodePeers) Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallResponse, error) {
+func (p requestPeers) Forward(ctx context.Context, incarnation, address string, call *fleetv1.CallForward) (upstream.CallResponse, error) {
 	n := p.node
 	if address == "" {
 		address = n.ledger.Incarnations()[incarnation].Node.GetPeerAddress()
@@ -48,27 +48,27 @@
 		Body: &fleetv1.Request_CallForward{CallForward: call},
 	})
 	if err != nil {
-		return upstream.CallResponse{}, p.unreachable(incarnation)
+		return upstream.CallResponse{}, p.unreachableError(incarnation)
 	}
 	n.events.Clock().Observe(event.Stamp(response.GetHlc()))
-	return forwardedAnswer(response)
+	return forwardedResponse(response)
 }
 
-// unreachable answers for a node that may have run a call and doesn't answer. While
-// it may come back the caller should ask again; after its end nobody will know.
-func (p nodePeers) unreachable(incarnation string) error {
+// unreachableError returns the error for a node that may have run a call and doesn't respond.
+// While its incarnation is open the caller should retry; after that the outcome stays unknown.
+func (p requestPeers) unreachableError(incarnation string) error {
 	if p.node.ledger.IsOpen(incarnation) {
-		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").After(forwardRetry)
+		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").After(forwardRetryAfter)
 	}
 	return result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
 
-func forwardedAnswer(response *fleetv1.Response) (upstream.CallResponse, error) {
+func forwardedResponse(response *fleetv1.Response) (upstream.CallResponse, error) {
 	forwarded := response.GetCallForwarded()
 	if code := result.Code(response.GetCode()); code != result.OK {
 		err := result.New(code, "%s", response.GetMessage())
 		if code.Info().Retry {
-			err = err.After(forwardRetry)
+			err = err.After(forwardRetryAfter)
 		}
 		if forwarded.GetRan() {
 			err = err.Doubt()
@@ -82,28 +82,28 @@
 
 const contentType = "Content-Type"
 
-// handleForward runs a call that another node passed on.
-func (n *Node) handleForward(ctx context.Context, call *fleetv1.CallForward) *fleetv1.Response {
+// handleCallForward runs a call that another node forwarded.
+func (n *Node) handleCallForward(ctx context.Context, call *fleetv1.CallForward) *fleetv1.Response {
 	err := n.Serving()
-	var answer upstream.CallResponse
+	var callResponse upstream.CallResponse
 	if err == nil {
-		answer, err = n.requests.Forwarded(ctx, call)
+		callResponse, err = n.requests.Forwarded(ctx, call)
 	} else {
 		err = result.From(err).Doubt()
 	}
 	if err != nil {
-		known := result.From(err)
-		return &fleetv1.Response{Code: uint32(known.Code), Message: known.Message,
-			Body: &fleetv1.Response_CallForwarded{CallForwarded: &fleetv1.CallForwarded{Ran: !known.NotRun()}}}
+		failure := result.From(err)
+		return &fleetv1.Response{Code: uint32(failure.Code), Message: failure.Message,
+			Body: &fleetv1.Response_CallForwarded{CallForwarded: &fleetv1.CallForwarded{Ran: !failure.NotRun()}}}
 	}
 	return &fleetv1.Response{Body: &fleetv1.Response_CallForwarded{CallForwarded: &fleetv1.CallForwarded{
-		Status: uint32(answer.Status), Headers: map[string]string{contentType: answer.ContentType}, Body: answer.Body, Ran: true,
+		Status: uint32(callResponse.Status), Headers: map[string]string{contentType: callResponse.ContentType}, Body: callResponse.Body, Ran: true,
 	}}}
 }
 
 // MoveStream implements request.Peers.
-func (p nodePeers) MoveStream(ctx context.Context, address, request string) {
-	ctx, cancel := clockwork.WithTimeout(ctx, p.node.deps.Clock, moveTimeout)
+func (p requestPeers) MoveStream(ctx context.Context, address, request string) {
+	ctx, cancel := clockwork.WithTimeout(ctx, p.node.deps.Clock, moveStreamTimeout)
 	defer cancel()
 	_, _ = p.node.deps.Peers.Call(ctx, address, &fleetv1.Request{
 		From: p.node.Incarnation(), Hlc: uint64(p.node.events.Clock().Now()),
@@ -111,20 +111,20 @@
 	})
 }
 
-func (n *Node) handleMove(move *fleetv1.StreamMove) *fleetv1.Response {
+func (n *Node) handleStreamMove(move *fleetv1.StreamMove) *fleetv1.Response {
 	return &fleetv1.Response{Body: &fleetv1.Response_StreamMoved{StreamMoved: &fleetv1.StreamMoved{
 		Moved: n.requests.MoveStream(move.GetRequest()),
 	}}}
 }
 
-// recoverPeer keeps a defect in one exchange from ending the node, which would cut
-// every answer on it.
-func (n *Node) recoverPeer(response **fleetv1.Response) {
-	defect := recover()
-	if defect == nil {
+// recoverPeerPanic turns a panic in one peer request into an error response. Otherwise it would
+// crash the node and cut off every response in progress.
+func (n *Node) recoverPeerPanic(response **fleetv1.Response) {
+	cause := recover()
+	if cause == nil {
 		return
 	}
-	n.events.Record(event.PanicRecovered, "why", defect)
+	n.events.Record(event.PanicRecovered, "why", cause)
 	*response = &fleetv1.Response{Code: uint32(result.InternalError), Message: "a defect in this node",
 		Body: &fleetv1.Response_CallForwarded{CallForwarded: &fleetv1.CallForwarded{Ran: true}}}
 }
--- a/node/deps.go
+++ b/node/deps.go
@@ -9,7 +9,7 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Deps is what a node reaches the world through.
+// Deps holds a node's external dependencies.
 type Deps struct {
 	Clock     clockwork.Clock
 	Log       ports.Log
@@ -18,6 +18,6 @@
 	Peers     peer.Caller
 	Upstreams upstream.Client
 	Logger    log.Logger
-	// NewIncarnation returns a name that no node ever had.
+	// NewIncarnation returns a unique name that no node has ever had.
 	NewIncarnation func() string
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -11,22 +11,22 @@
 
 const (
 	drainPoll = 50 * time.Millisecond
-	// unreachedMargin is how long a node that the announcement of a drain didn't
-	// reach may go on handing the address out: until its own pings fail.
-	unreachedMargin = 4 * time.Second
-	// keptMargin covers an answer with addresses, or a connection to one, that is
-	// on its way when the lifetime ends.
-	keptMargin = 500 * time.Millisecond
-	orderPoll  = 200 * time.Millisecond
+	// unannouncedGrace is how long a node that missed the announcement of a drain may go on
+	// handing out the address: until its own pings fail.
+	unannouncedGrace = 4 * time.Second
+	// addressGrace covers an address response, or a connection to an address, that is in
+	// flight when the address lifetime ends.
+	addressGrace   = 500 * time.Millisecond
+	drainOrderPoll = 200 * time.Millisecond
 )
 
-// Drain stops gracefully: the node leaves the addresses everywhere, serves those who
-// still hold its address, finishes what runs, settles and gives its shares back. It
-// returns when all that is in the log, or when ctx ends. It may be called by several
-// at once; each returns when the node has drained.
+// Drain stops the node gracefully: no node hands out its address any more, callers that still
+// hold it are served, running requests finish and are settled, and the shares are released.
+// It returns when all that is in the log, or when ctx is done. It may be called concurrently;
+// each call returns when the node has drained.
 func (n *Node) Drain(ctx context.Context) {
-	if !n.draining.CompareAndSwap(false, true) {
-		await(ctx, n.drained)
+	if !n.drainStarted.CompareAndSwap(false, true) {
+		awaitClosed(ctx, n.drained)
 		return
 	}
 	n.drain(ctx)
@@ -35,60 +35,60 @@
 
 func (n *Node) drain(ctx context.Context) {
 	n.fire(triggerDrain)
-	kept := n.settings.AddressLifetime + keptMargin
+	linger := n.settings.AddressLifetime + addressGrace
 	if n.members.AnnounceDrain(ctx) > 0 {
-		kept += unreachedMargin
+		linger += unannouncedGrace
 	}
-	n.wait(ctx, func() bool { return false }, kept)
-	n.wait(ctx, n.idle, 0)
+	n.pollUntil(ctx, func() bool { return false }, linger)
+	n.pollUntil(ctx, n.idle, 0)
 	if n.ledger.IsOpen(n.Incarnation()) {
-		n.handBack(ctx)
+		n.closeIncarnation(ctx)
 	}
 	n.fire(triggerStop)
 }
 
-// idle tells that nothing runs, for this node's callers or for its peers.
+// idle reports whether no request is running, for this node's callers or for its peers.
 func (n *Node) idle() bool { return n.requests.InFlight() == 0 && n.holder.OpenReservations() == 0 }
 
-// Drained is closed once the node has drained.
+// Drained returns a channel that is closed once the node has drained.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Leaving tells that the node drains or has ended.
+// Leaving reports whether the node is draining or has stopped.
 func (n *Node) Leaving() bool {
 	state := n.State()
 	return state == StateDraining || state == StateStopped
 }
 
-// followDrainOrder drains the node once operators ask for it, and lets one that
-// started under such an order serve once it is taken back.
-func (n *Node) followDrainOrder(ctx context.Context) {
+// followDrainOrders drains the node once the configuration orders it, and lets a node that
+// started under such an order serve once the order is deleted.
+func (n *Node) followDrainOrders(ctx context.Context) {
 	ordered := false
 	for ctx.Err() == nil {
 		if now := n.drainOrdered(); now != ordered {
 			ordered = now
 			n.events.Record(event.DrainOrdered, "drain", ordered)
-			n.obey(ctx, ordered)
+			n.applyDrainOrder(ctx, ordered)
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.deps.Clock.After(orderPoll):
+		case <-n.deps.Clock.After(drainOrderPoll):
 		}
 	}
 }
 
-func (n *Node) obey(ctx context.Context, drain bool) {
+func (n *Node) applyDrainOrder(ctx context.Context, drain bool) {
 	switch {
 	case drain && n.State() == StateServing:
 		go n.Drain(ctx)
 	case !drain && n.ledger.IsOpen(n.Incarnation()):
-		n.ready()
+		n.startServing()
 	}
 }
 
 func (n *Node) drainOrdered() bool { return n.Config().Drained(n.info.GetPeerAddress()) }
 
-// wait polls until done, until limit has passed (0: no limit) or ctx ends.
-func (n *Node) wait(ctx context.Context, done func() bool, limit time.Duration) {
+// pollUntil polls until done returns true, limit has passed (0: no limit) or ctx is done.
+func (n *Node) pollUntil(ctx context.Context, done func() bool, limit time.Duration) {
 	started := n.deps.Clock.Now()
 	for !done() && ctx.Err() == nil && (limit == 0 || n.deps.Clock.Since(started) < limit) {
 		select {
@@ -98,22 +98,22 @@
 	}
 }
 
-// handBack closes the node's own incarnation, which releases its shares. All that
-// it settled goes ahead, in batches of their own: entries of one batch come in front
-// of the settlements that join it, and the close would void those.
-func (n *Node) handBack(ctx context.Context) {
+// closeIncarnation closes the node's own incarnation, which releases its shares. Its
+// settlements are flushed first, in separate batches: within one batch, submitted entries
+// precede the settlements added to it, and the close would void those.
+func (n *Node) closeIncarnation(ctx context.Context) {
 	n.leases.ReleaseAll()
 	n.holder.RevokeRight()
 	if !n.flushAll(ctx) {
 		return
 	}
-	_ = n.passOnWitnessed(ctx)
+	_ = n.handOverWitnessed(ctx)
 	_, _ = n.writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: &recordv1.IncarnationClose{
 		Incarnation: n.Incarnation(), Reason: "stopped",
 	}}}).Wait(ctx)
 }
 
-// errDrained is what a node answers that started under an operator's drain.
+// errDrained returns the error of a node that started under an operator's drain order.
 func errDrained() error {
 	return result.New(result.NodeDrained, "operators drained this node").After(time.Second)
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -25,71 +25,72 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// smallFleet is nodes in one process over stand-ins, in the fake time of a synctest
-// bubble. It is the network between them too.
-type smallFleet struct {
-	t         *testing.T
-	log       *standin.Log
-	instances *standin.Instances
-	policy    snapshot.Policy
-	// list and upstreams, when set, take the place of instances and of no upstreams.
-	list      ports.Instances
-	upstreams upstream.Client
+// basicFleet runs nodes in one process with fake platform services, in the fake time of a
+// synctest bubble. It also implements the network between them.
+type basicFleet struct {
+	t              *testing.T
+	log            *standin.Log
+	instances      *standin.Instances
+	snapshotPolicy snapshot.Policy
+	// instanceList and upstreams are optional: a replacement for instances, and the nodes'
+	// upstream client, nil by default.
+	instanceList ports.Instances
+	upstreams    upstream.Client
 
-	mu    sync.Mutex
-	count int
-	alive map[string]*running
+	mu     sync.Mutex
+	starts int
+	alive  map[string]*runningNode
 }
 
-type running struct {
+type runningNode struct {
 	*Node
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-func newSmallFleet(t *testing.T) *smallFleet {
-	return &smallFleet{t: t, log: standin.NewLog(), instances: standin.NewInstances(),
-		policy: snapshot.DefaultPolicy(), alive: map[string]*running{}}
+func newBasicFleet(t *testing.T) *basicFleet {
+	return &basicFleet{t: t, log: standin.NewLog(), instances: standin.NewInstances(),
+		snapshotPolicy: snapshot.DefaultPolicy(), alive: map[string]*runningNode{}}
 }
 
 // Call implements peer.Caller.
-func (f *smallFleet) Call(ctx context.Context, address string, r *fleetv1.Request) (*fleetv1.Response, error) {
+func (f *basicFleet) Call(ctx context.Context, address string, r *fleetv1.Request) (*fleetv1.Response, error) {
 	f.mu.Lock()
 	n := f.alive[address]
 	f.mu.Unlock()
 	if n == nil {
 		<-ctx.Done()
-		return nil, errors.New("nobody there")
+		return nil, errors.New("no node at this address")
 	}
 	return n.HandlePeer(ctx, r), nil
 }
 
 func peerAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1000+i) }
 
-func (f *smallFleet) start(i int) *running {
+func (f *basicFleet) start(i int) *runningNode {
 	settings := DefaultSettings()
 	settings.Region, settings.DataCentre = "gulf-maine", "casco"
 	settings.PeerAddress = peerAddress(i)
 	settings.HTTPAddress = fmt.Sprintf("127.0.0.1:%d", 2000+i)
 	settings.OperatorAddress = fmt.Sprintf("127.0.0.1:%d", 3000+i)
-	settings.Snapshots = f.policy
+	settings.SnapshotPolicy = f.snapshotPolicy
 	f.mu.Lock()
-	f.count++
-	name := fmt.Sprintf("n%d-%d", i, f.count)
+	f.starts++
+	name := fmt.Sprintf("n%d-%d", i, f.starts)
 	f.mu.Unlock()
-	var list ports.Instances = f.instances
-	if f.list != nil {
-		list = f.list
+	var instanceList ports.Instances = f.instances
+	if f.instanceList != nil {
+		instanceList = f.instanceList
 	}
 	n, err := New(settings, Deps{
-		Clock: clockwork.NewRealClock(), Log: f.log, Instances: list, Peers: f, Upstreams: f.upstreams,
+		Clock: clockwork.NewRealClock(), Log: f.log, Instances: instanceList, Peers: f, Upstreams: f.upstreams,
 		Logger: golog.NewNopLogger(), NewIncarnation: func() string { return name },
 	})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(f.t.Context())
-	r := &running{Node: n, cancel: cancel, done: make(chan struct{})}
+	r := &runningNode{Node: n, cancel: cancel, done: make(chan struct{})}
 	f.mu.Lock()
 	f.alive[settings.PeerAddress] = r
 	f.mu.Unlock()
@@ -100,8 +101,8 @@
 	return r
 }
 
-func (f *smallFleet) startAll(count int) []*running {
-	var nodes []*running
+func (f *basicFleet) startAll(count int) []*runningNode {
+	var nodes []*runningNode
 	for i := range count {
 		nodes = append(nodes, f.start(i))
 	}
@@ -109,7 +110,7 @@
 	return nodes
 }
 
-func (f *smallFleet) kill(r *running) {
+func (f *basicFleet) kill(r *runningNode) {
 	r.cancel()
 	<-r.done
 	f.mu.Lock()
@@ -117,38 +118,38 @@
 	delete(f.alive, r.info.GetPeerAddress())
 }
 
-func (r *running) change(base uint64, id string, change *operatorv1.Change) (fold.Verdict, error) {
+func (r *runningNode) change(base uint64, id string, change *operatorv1.Change) (fold.Verdict, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	change.BaseVersion = base
-	return r.Journal().Submit(&recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{
+	return r.LogWriter().Submit(&recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{
 		ChangeId: id, Operator: "op", Changes: []*operatorv1.Change{change}}}}).Wait(ctx)
 }
 
-func account(name, team string) *operatorv1.Change {
+func accountChange(name, team string) *operatorv1.Change {
 	return &operatorv1.Change{Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Account{
 		Account: &operatorv1.Account{Name: name, Team: team}}}}
 }
 
-func drainOf(address string) *operatorv1.Change {
+func drainChange(address string) *operatorv1.Change {
 	return &operatorv1.Change{Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Drain{
 		Drain: &operatorv1.Drain{Name: address}}}}
 }
 
-// Two operators change the same account at the same time through different nodes. One
-// must win, the other must be told the version that stands, and all nodes agree.
-func TestOperatorsRace(t *testing.T) {
+// Two operators change the same account concurrently through different nodes. One change must
+// win, the other must be refused with the current version, and all nodes must agree.
+func TestConcurrentConfigChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		nodes := newSmallFleet(t).startAll(3)
-		first, err := nodes[0].change(0, "c0", account("moorwatch", "a"))
+		nodes := newBasicFleet(t).startAll(3)
+		created, err := nodes[0].change(0, "c0", accountChange("moorwatch", "a"))
 		is.NoErr(err)
-		is.True(first.OK())
+		is.True(created.OK())
 		verdicts := make([]fold.Verdict, 2)
 		var wait sync.WaitGroup
 		for i := range verdicts {
 			wait.Go(func() {
-				verdicts[i], _ = nodes[i].change(first.Version, fmt.Sprint("race", i), account("moorwatch", fmt.Sprint("team", i)))
+				verdicts[i], _ = nodes[i].change(created.Version, fmt.Sprint("race", i), accountChange("moorwatch", fmt.Sprint("team", i)))
 			})
 		}
 		wait.Wait()
@@ -166,29 +167,29 @@
 	})
 }
 
-// The log takes an operator's change and the answer is lost. The operator must be told
-// that it was accepted, and sending it again must change nothing.
-func TestLostAppendAnswer(t *testing.T) {
+// The log appends an operator's change but the response is lost. The change must be reported as
+// accepted, and sending it again must have no further effect.
+func TestLostAppendResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
+		f := newBasicFleet(t)
 		nodes := f.startAll(3)
 		f.log.LoseAnswers(3)
-		verdict, err := nodes[1].change(0, "c1", account("moorwatch", "a"))
+		verdict, err := nodes[1].change(0, "c1", accountChange("moorwatch", "a"))
 		is.NoErr(err)
 		is.True(verdict.OK())
-		again, err := nodes[2].change(0, "c1", account("moorwatch", "a"))
+		again, err := nodes[2].change(0, "c1", accountChange("moorwatch", "a"))
 		is.NoErr(err)
 		is.Equal(again, verdict)
 		f.log.SetDown(true)
-		_, err = nodes[0].change(verdict.Version, "c2", account("moorwatch", "b"))
+		_, err = nodes[0].change(verdict.Version, "c2", accountChange("moorwatch", "b"))
 		code := result.CodeOf(err)
 		is.True(code == result.LogUnavailable || code == result.ChangeOutcomeOpen)
 		f.log.SetDown(false)
 		time.Sleep(20 * time.Second)
-		settled, err := nodes[2].change(verdict.Version, "c2", account("moorwatch", "b"))
+		settled, err := nodes[2].change(verdict.Version, "c2", accountChange("moorwatch", "b"))
 		is.NoErr(err)
-		is.True(settled.OK()) // asked again, the operator learns what became of it
+		is.True(settled.OK()) // sent again, the change returns its outcome
 		for _, n := range nodes {
 			time.Sleep(time.Second)
 			is.Equal(n.Config().Account("moorwatch").GetTeam(), "b")
@@ -196,16 +197,16 @@
 	})
 }
 
-// Every instance of the fleet is lost at once, after the first records have aged out
-// of the log. New instances must come back with all accounts from the log alone.
-func TestFleetComesBackFromTheLogAlone(t *testing.T) {
+// All instances of the fleet are lost at once, after the first records have expired from the
+// log. New instances must restore all accounts from the log alone.
+func TestFleetRestoresFromLogOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
-		f.policy = snapshot.Policy{Records: 20, Bytes: 1 << 30, Age: time.Hour}
+		f := newBasicFleet(t)
+		f.snapshotPolicy = snapshot.Policy{Records: 20, Bytes: 1 << 30, Age: time.Hour}
 		nodes := f.startAll(3)
 		for i := range 30 {
-			_, err := nodes[i%3].change(0, fmt.Sprint("c", i), account(fmt.Sprint("account", i), "team"))
+			_, err := nodes[i%3].change(0, fmt.Sprint("c", i), accountChange(fmt.Sprint("account", i), "team"))
 			is.NoErr(err)
 		}
 		time.Sleep(time.Minute)
@@ -220,28 +221,28 @@
 		for _, n := range f.startAll(3) {
 			is.Equal(n.State(), StateServing)
 			is.Equal(len(n.Config().All()), 30)
-			for i, held := range n.Config().All() {
-				is.Equal(held.GetVersion(), want[i].GetVersion())
+			for i, restored := range n.Config().All() {
+				is.Equal(restored.GetVersion(), want[i].GetVersion())
 			}
 		}
 	})
 }
 
-// The log is down for longer than it keeps records. The first thing after it must be a
-// snapshot, or a node that starts then finds nothing to start from.
-func TestOutageLongerThanRetention(t *testing.T) {
+// The log is down for longer than it retains records. The nodes must write a snapshot first when
+// it is back, or a node that starts later can't restore the state.
+func TestLogOutageLongerThanRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
-		f.policy.Age = 4 * time.Minute
+		f := newBasicFleet(t)
+		f.snapshotPolicy.Age = 4 * time.Minute
 		nodes := f.startAll(3)
-		_, err := nodes[0].change(0, "c", account("moorwatch", "a"))
+		_, err := nodes[0].change(0, "c", accountChange("moorwatch", "a"))
 		is.NoErr(err)
 		f.log.SetDown(true)
 		f.log.Keep(1)
 		time.Sleep(5 * time.Minute)
 		f.log.SetDown(false)
-		_, err = f.log.Append(t.Context(), "fleet", nil) // drops all records before it
+		_, err = f.log.Append(t.Context(), "fleet", nil) // expires all earlier records
 		is.NoErr(err)
 		f.log.Keep(5000)
 		_, err = f.log.Read(t.Context(), "fleet", nodes[0].Config().Offset, 1, 0)
@@ -257,14 +258,14 @@
 	})
 }
 
-// An instance starts while the log is down. It must take what its peers hold before it
-// serves; one that reaches nobody must refuse and say why.
-func TestNodeStartsWhileLogIsDown(t *testing.T) {
+// An instance starts while the log is down. It must fetch the state from its peers before it
+// serves; one that reaches no peer must refuse requests with NotServing.
+func TestNodeStartsDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
+		f := newBasicFleet(t)
 		nodes := f.startAll(3)
-		_, err := nodes[0].change(0, "c", account("moorwatch", "a"))
+		_, err := nodes[0].change(0, "c", accountChange("moorwatch", "a"))
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		f.log.SetDown(true)
@@ -276,18 +277,18 @@
 		time.Sleep(30 * time.Second)
 		is.Equal(fresh.State(), StateServing)
 		is.Equal(fresh.Config().Account("moorwatch").GetTeam(), "a")
-		is.Equal(fresh.Offset(), nodes[0].Offset())
+		is.Equal(fresh.AppliedOffset(), nodes[0].AppliedOffset())
 	})
 }
 
-// An operator drains a node, and takes the order back for the instance that starts at
-// the same address. The node must leave by itself, and the new one must not serve early.
+// An operator drains a node and later deletes the drain order, when a new instance has started at
+// the same address. The node must stop by itself, and the new one must not serve before the deletion.
 func TestOperatorDrainsNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
+		f := newBasicFleet(t)
 		nodes := f.startAll(3)
-		verdict, err := nodes[0].change(0, "d", drainOf(peerAddress(2)))
+		verdict, err := nodes[0].change(0, "d", drainChange(peerAddress(2)))
 		is.NoErr(err)
 		time.Sleep(2 * time.Second)
 		for _, n := range nodes {
@@ -301,7 +302,7 @@
 		fresh := f.start(2)
 		time.Sleep(10 * time.Second)
 		is.Equal(result.CodeOf(fresh.Serving()), result.NodeDrained)
-		back := drainOf(peerAddress(2))
+		back := drainChange(peerAddress(2))
 		back.Delete = true
 		_, err = nodes[0].change(verdict.Version, "back", back)
 		is.NoErr(err)
@@ -312,43 +313,43 @@
 	})
 }
 
-// The platform's list shows an upstream as leaving, then drops it. From three seconds
-// after it showed it no request may be sent there, also while the list is down.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+// The platform lists an upstream as leaving and later removes it. From three seconds after it was
+// listed as leaving it must get no requests, even while the list is unavailable.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
+		f := newBasicFleet(t)
 		nodes := f.startAll(2)
 		engines := []*operatorv1.Upstream{{Name: "e1", Address: "127.0.0.1:1"}, {Name: "e2", Address: "127.0.0.1:2"}}
-		is.Equal(len(nodes[0].staying(engines)), 2)
-		list := func(state platformv1.InstanceState) {
+		is.Equal(len(nodes[0].excludeLeaving(engines)), 2)
+		setState := func(state platformv1.InstanceState) {
 			f.instances.Set([]*platformv1.Instance{{Address: "127.0.0.1:1", Role: "upstream", State: state}})
 		}
-		list(platformv1.InstanceState_INSTANCE_STATE_LEAVING)
+		setState(platformv1.InstanceState_INSTANCE_STATE_LEAVING)
 		time.Sleep(3 * time.Second)
 		for _, n := range nodes {
-			is.Equal(n.staying(engines), engines[1:])
+			is.Equal(n.excludeLeaving(engines), engines[1:])
 		}
 		f.instances.SetDown(true)
 		time.Sleep(time.Minute)
-		is.Equal(nodes[0].staying(engines), engines[1:])
+		is.Equal(nodes[0].excludeLeaving(engines), engines[1:])
 		f.instances.SetDown(false)
 		f.instances.Set(nil)
 		time.Sleep(time.Minute)
-		is.Equal(nodes[0].staying(engines), engines[1:]) // gone, not back
-		list(platformv1.InstanceState_INSTANCE_STATE_LIVE)
+		is.Equal(nodes[0].excludeLeaving(engines), engines[1:]) // removed from the list, not returned
+		setState(platformv1.InstanceState_INSTANCE_STATE_LIVE)
 		time.Sleep(3 * time.Second)
-		is.Equal(len(nodes[0].staying(engines)), 2)
+		is.Equal(len(nodes[0].excludeLeaving(engines)), 2)
 	})
 }
 
-// A node starts, its first heartbeat goes into the log, and a snapshot that holds it
-// already is what the node folds first. The verdict on the heartbeat is lost then; the
-// node must serve with the next one rather than stay "starting" for ever.
+// A starting node restores a snapshot that already contains its first heartbeat, so it never sees
+// the verdict on it. The node must serve after its next heartbeat rather than stay "starting"
+// forever.
 func TestFirstHeartbeatWithinSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newSmallFleet(t)
+		f := newBasicFleet(t)
 		settings := DefaultSettings()
 		settings.Region, settings.DataCentre = "gulf-maine", "casco"
 		settings.PeerAddress, settings.HTTPAddress, settings.OperatorAddress = peerAddress(1), peerAddress(2), peerAddress(3)
@@ -358,7 +359,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go other.writer.Run(ctx)
-		go other.heartbeats(ctx)
+		go other.sendHeartbeats(ctx)
 		time.Sleep(time.Second)
 		other.ledger.Apply(fold.Position{Offset: 1, Writer: "late"}, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{
 			Heartbeat: &recordv1.NodeHeartbeat{Number: 1, Node: other.info}}})
--- a/node/forms.go
+++ b/node/forms.go
@@ -6,36 +6,36 @@
 	"lavenderpin.dev/lavenderpin/record"
 )
 
-// formsKept is how long an answer of formsRead is used again: looking at every incarnation
-// for each batch that others hand on would cost a gatherer more than the batches.
-const formsKept = time.Second
-
-// formsFound is what formsRead found last.
-type formsFound struct {
-	least uint32
-	until time.Time
+// recordFormsTTL is how long a result of minRecordForms is cached: checking every incarnation
+// for each batch that other nodes submit would cost a gatherer more than the batches.
+const recordFormsTTL = time.Second
+
+// cachedRecordForms is the latest result of minRecordForms.
+type cachedRecordForms struct {
+	min     uint32
+	expires time.Time
 }
 
-// allRead tells whether every open node reads gathered and packed records.
-func (n *Node) allRead() bool { return n.formsRead() >= record.FormsGathered }
+// allReadGathered reports whether every open node reads gathered and packed records.
+func (n *Node) allReadGathered() bool { return n.minRecordForms() >= record.FormsGathered }
 
-// allFoldWitnessed tells whether every open node folds what witnesses settle.
-func (n *Node) allFoldWitnessed() bool { return n.formsRead() >= record.FormsWitnessed }
+// allApplyWitnessed reports whether every open node applies settlements by witnesses.
+func (n *Node) allApplyWitnessed() bool { return n.minRecordForms() >= record.FormsWitnessed }
 
-// formsRead returns which forms of records every open node reads, as the log shows them.
-// While an update is under way some read less, and this node, until it has folded its own
-// first heartbeat, can't tell.
-func (n *Node) formsRead() uint32 {
+// minRecordForms returns the highest level of record forms that every open node reads,
+// according to the log. During an upgrade some nodes read less. The result is 0 until this node
+// has applied its own first heartbeat, as it can't know before.
+func (n *Node) minRecordForms() uint32 {
 	now := n.deps.Clock.Now()
-	if last := n.forms.Load(); last != nil && now.Before(last.until) {
-		return last.least
+	if last := n.recordForms.Load(); last != nil && now.Before(last.expires) {
+		return last.min
 	}
-	found := &formsFound{least: n.leastForms(), until: now.Add(formsKept)}
-	n.forms.Store(found)
-	return found.least
+	fresh := &cachedRecordForms{min: n.computeMinRecordForms(), expires: now.Add(recordFormsTTL)}
+	n.recordForms.Store(fresh)
+	return fresh.min
 }
 
-func (n *Node) leastForms() uint32 {
+func (n *Node) computeMinRecordForms() uint32 {
 	if !n.ledger.IsOpen(n.Incarnation()) {
 		return 0
 	}
--- a/node/gather.go
+++ b/node/gather.go
@@ -10,24 +10,24 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// gatherAppends lets the writer hand its batches to the data centre's gatherer, which
-// this node may be itself.
-func (n *Node) gatherAppends() {
-	policy := n.settings.Appends
-	n.gatherer = gather.NewGatherer(n.deps.Log, n.settings.Stream, n.deps.Clock, policy, n.allRead)
+// initGathering makes the writer send its batches to the data centre's gatherer, which may be
+// this node itself.
+func (n *Node) initGathering() {
+	policy := n.settings.GatherPolicy
+	n.gatherer = gather.NewGatherer(n.deps.Log, n.settings.Stream, n.deps.Clock, policy, n.allReadGathered)
 	n.appender = gather.NewAppender(gather.Config{
 		Self: n.info, Members: n.members.All, Local: n.gatherer,
-		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allRead),
-		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, AllRead: n.allRead,
+		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allReadGathered),
+		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, AllRead: n.allReadGathered,
 	})
 	n.writer.Through(n.appender)
 }
 
-// answerHandOn appends a batch of another node.
-func (n *Node) answerHandOn(ctx context.Context, r *fleetv1.HandOn, response *fleetv1.Response) {
+// handleHandOn appends a batch on behalf of another node.
+func (n *Node) handleHandOn(ctx context.Context, r *fleetv1.HandOn, response *fleetv1.Response) {
 	offset, err := n.gatherer.Append(ctx, r.GetBatch(), time.Duration(r.GetWaitMs())*time.Millisecond)
 	if err != nil {
-		refuse(response, result.New(result.LogUnavailable, "%v", err))
+		setError(response, result.New(result.LogUnavailable, "%v", err))
 		return
 	}
 	response.Body = &fleetv1.Response_HandedOn{HandedOn: &fleetv1.HandedOn{Offset: offset}}
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -7,10 +7,9 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// heartbeats renews the node's right to spend through the log. The next heartbeat
-// waits for the verdict on the one before, so that an outage leaves one in the
-// queue and not thousands.
-func (n *Node) heartbeats(ctx context.Context) {
+// sendHeartbeats renews the node's right to spend through the log. Each heartbeat waits for the
+// verdict on the one before, so that an outage leaves one in the queue and not thousands.
+func (n *Node) sendHeartbeats(ctx context.Context) {
 	announced := false
 	for number := uint64(1); ctx.Err() == nil; number++ {
 		started := n.deps.Clock.Now()
@@ -22,23 +21,23 @@
 		case <-ctx.Done():
 			return
 		case verdict := <-ticket.Done():
-			if !n.opened(verdict) {
-				n.close(ctx)
+			if !n.incarnationOpen(verdict) {
+				n.handleClosed(ctx)
 				return
 			}
-			// After a restored state the verdict on the first one may be lost; the
-			// next one tells, and lets the node serve.
+			// If the state was restored from a snapshot, the verdict on the first heartbeat
+			// may be lost; the next heartbeat's verdict then lets the node serve.
 			if !verdict.OK() {
 				continue
 			}
-			// Counted from before the append: whoever closes this incarnation
-			// counts from when it read the heartbeat, which is later.
+			// Measured from before the append: a node that closes this incarnation measures
+			// from when it read the heartbeat, which is later.
 			n.holder.ExtendRight(started.Add(n.settings.SpendRight))
 			if !announced {
 				n.events.Record(event.IncarnationOpened, "incarnation", n.Incarnation(), "offset", verdict.Offset)
 				announced = true
 			}
-			n.ready()
+			n.startServing()
 		}
 		select {
 		case <-ctx.Done():
@@ -47,17 +46,17 @@
 	}
 }
 
-// ready lets the node serve, unless operators drained it: its first heartbeat is
-// folded, so it holds the configuration up to there.
-func (n *Node) ready() {
+// startServing makes a starting node serve unless operators drained it. Once its first heartbeat
+// is applied a node holds the configuration up to that offset.
+func (n *Node) startServing() {
 	if n.State() == StateStarting && !n.drainOrdered() {
 		n.fire(triggerReady)
 		n.members.AnnounceServing()
 	}
 }
 
-// settlements contributes what was settled since the last batch.
-func (n *Node) settlements() []*recordv1.Entry {
+// settlementEntries returns the settlements since the last batch, for the writer to append.
+func (n *Node) settlementEntries() []*recordv1.Entry {
 	batch := n.holder.TakeSettlements()
 	if batch == nil {
 		return nil
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -8,10 +8,10 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// State is a state of a node's life.
+// State is a state in a node's lifecycle.
 type State string
 
-// The states of a node's life.
+// The lifecycle states of a node.
 const (
 	StateStarting State = "starting"
 	StateServing  State = "serving"
@@ -29,8 +29,8 @@
 	triggerClose trigger = "close"
 )
 
-// newLifecycle returns the state machine of a node. A node that learned that the
-// fleet closed its incarnation never serves again; the daemon starts a new one.
+// newLifecycle returns a node's state machine. Once the fleet has closed its incarnation a
+// node never serves again; the daemon starts a new one.
 func newLifecycle(events *event.Recorder) *stateless.StateMachine {
 	m := stateless.NewStateMachine(StateStarting)
 	record := func(number event.Number) stateless.ActionFunc {
--- a/node/membership.go
+++ b/node/membership.go
@@ -10,20 +10,20 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// firstHeartbeat opens an incarnation.
-const firstHeartbeat = 1
+// firstHeartbeatNumber is the number of the heartbeat that opens an incarnation.
+const firstHeartbeatNumber = 1
 
-// heartbeatPerNode keeps the fleet's heartbeats under one a second: each is read by
-// every node, so at a fixed interval what a node reads would grow with the fleet.
-const heartbeatPerNode = time.Second
+// heartbeatIntervalPerNode limits the fleet to about one heartbeat per second: every node reads
+// each heartbeat, so with a fixed interval the reads per node would grow with the fleet.
+const heartbeatIntervalPerNode = time.Second
 
-func (n *Node) newMembership() {
+func (n *Node) initMembership() {
 	n.instances = membership.NewInstances(n.deps.Instances, n.deps.Clock, n.events)
-	n.members = membership.NewMembers(n.info, n.deps.Clock, n.deps.Peers, n.events, n.openNodes, n.view)
+	n.members = membership.NewMembers(n.info, n.deps.Clock, n.deps.Peers, n.events, n.openNodes, n.selfView)
 	n.members.SetPlatformAddresses(n.instances.PeerAddresses)
 }
 
-// openNodes lists the nodes that the log holds open.
+// openNodes returns the nodes whose incarnations are open according to the log.
 func (n *Node) openNodes() []*recordv1.NodeInfo {
 	var nodes []*recordv1.NodeInfo
 	for _, i := range n.ledger.Incarnations() {
@@ -34,47 +34,47 @@
 	return nodes
 }
 
-// view describes this node to others.
-func (n *Node) view() *fleetv1.PeerView {
+// selfView describes this node to its peers.
+func (n *Node) selfView() *fleetv1.PeerView {
 	return &fleetv1.PeerView{
 		Node:         n.info,
 		Draining:     n.State() != StateServing,
 		InFlight:     uint32(n.requests.InFlight()),
-		ConfigOffset: n.Offset(),
+		ConfigOffset: n.AppliedOffset(),
 	}
 }
 
-// Addresses returns the nodes that a caller with a key should use, and for how long.
-// It needs neither the log nor the platform's list.
+// Addresses returns the nodes that a caller with the given key should use, and for how long.
+// It depends on neither the log nor the platform's list of instances.
 func (n *Node) Addresses(key string) ([]membership.Address, time.Duration) {
-	asker := membership.AddressQuery{
+	query := membership.AddressQuery{
 		Account:      n.Config().AccountByKey(key).GetName(),
 		SelfServing:  n.State() == StateServing,
 		SelfInFlight: uint32(n.requests.InFlight()),
 	}
-	return n.members.Addresses(asker), n.settings.AddressLifetime
+	return n.members.Addresses(query), n.settings.AddressLifetime
 }
 
-// Members returns the other nodes as this one sees them.
+// Members returns this node's view of the other nodes.
 func (n *Node) Members() *membership.Members { return n.members }
 
-func (n *Node) answerPingVia(ctx context.Context, r *fleetv1.PingVia, response *fleetv1.Response) {
+func (n *Node) handlePingVia(ctx context.Context, r *fleetv1.PingVia, response *fleetv1.Response) {
 	views, err := n.members.HandlePingVia(ctx, r)
 	if err != nil {
-		refuse(response, err)
+		setError(response, err)
 		return
 	}
 	response.Body = &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: views}}
 }
 
-func refuse(response *fleetv1.Response, err error) {
-	known := result.From(err)
-	response.Code = uint32(known.Code)
-	response.Message = known.Message
+func setError(response *fleetv1.Response, err error) {
+	failure := result.From(err)
+	response.Code = uint32(failure.Code)
+	response.Message = failure.Message
 }
 
-// heartbeatInterval grows with the fleet, within the right to spend.
+// heartbeatInterval grows with the fleet, up to a quarter of the spend right.
 func (n *Node) heartbeatInterval() time.Duration {
-	grown := time.Duration(len(n.members.All())+1) * heartbeatPerNode
-	return max(n.settings.HeartbeatInterval, min(grown, n.settings.SpendRight/4))
+	scaled := time.Duration(len(n.members.All())+1) * heartbeatIntervalPerNode
+	return max(n.settings.HeartbeatInterval, min(scaled, n.settings.SpendRight/4))
 }
--- a/node/node.go
+++ b/node/node.go
@@ -29,8 +29,8 @@
 	"lavenderpin.dev/lavenderpin/snapshot"
 )
 
-// ErrClosed tells that the fleet closed the node's incarnation. The daemon starts
-// a new one in its place.
+// ErrClosed is returned by Run when the fleet has closed the node's incarnation. The daemon
+// starts a new one in its place.
 var ErrClosed = errors.New("the fleet closed this incarnation")
 
 // Node is one incarnation of a node.
@@ -39,47 +39,47 @@
 	deps     Deps
 	info     *recordv1.NodeInfo
 
-	events     *event.Recorder
-	kept       *event.Keeper
-	lifecycle  *stateless.StateMachine
-	config     *config.State
-	watchers   *watchers
-	ledger     *budget.Ledger
-	holder     *budget.ShareHolder
-	budgets    budgets
-	writer     *recordlog.Writer
-	gatherer   *gather.Gatherer
-	appender   *gather.Appender
-	forms      atomic.Pointer[formsFound]
-	follower   *recordlog.Follower
-	leaseTable *lease.Table
-	leases     *lease.Manager
-	members    *membership.Members
-	instances  *membership.Instances
-	remaining  stayingLists
-	relay      *relay.Server
-	snapshots  *snapshot.Tracker
-	requests   *request.Server
-	balancer   *routing.Balancer
-	admission  *admission.Controller
-	claims     *idempotency.Claims
-	metrics    *expvar.Map
+	events       *event.Recorder
+	copiedEvents *event.Keeper
+	lifecycle    *stateless.StateMachine
+	config       *config.State
+	watchers     *watchers
+	ledger       *budget.Ledger
+	holder       *budget.ShareHolder
+	budgets      budgets
+	writer       *recordlog.Writer
+	gatherer     *gather.Gatherer
+	appender     *gather.Appender
+	recordForms  atomic.Pointer[cachedRecordForms]
+	follower     *recordlog.Follower
+	leaseTable   *lease.Table
+	leases       *lease.Manager
+	members      *membership.Members
+	instances    *membership.Instances
+	nonLeaving   nonLeavingCache
+	relay        *relay.Server
+	snapshots    *snapshot.Tracker
+	requests     *request.Server
+	balancer     *routing.Balancer
+	admission    *admission.Controller
+	claims       *idempotency.Claims
+	metrics      *expvar.Map
 
 	closed chan struct{}
-	// outrun is closed when the state was restored under a node that served.
-	outrun     chan struct{}
-	outrunOnce sync.Once
-	closing    atomic.Bool
-	drained    chan struct{}
-	draining   atomic.Bool
+	// stateReplaced is closed when a snapshot replaced the state of a node that had served.
+	stateReplaced     chan struct{}
+	stateReplacedOnce sync.Once
+	closeStarted      atomic.Bool
+	drained           chan struct{}
+	drainStarted      atomic.Bool
 }
 
-// New assembles a node; Run brings it to life.
+// New assembles a node; Run starts it.
 func New(settings Settings, deps Deps) (*Node, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	n := &Node{settings: settings, deps: deps, watchers: newWatchers(), closed: make(chan struct{}), outrun: make(chan struct{}), drained: make(chan struct{})}
+	n := &Node{settings: settings, deps: deps, watchers: newWatchers(), closed: make(chan struct{}), stateReplaced: make(chan struct{}), drained: make(chan struct{})}
 	n.info = &recordv1.NodeInfo{
 		Incarnation:     deps.NewIncarnation(),
 		PeerAddress:     settings.PeerAddress,
@@ -90,20 +90,20 @@
 		RecordForms:     record.Forms,
 	}
 	hlc := event.NewHLC(deps.Clock)
-	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
-	n.kept = event.NewKeeper(max(1, settings.EventMemory/keptShare))
+	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventCapacity, deps.Logger)
+	n.copiedEvents = event.NewKeeper(max(1, settings.EventCapacity/copiedEventsDivisor))
 	n.lifecycle = newLifecycle(n.events)
-	n.config = config.NewState(n.configInForce)
+	n.config = config.NewState(n.onConfigChange)
 	n.ledger = budget.NewLedger()
 	n.holder = budget.NewShareHolder(n.info.GetIncarnation(), deps.Clock)
-	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.Gather)
-	n.writer.AddSource(n.settlements)
+	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.BatchDelay)
+	n.writer.AddSource(n.settlementEntries)
 	n.leaseTable = lease.NewTable()
 	n.leases = lease.NewManager(n.info.GetIncarnation(), settings.LeaseTerm, n.leaseTable, n.writer, deps.Clock, n.events)
 	n.claims = idempotency.NewClaims(idempotency.DefaultLimits())
 	engine := fold.NewEngine(n.config, n.ledger, n.leaseTable, n.claims)
-	n.newMembership()
-	n.gatherAppends()
+	n.initMembership()
+	n.initGathering()
 	n.newFollower(engine)
 	n.budgets = n.newBudgets()
 	n.balancer = n.newBalancer()
@@ -111,88 +111,89 @@
 	n.requests = &request.Server{
 		Config: n.config.View, Reserver: n.budgets.reserver, Picker: n.balancer, Admission: n.admission,
 		Client: deps.Upstreams, Events: n.events, Clock: deps.Clock, Region: settings.Region,
-		Staying: n.staying,
+		Staying: n.excludeLeaving,
 	}
-	n.nameRequests()
+	n.configureRequests()
 	n.metrics = n.newMetrics()
 	return n, nil
 }
 
-// Incarnation returns the node's name, which no other run ever has.
+// Incarnation returns the name of this run of the node, which is never reused.
 func (n *Node) Incarnation() string { return n.info.GetIncarnation() }
 
-// Info returns how others reach the node.
+// Info returns the node's identity, location and addresses.
 func (n *Node) Info() *recordv1.NodeInfo { return n.info }
 
-// Requests returns the server that runs callers' requests.
+// Requests returns the server for callers' requests.
 func (n *Node) Requests() *request.Server { return n.requests }
 
 // Events returns the node's event recorder.
 func (n *Node) Events() *event.Recorder { return n.events }
 
-// Ledger returns the budgets as this node folds them.
+// Ledger returns the state of the budgets that this node has applied.
 func (n *Node) Ledger() *budget.Ledger { return n.ledger }
 
 // Config returns the configuration in force on this node.
 func (n *Node) Config() *config.View { return n.config.View() }
 
-// Offset returns the highest log offset that this node has folded.
-func (n *Node) Offset() uint64 { return n.follower.Offset() }
+// AppliedOffset returns the highest log offset that this node has applied.
+func (n *Node) AppliedOffset() uint64 { return n.follower.Offset() }
 
-// Metrics returns the node's map; only daemons publish it.
+// Metrics returns the node's expvar map; only daemons publish it.
 func (n *Node) Metrics() *expvar.Map { return n.metrics }
 
-// Settings returns what the node was told.
+// Settings returns the settings that the node was created with.
 func (n *Node) Settings() Settings { return n.settings }
 
-// Leases returns the leases that this node holds or wants.
+// Leases returns the leases that this node holds or campaigns for.
 func (n *Node) Leases() lease.Holder { return n.leases }
 
-// Journal returns the node's writer to the log.
-func (n *Node) Journal() *recordlog.Writer { return n.writer }
+// LogWriter returns the node's writer to the log.
+func (n *Node) LogWriter() *recordlog.Writer { return n.writer }
 
-// State returns where the node is in its life.
+// State returns the node's lifecycle state.
 func (n *Node) State() State { return n.lifecycle.MustState().(State) }
 
-// Closed is closed once the fleet closed the incarnation.
+// Closed returns a channel that is closed once the node has ended because the fleet closed its
+// incarnation.
 func (n *Node) Closed() <-chan struct{} { return n.closed }
 
-// Run lives until ctx ends, which is an abrupt end, or until the fleet closes the
-// incarnation, which fails with ErrClosed.
+// Run runs the node until ctx is done, which stops it abruptly, or until the fleet closes the
+// incarnation; it then returns ErrClosed.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	n.events.Record(event.NodeStarting, "region", n.settings.Region, "data_centre", n.settings.DataCentre)
-	var wait sync.WaitGroup
-	for _, loop := range []func(context.Context){n.writer.Run, n.gatherer.Run, n.follower.Run, n.heartbeats, n.members.Run, n.leases.Run, n.flushSettlements, n.orders().Run,
-		n.instances.Run, n.writeSnapshots, n.followDrainOrder, n.serveWithoutLog, n.budgets.run, n.readLoads, n.admission.Run, n.watchOverload} {
-		wait.Go(func() { loop(ctx) })
+	var wg sync.WaitGroup
+	for _, loop := range []func(context.Context){n.writer.Run, n.gatherer.Run, n.follower.Run, n.sendHeartbeats, n.members.Run, n.leases.Run, n.flushSettlements, n.newOrderExecutor().Run,
+		n.instances.Run, n.writeSnapshots, n.followDrainOrders, n.serveWithoutLog, n.budgets.run, n.readLoads, n.admission.Run, n.watchOverload} {
+		wg.Go(func() { loop(ctx) })
 	}
-	wait.Go(func() { n.keepEvents(ctx) })
-	defer wait.Wait()
+	wg.Go(func() { n.copyPeerEvents(ctx) })
+	defer wg.Wait()
 	defer cancel()
 	defer n.requests.Runner.Stop()
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-n.outrun:
-		n.close(ctx)
+	case <-n.stateReplaced:
+		n.handleClosed(ctx)
 		return ErrClosed
 	case <-n.closed:
 		return ErrClosed
 	}
 }
 
-// folded is told of each batch in offset order, in the folding goroutine.
-func (n *Node) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
+// batchApplied is called after each batch, in offset order, in the goroutine that applies them.
+func (n *Node) batchApplied(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
 	n.snapshots.Folded(batch, proto.Size(batch))
 	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
-	n.budgets.folded(batch, verdicts)
-	n.recordFolded(batch, verdicts)
+	n.budgets.batchApplied(batch, verdicts)
+	n.recordBatchEvents(batch, verdicts)
 	n.writer.Folded(batch, verdicts)
 }
 
-func (n *Node) recordFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (n *Node) recordBatchEvents(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	for i, verdict := range verdicts {
 		switch body := batch.GetEntries()[i].GetBody().(type) {
 		case *recordv1.Entry_TopUp:
@@ -205,7 +206,7 @@
 			}
 			n.events.Record(number, "change", body.Config.GetChangeId(), "operator", body.Config.GetOperator(), "offset", verdict.Offset)
 		case *recordv1.Entry_Heartbeat:
-			if body.Heartbeat.GetNumber() == firstHeartbeat {
+			if body.Heartbeat.GetNumber() == firstHeartbeatNumber {
 				n.members.Wake()
 			}
 		case *recordv1.Entry_Close:
@@ -216,10 +217,10 @@
 	}
 }
 
-func (n *Node) configInForce(r *operatorv1.VersionedResource) {
+func (n *Node) onConfigChange(r *operatorv1.VersionedResource) {
 	key, _ := config.KeyOf(r.GetResource())
 	n.events.Record(event.ConfigInForce, "resource", key, "version", r.GetVersion())
-	n.watchers.tell(r)
+	n.watchers.notify(r)
 }
 
 func (n *Node) fire(t trigger) {
@@ -228,16 +229,16 @@
 	}
 }
 
-// close ends the node after it learned that the log holds it closed. One that
-// handed itself back has ended already. It waits for the log, so it must not be
-// called in the folding goroutine.
-func (n *Node) close(ctx context.Context) {
+// handleClosed ends the node once it has learned that its incarnation is closed in the log. A
+// node that closed itself while draining has stopped already. It waits for the log, so it must
+// not be called in the goroutine that applies batches.
+func (n *Node) handleClosed(ctx context.Context) {
 	if n.State() == StateStopped {
 		return
 	}
 	n.holder.RevokeRight()
-	if !n.closing.CompareAndSwap(false, true) {
-		await(ctx, n.closed)
+	if !n.closeStarted.CompareAndSwap(false, true) {
+		awaitClosed(ctx, n.closed)
 		return
 	}
 	n.fire(triggerClose)
@@ -245,9 +246,9 @@
 	close(n.closed)
 }
 
-// await returns when done is closed or ctx ends. Waiting in a sync.Once for the one
-// that works would go on beyond ctx, and would hold virtual time still.
-func await(ctx context.Context, done <-chan struct{}) {
+// awaitClosed returns when done is closed or ctx is done. Waiting in a sync.Once for the call in
+// progress would not end with ctx, and would block the fake clock in tests.
+func awaitClosed(ctx context.Context, done <-chan struct{}) {
 	select {
 	case <-done:
 	case <-ctx.Done():
--- a/node/orders.go
+++ b/node/orders.go
@@ -2,8 +2,9 @@
 
 import "lavenderpin.dev/lavenderpin/orders"
 
-// orders returns what gives engines their orders while this node holds the lease.
-func (n *Node) orders() *orders.Executor {
+// newOrderExecutor returns the executor that sends orders to engines while this node holds the
+// lease.
+func (n *Node) newOrderExecutor() *orders.Executor {
 	return &orders.Executor{
 		Lessor:  n.leases,
 		Client:  orders.HTTPClient{Upstreams: n.deps.Upstreams},
--- a/node/peers.go
+++ b/node/peers.go
@@ -8,26 +8,26 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// HandlePeer answers another node; it is a peer.Handler.
+// HandlePeer handles a request from another node; it is a peer.Handler.
 func (n *Node) HandlePeer(ctx context.Context, r *fleetv1.Request) (response *fleetv1.Response) {
-	defer n.recoverPeer(&response)
+	defer n.recoverPeerPanic(&response)
 	n.events.Clock().Observe(event.Stamp(r.GetHlc()))
 	response = &fleetv1.Response{}
 	switch body := r.GetBody().(type) {
 	case *fleetv1.Request_Ping:
 		response.Body = &fleetv1.Response_Pong{Pong: &fleetv1.Pong{Views: n.members.HandlePing(body.Ping.GetViews())}}
 	case *fleetv1.Request_PingVia:
-		n.answerPingVia(ctx, body.PingVia, response)
+		n.handlePingVia(ctx, body.PingVia, response)
 	case *fleetv1.Request_LogRead:
-		n.answerLogRead(ctx, body.LogRead, response)
+		n.handleLogRead(ctx, body.LogRead, response)
 	case *fleetv1.Request_EventsGather:
-		response.Body = &fleetv1.Response_Events{Events: n.gatherFor(body.EventsGather)}
+		response.Body = &fleetv1.Response_Events{Events: n.handleEventsGather(body.EventsGather)}
 	case *fleetv1.Request_CallForward:
-		response = n.handleForward(ctx, body.CallForward)
+		response = n.handleCallForward(ctx, body.CallForward)
 	case *fleetv1.Request_StreamMove:
-		response = n.handleMove(body.StreamMove)
+		response = n.handleStreamMove(body.StreamMove)
 	case *fleetv1.Request_HandOn:
-		n.answerHandOn(ctx, body.HandOn, response)
+		n.handleHandOn(ctx, body.HandOn, response)
 	default:
 		if !n.handleBudgets(r, response) {
 			response.Code = uint32(result.MalformedRequest)
--- a/node/regioncut_test.go
+++ b/node/regioncut_test.go
@@ -10,20 +10,20 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// The only node of the far region is cut off for longer than its right lasts. What it
-// answers until it notices that the log is out of reach nobody else knows, and what ran
-// at the moment of the cut others know as open only. The fleet closes it while it lives.
-// Its last answers must still be billed, once, when the cut has ended.
-func TestLoneNodeBehindACut(t *testing.T) {
+// The only node of the far region is cut off for longer than its spend right, and the fleet closes
+// it while it is alive. No other node knows of the requests that it serves before it notices that
+// the log is unreachable, and others see the request in progress at the cut only as open. Its last
+// requests must still be billed exactly once after the cut.
+func TestLongRegionCutOfSingleNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(50_000)
 		is.NoErr(f.request(2, 300, 100))
-		running := f.dispatch(2)
+		grant := f.dispatch(2)
 		f.net.setCut(true)
-		f.engines.hide(running.Request().String(), 120) // the engine stands behind the cut
-		running.Finish(120)
+		f.engines.addHiddenUsage(grant.Request().String(), 120) // the engine is in the far region
+		grant.Finish(120)
 		answered := 0
 		for range 40 {
 			if f.request(2, 20, 10) == nil {
@@ -38,19 +38,19 @@
 		is.True(f.nodes[0].Ledger().Known(f.nodes[2].Incarnation())) // frozen, not released
 		f.net.setCut(false)
 		f.awaitReleased(0, 2)
-		f.engines.show()
+		f.engines.revealHidden()
 		f.awaitBilled(0)
 		is.Equal(f.checkLedger(0).Lost, uint64(0))
 	})
 }
 
-// A node is cut off for good, and the platform goes on listing its instance. The fleet
-// can't know what it answered, so the rest of its share must not be spent again; but it
-// must not stay frozen for ever either: it is written off after the stated time.
-func TestCutOffForGoodIsWrittenOff(t *testing.T) {
+// A node is cut off permanently while the platform still lists its instance. The fleet can't know
+// what the node served, so the rest of its share must not be spent again. It must not stay frozen
+// forever either: it is written off after Policy.LostAfter.
+func TestPermanentlyCutOffNodeIsWrittenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(2, 300, 100))
 		time.Sleep(10 * time.Second)
@@ -64,20 +64,20 @@
 	})
 }
 
-// An instance dies that no process replaces at its address. Its tokens are back after
-// its right, once the platform has stopped listing it for long enough.
-func TestInstanceThatThePlatformDropsIsReleased(t *testing.T) {
+// An instance crashes and isn't replaced at its address. Its share is released after its spend
+// right, once the platform has stopped listing the instance for long enough.
+func TestDelistedInstanceIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.topUp(10_000)
 		is.NoErr(f.request(1, 300, 100))
 		grant := f.dispatch(1)
-		f.engines.run(grant.Request().String(), 120)
+		f.engines.addUsage(grant.Request().String(), 120)
 		address := f.nodes[1].settings.PeerAddress
 		listed := f.listed[address]
 		f.crash(1)
-		f.list(address, listed) // the list lags
+		f.list(address, listed) // the platform's list lags
 		time.Sleep(2 * time.Hour)
 		is.True(f.nodes[0].Ledger().Known(f.nodes[1].Incarnation()))
 		f.list(address, nil)
--- a/node/relay.go
+++ b/node/relay.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// withoutLogAfter is how long the log must be silent before a starting node
-	// serves with what its peers hold.
+	// withoutLogAfter is how long the log must be unreachable before a starting node
+	// serves with its peers' configuration.
 	withoutLogAfter = 5 * time.Second
 	withoutLogPoll  = 500 * time.Millisecond
 )
@@ -29,8 +29,8 @@
 		Events: n.events,
 		Peers:  n.relayPeers,
 	}
-	n.follower = recordlog.NewSourceFollower(source, n.deps.Clock, engine, n.folded)
-	n.follower.OnRestored(n.restored)
+	n.follower = recordlog.NewSourceFollower(source, n.deps.Clock, engine, n.batchApplied)
+	n.follower.OnRestored(n.stateRestored)
 	n.relay = relay.NewServer(n.follower, source, n.deps.Clock)
 	n.snapshots = snapshot.NewTracker(n.deps.Clock)
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// relayPeers lists the nodes that answer and stay.
+// relayPeers returns the members that are neither suspected nor draining.
 func (n *Node) relayPeers() []relay.Peer {
 	var peers []relay.Peer
 	for _, m := range n.members.All() {
@@ -53,44 +53,44 @@
 	return peers
 }
 
-func (n *Node) answerLogRead(ctx context.Context, r *fleetv1.LogRead, response *fleetv1.Response) {
+func (n *Node) handleLogRead(ctx context.Context, r *fleetv1.LogRead, response *fleetv1.Response) {
 	slice, err := n.relay.Answer(ctx, r)
 	if err != nil {
-		refuse(response, err)
+		setError(response, err)
 		return
 	}
 	response.Body = &fleetv1.Response_LogSlice{LogSlice: slice}
 }
 
-// restored is told, in the folding goroutine, that the whole state was replaced. An
-// incarnation that served before has missed verdicts on its own entries, so that its
-// holder and the log may differ on its shares: it ends, and the daemon starts a new
-// one. A starting one goes on.
-func (n *Node) restored(offset uint64) {
+// stateRestored is called, in the goroutine that applies batches, when a snapshot has replaced
+// the whole state. An incarnation that served before has missed verdicts on its own entries, so
+// its share holder and the log may disagree about its shares: it ends, and the daemon starts a
+// new one. A starting incarnation continues.
+func (n *Node) stateRestored(offset uint64) {
 	n.events.Record(event.StateRestored, "offset", offset)
 	n.snapshots.Restored(offset)
 	n.writer.Restored(n.follower.LastSeq(n.Incarnation()))
 	if n.State() != StateStarting {
 		n.holder.RevokeRight()
-		n.outrunOnce.Do(func() { close(n.outrun) })
+		n.stateReplacedOnce.Do(func() { close(n.stateReplaced) })
 	}
 }
 
-// opened tells whether a verdict on the node's heartbeat lets it go on. After a
-// restored state the verdict itself is lost, and the ledger tells.
-func (n *Node) opened(verdict fold.Verdict) bool {
+// incarnationOpen reports whether the node may continue after a verdict on its heartbeat. If the
+// state was restored from a snapshot the verdict is lost, and the ledger decides.
+func (n *Node) incarnationOpen(verdict fold.Verdict) bool {
 	return verdict.OK() || n.ledger.IsOpen(n.Incarnation())
 }
 
-// serveWithoutLog lets a node that starts while the log is out of reach serve once it
-// holds the highest configuration that its peers do. It has no share and no right to
-// spend then; what needs them is refused by name, or covered by a peer.
+// serveWithoutLog lets a node that starts while the log is unreachable serve once it holds the
+// newest configuration among its peers. It then has no shares and no right to spend: requests
+// that need them are refused with the matching result code or covered by a peer.
 func (n *Node) serveWithoutLog(ctx context.Context) {
 	started := n.deps.Clock.Now()
 	for n.State() == StateStarting && ctx.Err() == nil {
-		if n.deps.Clock.Since(started) > withoutLogAfter && n.follower.SinceRead() > withoutLogAfter && n.holdsHighest() {
-			n.events.Record(event.ServingWithoutLog, "offset", n.Offset())
-			n.ready()
+		if n.deps.Clock.Since(started) > withoutLogAfter && n.follower.SinceRead() > withoutLogAfter && n.upToDateWithPeers() {
+			n.events.Record(event.ServingWithoutLog, "offset", n.AppliedOffset())
+			n.startServing()
 			return
 		}
 		select {
@@ -100,14 +100,14 @@
 	}
 }
 
-// holdsHighest tells whether no peer in reach knows more. A node that reaches none
-// doesn't know what is in force.
-func (n *Node) holdsHighest() bool {
+// upToDateWithPeers reports whether no reachable peer has applied a higher offset. A node that
+// reaches no peer can't know which configuration is in force.
+func (n *Node) upToDateWithPeers() bool {
 	peers := n.relayPeers()
 	for _, p := range peers {
-		if p.Offset > n.Offset() {
+		if p.Offset > n.AppliedOffset() {
 			return false
 		}
 	}
-	return len(peers) > 0 && n.Offset() > 0
+	return len(peers) > 0 && n.AppliedOffset() > 0
 }
--- a/node/resume.go
+++ b/node/resume.go
@@ -9,11 +9,12 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// nameRequests gives the request server what tickets, keys and cursors need.
-func (n *Node) nameRequests() {
+// configureRequests sets the request server's dependencies for call tickets, idempotency keys
+// and stream cursors.
+func (n *Node) configureRequests() {
 	secret := n.settings.TokenSecret
 	if len(secret) == 0 {
-		// Without a shared secret a cursor or a ticket is good at this node alone.
+		// Without a shared secret, cursors and tickets are valid on this node only.
 		secret = make([]byte, signed.MinSecret)
 		_, _ = rand.Read(secret)
 	}
@@ -21,7 +22,7 @@
 	n.requests.Cursors = signed.NewSigner(secret, request.CursorPurpose)
 	n.requests.Tickets = signed.NewSigner(secret, request.TicketPurpose)
 	n.requests.Runner = n.newRunner()
-	n.requests.Peers = nodePeers{n}
+	n.requests.Peers = requestPeers{n}
 	if n.requests.Retries == nil {
 		n.requests.Retries = admission.NewRetryBudget()
 	}
--- a/node/routing.go
+++ b/node/routing.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// loadInterval is the time between two reads of an engine's load.
+	// loadInterval is the time between two reads of a local engine's load.
 	loadInterval = 500 * time.Millisecond
-	// remoteEvery is how many reads of this region's engines go by between two of
-	// another's: those cross the link that is billed by volume.
-	remoteEvery = 4
-	loadTimeout = time.Second
-	// loadReaders bounds the reads in progress.
-	loadReaders = 16
+	// remoteLoadEvery: engines of other regions are read only in every fourth round, as
+	// those reads cross the link that is billed by volume.
+	remoteLoadEvery = 4
+	loadTimeout     = time.Second
+	// maxLoadReaders bounds the number of concurrent reads.
+	maxLoadReaders = 16
 )
 
-// newBalancer returns the node's picker.
+// newBalancer returns the balancer that picks upstreams for requests.
 func (n *Node) newBalancer() *routing.Balancer {
 	return routing.NewBalancer(routing.DefaultSettings(), n.deps.Clock, rand.Uint64, n.healthChanged)
 }
@@ -39,34 +39,34 @@
 	n.events.Record(number, "upstream", upstream)
 }
 
-// readLoads reads the engines' loads and cache events until ctx ends. Reads that fail
-// are no verdict on an engine: its answers to requests are.
+// readLoads reads the engines' loads and cache events until ctx is done. A failed read doesn't
+// count against an engine's health; only its responses to requests do.
 func (n *Node) readLoads(ctx context.Context) {
 	round := 0
 	periodic.Run(ctx, n.deps.Clock, loadInterval, func(ctx context.Context) {
-		n.readRound(ctx, round%remoteEvery == 0)
+		n.readLoadRound(ctx, round%remoteLoadEvery == 0)
 		round++
 	})
 }
 
-func (n *Node) readRound(ctx context.Context, remote bool) {
-	readers := make(chan struct{}, loadReaders)
-	var wait sync.WaitGroup
+func (n *Node) readLoadRound(ctx context.Context, remote bool) {
+	readers := make(chan struct{}, maxLoadReaders)
+	var wg sync.WaitGroup
 	for _, u := range n.engineUpstreams() {
 		if u.GetRegion() != n.settings.Region && !remote {
 			continue
 		}
 		readers <- struct{}{}
-		wait.Go(func() {
+		wg.Go(func() {
 			defer func() { <-readers }()
 			n.readLoad(ctx, u)
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-// engineUpstreams lists the engines in the configuration. Plain services aren't asked for
-// their load: to some of them any call is one that may not be repeated.
+// engineUpstreams returns the engines in the configuration. Plain services aren't queried for
+// load: some of them treat any call as one that must not be repeated.
 func (n *Node) engineUpstreams() []*operatorv1.Upstream {
 	view := n.Config()
 	var engines []*operatorv1.Upstream
--- a/node/settings.go
+++ b/node/settings.go
@@ -13,63 +13,65 @@
 	"lavenderpin.dev/lavenderpin/snapshot"
 )
 
-// Settings are what one node is told about itself.
+// Settings configures one node.
 type Settings struct {
 	Region     string
 	DataCentre string
-	// The addresses, IP and port, at which others reach this node.
+	// The addresses (IP:port) at which this node is reached.
 	PeerAddress     string
 	HTTPAddress     string
 	OperatorAddress string
-	// Stream is the log stream that the fleet folds.
+	// Stream is the log stream that holds the fleet's state.
 	Stream string
 	// HeartbeatInterval is the time between two heartbeats in the log.
 	HeartbeatInterval time.Duration
-	// Policy weighs refusals against money out of use.
-	Policy budget.Policy
+	// BudgetPolicy trades refused requests against prepaid tokens that lie idle in shares.
+	BudgetPolicy budget.Policy
 	// SpendRight is how long the node may spend after its last heartbeat in the log.
 	SpendRight time.Duration
 	// LeaseTerm is how long a lease lasts without renewal.
 	LeaseTerm time.Duration
-	// Gather is how long entries are gathered before each append.
-	Gather time.Duration
-	// Appends tells when the nodes of a data centre append together.
-	Appends gather.Policy
-	// ClaimChunk is the least number of tokens claimed from a budget's pool at a time.
+	// BatchDelay is how long entries are collected into a batch before each append.
+	BatchDelay time.Duration
+	// GatherPolicy decides when the nodes of a data centre append through one gatherer.
+	GatherPolicy gather.Policy
+	// ClaimChunk is the minimum number of tokens claimed from a budget's pool at a time.
 	ClaimChunk uint64
-	// AddressLifetime is how long callers may keep an address handed out. A draining
-	// node serves at least this long after it stopped being handed out.
+	// AddressLifetime is how long callers may use an address they were given. A draining
+	// node serves at least this long after its address was last handed out.
 	AddressLifetime time.Duration
-	// Snapshots tells when the folded state is written to the log again.
-	Snapshots snapshot.Policy
-	// EventMemory is how many events are kept for the time line.
-	EventMemory int
-	// TokenSecret signs tickets and stream cursors, the same on all nodes of the
-	// fleet. Empty: each node draws its own, and a ticket or a cursor is good at the
-	// node that made it alone.
+	// SnapshotPolicy decides when a snapshot of the state is written to the log.
+	SnapshotPolicy snapshot.Policy
+	// EventCapacity is the number of events kept for the timeline.
+	EventCapacity int
+	// TokenSecret signs tickets and stream cursors; all nodes of the fleet must share it. If
+	// empty, each node generates its own, and tickets and cursors are valid only on the node
+	// that issued them.
 	TokenSecret []byte
-	// BootstrapTokenSHA256 admits an operator before any operator token exists.
+	// BootstrapTokenSHA256 is the hash of the token that admits an operator before any
+	// operator token is configured.
 	BootstrapTokenSHA256 string
 }
 
-// DefaultSettings returns settings with all durations and sizes filled in.
+// DefaultSettings returns the default durations, sizes and policies. Region, data centre and
+// addresses are left empty.
 func DefaultSettings() Settings {
 	return Settings{
 		Stream:            "fleet",
 		HeartbeatInterval: 5 * time.Second,
 		LeaseTerm:         15 * time.Second,
-		Policy:            budget.Endurance,
+		BudgetPolicy:      budget.Endurance,
 		SpendRight:        budget.Endurance.SpendRight,
-		Gather:            20 * time.Millisecond,
-		Appends:           gather.DefaultPolicy(),
+		BatchDelay:        20 * time.Millisecond,
+		GatherPolicy:      gather.DefaultPolicy(),
 		ClaimChunk:        20_000,
 		AddressLifetime:   10 * time.Second,
-		Snapshots:         snapshot.DefaultPolicy(),
-		EventMemory:       20_000,
+		SnapshotPolicy:    snapshot.DefaultPolicy(),
+		EventCapacity:     20_000,
 	}
 }
 
-// Validate returns all mistakes at once.
+// Validate returns one error that lists all invalid settings.
 func (s Settings) Validate() error {
 	var mistakes []string
 	require := func(ok bool, text string) {
@@ -80,22 +82,22 @@
 	require(s.Region != "", "region is empty")
 	require(s.DataCentre != "", "data centre is empty")
 	require(s.Stream != "", "stream is empty")
-	require(isIPPort(s.PeerAddress), "peer address isn't IP:port")
-	require(isIPPort(s.HTTPAddress), "HTTP address isn't IP:port")
-	require(isIPPort(s.OperatorAddress), "operator address isn't IP:port")
-	require(s.Policy.Name != "", "budget policy is empty")
-	require(s.HeartbeatInterval > 0, "heartbeat interval isn't positive")
-	require(s.SpendRight > 2*s.HeartbeatInterval, "spend right isn't above two heartbeat intervals")
-	require(s.LeaseTerm >= time.Second, "lease term is under a second")
-	require(s.Gather >= 0, "gather time is negative")
-	require(s.Appends.From > 0 && s.Appends.Answer > 0 && s.Appends.LeastRest > 0, "policy of appends isn't positive")
+	require(isIPPort(s.PeerAddress), "peer address is not IP:port")
+	require(isIPPort(s.HTTPAddress), "HTTP address is not IP:port")
+	require(isIPPort(s.OperatorAddress), "operator address is not IP:port")
+	require(s.BudgetPolicy.Name != "", "budget policy is empty")
+	require(s.HeartbeatInterval > 0, "heartbeat interval is not positive")
+	require(s.SpendRight > 2*s.HeartbeatInterval, "spend right is not longer than two heartbeat intervals")
+	require(s.LeaseTerm >= time.Second, "lease term is shorter than one second")
+	require(s.BatchDelay >= 0, "batch delay is negative")
+	require(s.GatherPolicy.From > 0 && s.GatherPolicy.Answer > 0 && s.GatherPolicy.LeastRest > 0, "gather policy has a value that is not positive")
 	require(s.ClaimChunk > 0, "claim chunk is zero")
 	require(s.AddressLifetime > 0, "address lifetime isn't positive")
 	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecret, "token secret is shorter than 32 bytes")
-	require(s.Snapshots.Records > 0 && s.Snapshots.Bytes > 0 && s.Snapshots.Age > 0, "snapshot policy isn't positive")
-	require(s.EventMemory > 0, "event memory is zero")
+	require(s.SnapshotPolicy.Records > 0 && s.SnapshotPolicy.Bytes > 0 && s.SnapshotPolicy.Age > 0, "snapshot policy has a value that is not positive")
+	require(s.EventCapacity > 0, "event capacity is not positive")
 	if len(mistakes) > 0 {
-		return errors.Errorf("settings: %s", strings.Join(mistakes, "; "))
+		return errors.Errorf("invalid settings: %s", strings.Join(mistakes, "; "))
 	}
 	return nil
 }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -17,13 +17,13 @@
 	snapshotPoll  = time.Second
 )
 
-// writeSnapshots writes the state again while this node holds the lease for it. Two
-// that write at the same time, as when a holder was paused, do no harm: their chunks
-// are told apart by their writers.
+// writeSnapshots writes snapshots of the state while this node holds the lease for that. Two
+// nodes that write at the same time, for example after a holder was paused, do no harm: chunks
+// are distinguished by their writers.
 func (n *Node) writeSnapshots(ctx context.Context) {
 	n.leases.Campaign(snapshotLease)
 	periodic.Run(ctx, n.deps.Clock, snapshotPoll, func(ctx context.Context) {
-		if _, held := n.leases.Held(snapshotLease); !held || !n.settings.Snapshots.Due(n.snapshots.Progress()) {
+		if _, held := n.leases.Held(snapshotLease); !held || !n.settings.SnapshotPolicy.Due(n.snapshots.Progress()) {
 			return
 		}
 		if err := n.writeSnapshot(ctx); err != nil && ctx.Err() == nil {
@@ -32,8 +32,8 @@
 	})
 }
 
-// writeSnapshot appends chunk after chunk and reads each back before the next, so
-// that they stand in order. The first that fails ends it.
+// writeSnapshot appends the chunks one by one and waits for each to be applied before the next,
+// so that they are in order in the log. It stops at the first chunk that fails.
 func (n *Node) writeSnapshot(ctx context.Context) error {
 	state, err := n.follower.State()
 	if err != nil {
--- a/node/status.go
+++ b/node/status.go
@@ -8,10 +8,10 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Nodes returns the fleet as this node sees it, itself first.
-func (n *Node) Nodes() []*operatorv1.NodeStatus {
+// NodeStatuses returns this node's view of the fleet, itself first.
+func (n *Node) NodeStatuses() []*operatorv1.NodeStatus {
 	self := nodeStatus(n.info, string(n.State()))
-	self.ConfigOffset = n.Offset()
+	self.ConfigOffset = n.AppliedOffset()
 	all := []*operatorv1.NodeStatus{self}
 	for _, member := range n.members.All() {
 		state := string(StateServing)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Serving returns nil when the node takes requests. A draining node still does:
-// callers keep its address for a while.
+// Serving returns nil if the node accepts requests, or else the error to answer with. A draining
+// node still accepts them, as callers keep using its address for a while.
 func (n *Node) Serving() error {
 	switch n.State() {
 	case StateServing, StateDraining:
--- a/node/streams_test.go
+++ b/node/streams_test.go
@@ -28,32 +28,32 @@
 	tokenTime    = 20 * time.Millisecond
 )
 
-// streamer generates streamTokens tokens for each request, whoever reads, and keeps
+// streamEngine generates streamTokens tokens for each request, regardless of readers, and stores
 // them.
-type streamer struct {
+type streamEngine struct {
 	upstream.Client
 	engines *testEngines
 	mu      sync.Mutex
 	streams map[string][]string
 }
 
-// Call answers no question about load: this engine only streams.
-func (s *streamer) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallResponse, error) {
+// Call returns an error for load queries: this engine only streams.
+func (s *streamEngine) Call(context.Context, *operatorv1.Upstream, upstream.CallRequest) (upstream.CallResponse, error) {
 	return upstream.CallResponse{}, result.New(result.NoUpstream, "this engine only streams")
 }
 
-func (s *streamer) Chat(_ context.Context, _ *operatorv1.Upstream, r upstream.ChatRequest) (upstream.ChatStream, error) {
+func (s *streamEngine) Chat(_ context.Context, _ *operatorv1.Upstream, r upstream.ChatRequest) (upstream.ChatStream, error) {
 	s.mu.Lock()
 	s.streams[r.ID] = nil
 	s.mu.Unlock()
 	go s.generate(r.ID)
-	return &generated{streamer: s, id: r.ID}, nil
+	return &generatedStream{engine: s, id: r.ID}, nil
 }
 
-func (s *streamer) generate(id string) {
+func (s *streamEngine) generate(id string) {
 	for i := range streamTokens {
 		time.Sleep(tokenTime)
-		s.engines.run(id, 1)
+		s.engines.addUsage(id, 1)
 		s.mu.Lock()
 		s.streams[id] = append(s.streams[id], fmt.Sprint("word", i))
 		s.mu.Unlock()
@@ -62,19 +62,19 @@
 
 // Resume makes testEngines an upstream.Resumer.
 func (e *testEngines) Resume(_ context.Context, _ *operatorv1.Upstream, id string, from uint64) (upstream.ChatStream, error) {
-	return &generated{streamer: e.Client.(*streamer), id: id, next: int(from)}, nil
+	return &generatedStream{engine: e.Client.(*streamEngine), id: id, next: int(from)}, nil
 }
 
-// generated reads one kept stream.
-type generated struct {
-	streamer *streamer
-	id       string
-	next     int
+// generatedStream reads one stored stream.
+type generatedStream struct {
+	engine *streamEngine
+	id     string
+	next   int
 }
 
-func (g *generated) Close() {}
+func (g *generatedStream) Close() {}
 
-func (g *generated) Next() (upstream.Chunk, error) {
+func (g *generatedStream) Next() (upstream.Chunk, error) {
 	defer func() { g.next++ }()
 	switch {
 	case g.next == streamTokens:
@@ -83,9 +83,9 @@
 		return upstream.Chunk{}, io.EOF
 	}
 	for {
-		g.streamer.mu.Lock()
-		words := g.streamer.streams[g.id]
-		g.streamer.mu.Unlock()
+		g.engine.mu.Lock()
+		words := g.engine.streams[g.id]
+		g.engine.mu.Unlock()
 		if len(words) > g.next {
 			return upstream.Chunk{Data: []byte("{}"), Content: words[g.next]}, nil
 		}
@@ -93,17 +93,17 @@
 	}
 }
 
-// streamCaller is a caller that reads a stream and may stall before a chunk.
+// streamCaller reads a stream and may stall before chunk stallAt.
 type streamCaller struct {
 	stallAt int
 	stalled chan struct{}
-	goOn    chan struct{}
+	resume  chan struct{}
 	cursors []string
 	words   []string
 }
 
 func newStreamCaller(stallAt int) *streamCaller {
-	return &streamCaller{stallAt: stallAt, stalled: make(chan struct{}), goOn: make(chan struct{})}
+	return &streamCaller{stallAt: stallAt, stalled: make(chan struct{}), resume: make(chan struct{})}
 }
 
 func (c *streamCaller) Start(budget.RequestID, string) {}
@@ -113,8 +113,8 @@
 func (c *streamCaller) Chunk(cursor string, chunk upstream.Chunk) error {
 	if len(c.cursors) == c.stallAt {
 		close(c.stalled)
-		<-c.goOn
-		return errors.New("the node is dead")
+		<-c.resume
+		return errors.New("the node has crashed")
 	}
 	c.cursors = append(c.cursors, cursor)
 	if chunk.Content != "" {
@@ -124,7 +124,7 @@
 }
 
 func (f *testFleet) declareChat() {
-	f.engines.Client = &streamer{engines: f.engines, streams: map[string][]string{}}
+	f.engines.Client = &streamEngine{engines: f.engines, streams: map[string][]string{}}
 	f.append(&recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{ChangeId: "chat", Changes: []*operatorv1.Change{
 		{AnyVersion: true, Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{Name: "a", KeySha256: []string{config.HashKey(streamKey)}}}}},
 		{AnyVersion: true, Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"m"}}}}},
@@ -140,14 +140,14 @@
 	})
 }
 
-// A router dies with a stream open, and the caller reads on at another one. It must
-// get the missing words once and the end, and once the dead router's requests are
-// recovered the account must have paid for the answer exactly once: the second
-// router bills nothing, recovery bills what the engine counted.
-func TestResumedStreamIsBilledOnceAfterACrash(t *testing.T) {
+// A node crashes with an open stream, and the caller resumes the stream on another node. It must
+// get each missing word once, and the end of the stream. After the recovery of the crashed node's
+// requests the account must have paid for the answer exactly once: the second node bills nothing,
+// recovery bills the engine's usage.
+func TestResumedStreamIsBilledOnceAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := startFleet(t, testPolicy, near, near, far)
+		f := startFleet(t, testPolicy, nearRegion, nearRegion, farRegion)
 		f.declareChat()
 		f.topUp(50_000)
 		first := newStreamCaller(4)
@@ -159,14 +159,14 @@
 		}()
 		<-first.stalled
 		f.crash(1)
-		rest := newStreamCaller(-1)
-		is.NoErr(f.nodes[2].Requests().ResumeChat(context.Background(), request.ResumeCall{Key: streamKey, Cursor: first.cursors[3]}, rest))
-		is.Equal(strings.Join(append(first.words, rest.words...), " "), "word0 word1 word2 word3 word4 word5 word6 word7 word8 word9")
-		is.Equal(len(first.cursors)+len(rest.cursors), streamTokens+1)
+		resumed := newStreamCaller(-1)
+		is.NoErr(f.nodes[2].Requests().ResumeChat(context.Background(), request.ResumeCall{Key: streamKey, Cursor: first.cursors[3]}, resumed))
+		is.Equal(strings.Join(append(first.words, resumed.words...), " "), "word0 word1 word2 word3 word4 word5 word6 word7 word8 word9")
+		is.Equal(len(first.cursors)+len(resumed.cursors), streamTokens+1)
 		f.awaitReleased(0, 1)
 		f.awaitBilled(0)
 		is.Equal(f.checkLedger(0).Spent, uint64(streamTokens))
-		close(first.goOn)
+		close(first.resume)
 		<-ended
 	})
 }
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -29,25 +29,25 @@
 )
 
 const (
-	near       = "gulf-maine"
-	far        = "southern-new-england"
+	nearRegion = "gulf-maine"
+	farRegion  = "southern-new-england"
 	testBudget = "b"
 	testEngine = "engine-1"
 )
 
-// testFleet is several real nodes over an in-memory network and log, under the
-// fake time of a synctest bubble.
+// testFleet runs real nodes over an in-memory network and log with fault injection, in the fake
+// time of a synctest bubble.
 type testFleet struct {
-	t       *testing.T
-	log     *standin.Log
-	net     *testNet
-	engines *testEngines
-	nodes   []*testNode
-	policy  budget.Policy
-	appends gather.Policy
-	topUps  int
-	// instances is the platform's list: it shows every instance that runs, also behind a
-	// cut, and none that crashed.
+	t            *testing.T
+	log          *standin.Log
+	net          *testNet
+	engines      *testEngines
+	nodes        []*testNode
+	budgetPolicy budget.Policy
+	gatherPolicy gather.Policy
+	sequence     int
+	// instances is the platform's list: it contains every running instance, including those cut
+	// off, and none that crashed.
 	instances *standin.Instances
 	listed    map[string]*platformv1.Instance
 }
@@ -58,21 +58,21 @@
 	done chan struct{}
 }
 
-// startFleet starts one node per region named and waits until all serve.
+// startFleet starts one node for each element of regions and waits until all serve.
 func startFleet(t *testing.T, policy budget.Policy, regions ...string) *testFleet {
-	return startGathering(t, gather.DefaultPolicy(), policy, regions...)
+	return startFleetWithGathering(t, gather.DefaultPolicy(), policy, regions...)
 }
 
-// startGathering starts a fleet as startFleet does, with a policy of appends.
-func startGathering(t *testing.T, appends gather.Policy, policy budget.Policy, regions ...string) *testFleet {
-	f := &testFleet{t: t, log: standin.NewLog(), net: newTestNet(), engines: newTestEngines(), policy: policy, appends: appends,
+// startFleetWithGathering is startFleet with a gather policy.
+func startFleetWithGathering(t *testing.T, gatherPolicy gather.Policy, budgetPolicy budget.Policy, regions ...string) *testFleet {
+	f := &testFleet{t: t, log: standin.NewLog(), net: newTestNet(), engines: newTestEngines(), budgetPolicy: budgetPolicy, gatherPolicy: gatherPolicy,
 		instances: standin.NewInstances(), listed: map[string]*platformv1.Instance{}}
 	for i, region := range regions {
 		f.nodes = append(f.nodes, f.start(i, region))
 	}
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if n.State() != StateServing || len(n.witnesses()) != len(regions)-1 {
+			if n.State() != StateServing || len(n.witnessCandidates()) != len(regions)-1 {
 				return false
 			}
 		}
@@ -88,21 +88,21 @@
 	return f
 }
 
-// start runs a node at place i; a later one at the same place replaces it.
+// start runs a node with index i; a later node with the same index replaces it.
 func (f *testFleet) start(i int, region string) *testNode {
 	is := is.New(f.t)
 	settings := DefaultSettings()
 	settings.Region, settings.DataCentre = region, fmt.Sprintf("%s-%d", region, i%2)
 	settings.PeerAddress = fmt.Sprintf("127.0.0.1:%d", 7000+i)
 	settings.HTTPAddress, settings.OperatorAddress = "127.0.0.1:1", "127.0.0.1:2"
-	settings.Appends = f.appends
-	settings.Policy, settings.SpendRight = f.policy, f.policy.SpendRight
+	settings.GatherPolicy = f.gatherPolicy
+	settings.BudgetPolicy, settings.SpendRight = f.budgetPolicy, f.budgetPolicy.SpendRight
 	settings.ClaimChunk = 1000
 	settings.AddressLifetime = time.Second
-	settings.EventMemory = 100_000
+	settings.EventCapacity = 100_000
 	settings.TokenSecret = make([]byte, signed.MinSecret)
-	f.topUps++
-	name := fmt.Sprintf("n%d-%d", i, f.topUps)
+	f.sequence++
+	name := fmt.Sprintf("n%d-%d", i, f.sequence)
 	node, err := New(settings, Deps{
 		Clock: clockwork.NewRealClock(), Log: &testLog{f, settings.PeerAddress}, Peers: &testCaller{f.net, settings.PeerAddress}, Instances: f.instances, Weights: standin.NewWeights(clockwork.NewRealClock(), time.Second),
 		Upstreams: f.engines, Logger: log.NewNopLogger(), NewIncarnation: func() string { return name },
@@ -110,7 +110,7 @@
 	is.NoErr(err)
 	ctx, kill := context.WithCancel(context.Background())
 	running := &testNode{Node: node, kill: kill, done: make(chan struct{})}
-	f.net.serve(settings.PeerAddress, region, node)
+	f.net.connect(settings.PeerAddress, region, node)
 	f.list(settings.PeerAddress, &platformv1.Instance{Address: settings.PeerAddress, Region: region, Role: "entry",
 		State: platformv1.InstanceState_INSTANCE_STATE_LIVE})
 	go func() {
@@ -120,15 +120,15 @@
 	return running
 }
 
-// crash ends a node at once: nothing that it holds is sent any more.
+// crash stops a node abruptly: it sends nothing that is pending.
 func (f *testFleet) crash(i int) {
-	f.net.silence(f.nodes[i].settings.PeerAddress)
+	f.net.isolate(f.nodes[i].settings.PeerAddress)
 	f.nodes[i].kill()
 	<-f.nodes[i].done
 	f.list(f.nodes[i].settings.PeerAddress, nil)
 }
 
-// list puts an instance into the platform's list, or takes it out when it is nil.
+// list adds an instance to the platform's list, or removes it if instance is nil.
 func (f *testFleet) list(address string, instance *platformv1.Instance) {
 	delete(f.listed, address)
 	if instance != nil {
@@ -141,17 +141,17 @@
 	for started := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
 		if time.Since(started) > 30*time.Hour {
 			f.logState()
-			f.t.Fatal("waited thirty hours in vain")
+			f.t.Fatal("condition not met within thirty hours")
 		}
 	}
 }
 
-// logState shows what a test that waits in vain needs to be understood.
+// logState logs the state of all nodes, to explain why a test timed out.
 func (f *testFleet) logState() {
 	for _, n := range f.nodes {
 		line := n.Ledger().Budget(testBudget)
-		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, told %d, remembers %d", n.Incarnation(), n.State(),
-			line.Spent, f.engines.used(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.teller.Len(), n.budgets.memory.Len())
+		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, reported %d, witnessing %d", n.Incarnation(), n.State(),
+			line.Spent, f.engines.totalUsed(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.replicator.Len(), n.budgets.witnessStore.Len())
 		events, _ := n.events.Since("")
 		for _, e := range events {
 			if e.Number >= event.SpendRightLapsed && e.Number <= event.WitnessChanged && e.Number != event.RecoveryWaiting {
@@ -163,8 +163,8 @@
 
 func (f *testFleet) append(entry *recordv1.Entry) {
 	is := is.New(f.t)
-	f.topUps++
-	data, err := proto.Marshal(&recordv1.Batch{Writer: fmt.Sprintf("operator-%d", f.topUps), Seq: 1, Entries: []*recordv1.Entry{entry}})
+	f.sequence++
+	data, err := proto.Marshal(&recordv1.Batch{Writer: fmt.Sprintf("operator-%d", f.sequence), Seq: 1, Entries: []*recordv1.Entry{entry}})
 	is.NoErr(err)
 	_, err = f.log.Append(context.Background(), "fleet", data)
 	is.NoErr(err)
@@ -172,7 +172,7 @@
 
 func (f *testFleet) topUp(tokens uint64) {
 	f.append(&recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{
-		TopUp: &operatorv1.TopUp{Id: fmt.Sprint("top-up-", f.topUps), Budget: testBudget, Tokens: tokens},
+		TopUp: &operatorv1.TopUp{Id: fmt.Sprint("top-up-", f.sequence), Budget: testBudget, Tokens: tokens},
 	}}})
 	time.Sleep(time.Second)
 }
@@ -185,7 +185,7 @@
 	}}}})
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if !n.engines().ReportsUsage(testEngine) {
+			if !n.recoveryEngines().ReportsUsage(testEngine) {
 				return false
 			}
 		}
@@ -193,7 +193,7 @@
 	})
 }
 
-// request runs one request on a node: the engine uses the tokens.
+// request runs one request on node i that reserves and uses the given numbers of tokens.
 func (f *testFleet) request(i int, reserve, use uint64) error {
 	grant, err := f.nodes[i].budgets.reserver.Reserve(context.Background(), testBudget, reserve)
 	if err != nil {
@@ -203,12 +203,12 @@
 		grant.Finish(0)
 		return err
 	}
-	f.engines.run(grant.Request().String(), use)
+	f.engines.addUsage(grant.Request().String(), use)
 	grant.Finish(use)
 	return nil
 }
 
-// checkLedger asserts what must hold at every moment, as a node folds it.
+// checkLedger asserts the ledger's invariants on node i and returns the test budget's line.
 func (f *testFleet) checkLedger(i int) budget.Line {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -219,40 +219,40 @@
 	return line
 }
 
-// awaitBilled waits until what the engines used is billed, neither more nor less.
+// awaitBilled waits until exactly what the engines used is billed, neither more nor less.
 func (f *testFleet) awaitBilled(i int) {
 	f.t.Helper()
-	f.await(func() bool { return f.checkLedger(i).Spent >= f.engines.used() })
+	f.await(func() bool { return f.checkLedger(i).Spent >= f.engines.totalUsed() })
 	time.Sleep(time.Minute)
-	is.New(f.t).Equal(f.checkLedger(i).Spent, f.engines.used())
+	is.New(f.t).Equal(f.checkLedger(i).Spent, f.engines.totalUsed())
 }
 
-// testNet passes requests between nodes of one process. A cut, silent or lossy
-// path shows to the caller as an answer that never comes.
+// testNet delivers requests between nodes of one process. If a path is cut, isolated or lossy, the
+// caller never gets a response.
 type testNet struct {
-	mu      sync.Mutex
-	nodes   map[string]*Node
-	regions map[string]string
-	cut     bool
-	silent  map[string]bool
-	// lose decides on an answer's loss after the request took effect.
-	lose func(*fleetv1.Request) bool
+	mu       sync.Mutex
+	nodes    map[string]*Node
+	regions  map[string]string
+	cut      bool
+	isolated map[string]bool
+	// loseAnswer decides whether the response is lost after the request took effect.
+	loseAnswer func(*fleetv1.Request) bool
 }
 
 func newTestNet() *testNet {
-	return &testNet{nodes: map[string]*Node{}, regions: map[string]string{}, silent: map[string]bool{}}
+	return &testNet{nodes: map[string]*Node{}, regions: map[string]string{}, isolated: map[string]bool{}}
 }
 
-func (n *testNet) serve(address, region string, node *Node) {
+func (n *testNet) connect(address, region string, node *Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[address], n.regions[address], n.silent[address] = node, region, false
+	n.nodes[address], n.regions[address], n.isolated[address] = node, region, false
 }
 
-func (n *testNet) silence(address string) {
+func (n *testNet) isolate(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[address] = true
+	n.isolated[address] = true
 }
 
 func (n *testNet) setCut(cut bool) {
@@ -261,22 +261,22 @@
 	n.cut = cut
 }
 
-func (n *testNet) loseAnswers(lose func(*fleetv1.Request) bool) {
+func (n *testNet) loseAnswers(loseAnswer func(*fleetv1.Request) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = lose
+	n.loseAnswer = loseAnswer
 }
 
-// reaches tells whether a message from one address arrives at another or, for an
-// empty one, at the log, which stands in the near region.
+// reaches reports whether a message from one address arrives at another or, if to is empty, at the
+// log, which is in the near region.
 func (n *testNet) reaches(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	toRegion := near
+	toRegion := nearRegion
 	if to != "" {
 		toRegion = n.regions[to]
 	}
-	return !n.silent[from] && !n.silent[to] && (!n.cut || n.regions[from] == toRegion)
+	return !n.isolated[from] && !n.isolated[to] && (!n.cut || n.regions[from] == toRegion)
 }
 
 type testCaller struct {
@@ -291,18 +291,18 @@
 		return nil, errors.Trace(ctx.Err())
 	}
 	c.net.mu.Lock()
-	node, lose := c.net.nodes[address], c.net.lose
+	node, loseAnswer := c.net.nodes[address], c.net.loseAnswer
 	c.net.mu.Unlock()
 	response := proto.CloneOf(node.HandlePeer(ctx, proto.CloneOf(r)))
 	time.Sleep(time.Millisecond)
-	if !c.net.reaches(c.from, address) || lose != nil && lose(r) {
+	if !c.net.reaches(c.from, address) || loseAnswer != nil && loseAnswer(r) {
 		<-ctx.Done()
 		return nil, errors.Trace(ctx.Err())
 	}
 	return response, nil
 }
 
-// testLog is the log as one node reaches it.
+// testLog is one node's connection to the log.
 type testLog struct {
 	fleet   *testFleet
 	address string
@@ -324,48 +324,48 @@
 	return l.fleet.log.Read(ctx, stream, from, max, wait)
 }
 
-// testEngines counts what requests used, as the engines of a fleet would.
+// testEngines records the usage of requests, as the engines of a fleet would.
 type testEngines struct {
 	upstream.Client
 	mu        sync.Mutex
-	counted   map[string]uint64
+	usage     map[string]uint64
 	cancelled map[string]bool
-	// hidden holds what ran at engines that can't be asked now.
+	// hidden is the usage at engines that can't be queried now.
 	hidden map[string]uint64
 	down   bool
 }
 
 func newTestEngines() *testEngines {
-	return &testEngines{counted: map[string]uint64{}, cancelled: map[string]bool{}, hidden: map[string]uint64{}}
+	return &testEngines{usage: map[string]uint64{}, cancelled: map[string]bool{}, hidden: map[string]uint64{}}
 }
 
-func (e *testEngines) run(id string, tokens uint64) {
+func (e *testEngines) addUsage(id string, tokens uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.cancelled[id] {
-		e.counted[id] += tokens
+		e.usage[id] += tokens
 	}
 }
 
-// hide is run for a request whose engine can't be asked before show.
-func (e *testEngines) hide(id string, tokens uint64) {
+// addHiddenUsage adds the usage of a request whose engine can't be queried before revealHidden.
+func (e *testEngines) addHiddenUsage(id string, tokens uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.hidden[id] = tokens
 }
 
-func (e *testEngines) show() {
+func (e *testEngines) revealHidden() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	maps.Copy(e.counted, e.hidden)
+	maps.Copy(e.usage, e.hidden)
 	clear(e.hidden)
 }
 
-func (e *testEngines) used() uint64 {
+func (e *testEngines) totalUsed() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	total := uint64(0)
-	for _, tokens := range e.counted {
+	for _, tokens := range e.usage {
 		total += tokens
 	}
 	return total
@@ -378,9 +378,9 @@
 		return upstream.UsageReport{}, errors.New("the engine is down")
 	}
 	if _, hidden := e.hidden[id]; hidden {
-		return upstream.UsageReport{}, errors.New("the engine is out of reach")
+		return upstream.UsageReport{}, errors.New("the engine is unreachable")
 	}
-	if tokens, known := e.counted[id]; known {
+	if tokens, known := e.usage[id]; known {
 		return upstream.UsageReport{State: upstream.UsageFinished, Usage: upstream.Usage{CompletionTokens: tokens}}, nil
 	}
 	return upstream.UsageReport{State: upstream.UsageUnknown}, nil
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	gatherTimeout = 2 * time.Second
-	// timelineLimit keeps an answer below what gRPC carries in one message, 4 MB.
+	eventsTimeout = 2 * time.Second
+	// timelineLimit keeps a response below gRPC's message limit of 4 MB.
 	timelineLimit = 10_000
 )
 
-// Timeline returns the events that carry id, of this node or of all that it
-// reaches, in the order of the hybrid logical clock.
+// Timeline returns the events with id in the order of the hybrid logical clock. If fleet is
+// set, it includes the events of all nodes that this one reaches.
 func (n *Node) Timeline(ctx context.Context, id string, fleet bool) *operatorv1.EventsResponse {
 	all := n.localEvents(id)
 	if fleet {
 		for _, member := range n.members.All() {
-			n.gather(ctx, member.Node.GetPeerAddress(), id, all)
+			n.collectEvents(ctx, member.Node.GetPeerAddress(), id, all)
 		}
 	}
-	merged := event.Merge(fromWire(all.Events))
+	merged := event.Merge(eventsFromProto(all.Events))
 	if over := len(merged) - timelineLimit; over > 0 {
 		merged = merged[over:]
 		all.Dropped += uint64(over)
 	}
-	all.Events = toWire(merged)
+	all.Events = eventsToProto(merged)
 	return all
 }
 
-func (n *Node) gather(ctx context.Context, address, id string, into *operatorv1.EventsResponse) {
-	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, gatherTimeout)
+func (n *Node) collectEvents(ctx context.Context, address, id string, into *operatorv1.EventsResponse) {
+	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, eventsTimeout)
 	defer cancel()
 	answer, err := n.deps.Peers.Call(ctx, address, &fleetv1.Request{
 		From: n.Incarnation(), Hlc: uint64(n.events.Clock().Now()),
--- a/node/watchers.go
+++ b/node/watchers.go
@@ -6,10 +6,10 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// watchBuffer is how many resources a slow watcher may lag behind.
+// watchBuffer is the number of resources by which a slow watcher may lag.
 const watchBuffer = 1024
 
-// watchers tells operators' watches of resources as they take effect.
+// watchers notifies operators' watches of resources as they take effect.
 type watchers struct {
 	mu   sync.Mutex
 	subs map[chan *operatorv1.VersionedResource]struct{}
@@ -24,21 +24,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.subs[sub] = struct{}{}
-	return sub, func() { w.drop(sub) }
+	return sub, func() { w.unsubscribe(sub) }
 }
 
-func (w *watchers) drop(sub chan *operatorv1.VersionedResource) {
+func (w *watchers) unsubscribe(sub chan *operatorv1.VersionedResource) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, held := w.subs[sub]; held {
+	if _, subscribed := w.subs[sub]; subscribed {
 		delete(w.subs, sub)
 		close(sub)
 	}
 }
 
-// tell never blocks the folding goroutine: a watcher that lags too far is closed
+// notify never blocks the goroutine that applies batches: a watcher that lags too far is closed
 // and must list again.
-func (w *watchers) tell(r *operatorv1.VersionedResource) {
+func (w *watchers) notify(r *operatorv1.VersionedResource) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for sub := range w.subs {
@@ -51,6 +51,6 @@
 	}
 }
 
-// Watch delivers resources as they take effect, until the returned function is
-// called or the watcher lags too far.
+// Watch returns a channel of the resources that take effect. It is closed when the returned
+// function is called or when the watcher lags too far.
 func (n *Node) Watch() (<-chan *operatorv1.VersionedResource, func()) { return n.watchers.subscribe() }
--- a/node/witness.go
+++ b/node/witness.go
@@ -10,29 +10,29 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-func (n *Node) newTeller() *witness.Replicator {
+func (n *Node) newReplicator() *witness.Replicator {
 	return witness.NewReplicator(witness.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Caller: n.deps.Peers, Events: n.events,
-		Candidates: n.witnesses, OnlyNode: n.alone,
-		LogReachable: n.logReachable, Required: n.settings.Policy.WitnessRequired,
+		Candidates: n.witnessCandidates, OnlyNode: n.isOnlyNode,
+		LogReachable: n.logReachable, Required: n.settings.BudgetPolicy.WitnessRequired,
 	})
 }
 
-// alone tells whether the log holds no other node open. The table of members would
-// say so too for the first second of a node's life, whatever the fleet.
-func (n *Node) alone() bool { return n.ledger.OpenIncarnations() <= 1 }
+// isOnlyNode reports whether no other incarnation is open in the log. The table of members
+// can't be used: it is empty for the first second after a node's start, whatever the fleet.
+func (n *Node) isOnlyNode() bool { return n.ledger.OpenIncarnations() <= 1 }
 
-// witnesses lists the nodes that may be a witness, best first: another data centre
-// of the region survives what stops this one, and is near; another region is slow
-// to tell and may be cut off when it is asked.
-func (n *Node) witnesses() []witness.Candidate {
+// witnessCandidates returns the nodes that may be a witness, best first. Another data centre of
+// the region survives what stops this one and is near; another region is slow to reach and may
+// be cut off when it is queried.
+func (n *Node) witnessCandidates() []witness.Candidate {
 	var usable []membership.Member
 	for _, member := range n.members.All() {
 		if !member.Suspect && !member.Draining {
 			usable = append(usable, member)
 		}
 	}
-	sort.SliceStable(usable, func(i, j int) bool { return n.distance(usable[i]) < n.distance(usable[j]) })
+	sort.SliceStable(usable, func(i, j int) bool { return n.witnessRank(usable[i]) < n.witnessRank(usable[j]) })
 	var candidates []witness.Candidate
 	for _, member := range usable {
 		candidates = append(candidates, witness.Candidate{
@@ -42,7 +42,7 @@
 	return candidates
 }
 
-func (n *Node) distance(member membership.Member) int {
+func (n *Node) witnessRank(member membership.Member) int {
 	switch {
 	case member.Node.GetRegion() != n.settings.Region:
 		return 2
@@ -53,24 +53,24 @@
 	}
 }
 
-// remember takes in what another node says of its requests. A node that is leaving
-// or closed refuses: what it remembered would go with it.
-func (n *Node) remember(from string, said *fleetv1.Witness) error {
+// updateWitness stores what another node reports about its requests. A leaving or closed node
+// refuses, as the stored reports would be lost with it.
+func (n *Node) updateWitness(from string, update *fleetv1.Witness) error {
 	if n.State() != StateServing && n.State() != StateStarting {
 		return result.New(result.Draining, "the node is leaving")
 	}
-	return n.budgets.memory.Update(from, said)
+	return n.budgets.witnessStore.Update(from, update)
 }
 
-func (n *Node) witnessReport(query *fleetv1.WitnessQuery) (*fleetv1.WitnessReport, error) {
+func (n *Node) handleWitnessQuery(query *fleetv1.WitnessQuery) (*fleetv1.WitnessReport, error) {
 	if query.GetWitness() != n.Incarnation() {
 		return nil, result.New(result.IncarnationClosed, "incarnation %s isn't here any more", query.GetWitness())
 	}
 	return &fleetv1.WitnessReport{Open: n.budgets.recoverer.Report(query.GetIncarnation())}, nil
 }
 
-// passOnWitnessed hands what this node remembers for others to another node.
-// Without it a crash before a graceful stop would leave requests that nobody knows.
-func (n *Node) passOnWitnessed(ctx context.Context) error {
-	return n.budgets.teller.HandOver(ctx, n.budgets.memory.All())
+// handOverWitnessed hands the requests that this node witnesses to another node. Otherwise, if
+// a node crashed before its witness stopped gracefully, its requests would be lost.
+func (n *Node) handOverWitnessed(ctx context.Context) error {
+	return n.budgets.replicator.HandOver(ctx, n.budgets.witnessStore.All())
 }
