--- a/allotment/grants.go
+++ b/allotment/grants.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Lost does nothing: the reporter logs when the same store is unreachable.
-func (g *GrantHandler) Lost(error) {}
+// ReadFailed does nothing: the reporter logs when the same store is unreachable.
+func (g *GrantHandler) ReadFailed(error) {}
 
-// Caught does nothing.
-func (g *GrantHandler) Caught(keyedlog.Reading) {}
+// ReadSucceeded does nothing.
+func (g *GrantHandler) ReadSucceeded(keyedlog.ReadStats) {}
--- a/allotment/planner_test.go
+++ b/allotment/planner_test.go
@@ -64,7 +64,7 @@
 	term, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(term.round(ctx))
-	is.NoErr(n.grants.Step(ctx))
+	is.NoErr(n.grants.Poll(ctx))
 	is.NoErr(n.reporter.Report(ctx))
 	is.Equal(n.share.Reserve("a", 5_000, 1_000_000), prepaid.ReportRequired)
 	is.NoErr(n.reporter.Report(ctx))
--- a/allotment/term.go
+++ b/allotment/term.go
@@ -37,7 +37,7 @@
 	if !known {
 		return nil
 	}
-	if err := t.follower.Step(ctx); err != nil {
+	if err := t.follower.Poll(ctx); err != nil {
 		return errors.Trace(err)
 	}
 	t.epoch++
@@ -130,8 +130,8 @@
 	}
 }
 
-// Lost does nothing: a failed round ends the term, which is logged.
-func (t *reportHandler) Lost(error) {}
+// ReadFailed does nothing: a failed round ends the term, which is logged.
+func (t *reportHandler) ReadFailed(error) {}
 
-// Caught does nothing.
-func (t *reportHandler) Caught(keyedlog.Reading) {}
+// ReadSucceeded does nothing.
+func (t *reportHandler) ReadSucceeded(keyedlog.ReadStats) {}
--- a/cmd/lavenderctl/lost.go
+++ b/cmd/lavenderctl/lost.go
@@ -31,7 +31,7 @@
 		return errors.Trace(err)
 	}
 	for _, i := range report.Worst(c.Worst) {
-		fmt.Printf("worst: %s, %.2f served, %d lost\n", i.Begin.UTC().Format(time.TimeOnly), i.Share(), i.Lost())
+		fmt.Printf("worst: %s, %.2f served, %d lost\n", i.Start.UTC().Format(time.TimeOnly), i.ServedFraction(), i.Lost())
 	}
 	if c.Plot == "" || len(report.Intervals) == 0 {
 		return nil
--- a/cmd/lavenderedge/run.go
+++ b/cmd/lavenderedge/run.go
@@ -154,7 +154,7 @@
 		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacity(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
 		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RepeatRatio, Extra: p.settings.Bounds.RepeatExtra, Window: p.settings.Bounds.RepeatWindow},
 	}, edgenode.Deps{
-		Clock: p.clock, TimeOfDay: p.clocks().Wall, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{HTTP: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
+		Clock: p.clock, WallClock: p.clocks().Wall, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{HTTP: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
 		Topics: edgenode.Topics{Operators: store.Operators(), Upstreams: store.Upstreams(), Presence: store.Topic("presence"),
 			Spend: store.Topic("spend"), Ledger: store.Topic("ledger"), Grants: store.Topic("grants")},
 		DecodeConfig: platform.DecodeConfig, DecodeUpstream: platform.DecodeUpstream,
@@ -163,7 +163,7 @@
 		return errors.Trace(err)
 	}
 	p.node = node
-	expvar.Publish("log_readings", expvar.Func(func() any { return node.Readings() }))
+	expvar.Publish("log_readings", expvar.Func(func() any { return node.TopicStats() }))
 	p.serveMetrics()
 	go p.sweep(ctx)
 	return p.listen()
--- a/edgenode/bubble_test.go
+++ b/edgenode/bubble_test.go
@@ -202,7 +202,7 @@
 	n, err := Start(context.Background(), Settings{Node: name, Incarnation: "new-" + name, Start: prepaid.ProcessStart{ClockReading: clocks.Read(), BootID: "boot-" + name},
 		Address: name, Peer: name, Capacity: s.capacity, DataCentre: s.dataCentre, Region: s.region, Regions: map[string]string{s.dataCentre: s.region},
 		Repeats: repeats.Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}},
-		Deps{Clock: bubbleClock{}, TimeOfDay: clocks.Wall, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
+		Deps{Clock: bubbleClock{}, WallClock: clocks.Wall, Topics: s.topics, Upstreams: answering{}, Lending: noLender{}, Peers: b,
 			Events:  event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), name, 64, log.NewNopLogger()),
 			Metrics: gateway.NewMetrics(false), DecodeConfig: decode, DecodeUpstream: decodeEntry})
 	if err != nil {
--- a/edgenode/confighandler.go
+++ b/edgenode/confighandler.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Lost keeps the configuration in force.
-func (h *configHandler) Lost(err error) { h.readings.lost(err) }
+// ReadFailed keeps the configuration in force.
+func (h *configHandler) ReadFailed(err error) { h.readings.lost(err) }
 
-// Caught logs a reading that came late.
-func (h *configHandler) Caught(r keyedlog.Reading) { h.readings.caught(r) }
+// ReadSucceeded logs a reading that came late.
+func (h *configHandler) ReadSucceeded(r keyedlog.ReadStats) { h.readings.caught(r) }
--- a/edgenode/deps.go
+++ b/edgenode/deps.go
@@ -42,8 +42,8 @@
 // Deps are what a node works with.
 type Deps struct {
 	Clock bootclock.Clock
-	// TimeOfDay is the instance's time of day.
-	TimeOfDay prepaid.WallClock
+	// WallClock is the instance's time of day.
+	WallClock prepaid.WallClock
 	Topics    Topics
 	Upstreams gateway.Upstreams
 	// Lending carries asks to other nodes.
--- a/edgenode/fulllink_test.go
+++ b/edgenode/fulllink_test.go
@@ -96,7 +96,7 @@
 
 // Every node of a region reads a large configuration over the same narrow link: it comes late,
 // and so does the news that an upstream leaves.
-func TestLargeConfigurationFillsTheLinkBetweenRegions(t *testing.T) {
+func TestLargeConfigurationsPropagateOverNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBubble(t)
@@ -110,7 +110,7 @@
 }
 
 // The nodes that others fetch from look alive in the store and answer no node.
-func TestSilentPeersKeepNodesBehind(t *testing.T) {
+func TestUnresponsivePeersDoNotDelayNodes(t *testing.T) {
 	for _, silent := range [][]string{{"far-0-0"}, {"far-0-0", "far-0-1"}} {
 		t.Run(fmt.Sprint(len(silent)), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -129,7 +129,7 @@
 
 // All nodes lose power and come back at once: each reads the whole configuration, and the ones
 // beyond the link know none for seconds.
-func TestPowerLossFillsTheLinkWithConfigurations(t *testing.T) {
+func TestConfigurationPropagatesAfterPowerLoss(t *testing.T) {
 	const dataCentres, nodes = 3, 14
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -70,12 +70,12 @@
 	n.stop = stop
 	n.follow(loops, n.operators(), &configHandler{n, n.logReadings("config")}, configPace)
 	upstreams := upstreamPace
-	upstreams.Extra = n.quietExtra
+	upstreams.ExtraPause = n.quietExtra
 	n.follow(loops, n.upstreams(), &upstreamHandler{n, n.logReadings("upstreams")}, upstreams)
 	nodes := presencePace
-	nodes.Extra = n.presenceExtra
+	nodes.ExtraPause = n.presenceExtra
 	n.follow(loops, deps.Topics.Presence, &presenceHandler{node: n, readings: n.logReadings("presence")}, nodes)
-	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.TimeOfDay}
+	clocks := prepaid.Clocks{Boot: deps.Clock, Wall: deps.WallClock}
 	holder := prepaid.Holder{Node: settings.Node, Region: settings.Region, Capacity: settings.Capacity, Incarnation: settings.Incarnation, BootID: settings.Start.BootID}
 	n.share = prepaid.NewShare(prepaid.DefaultSettings(), clocks, holder)
 	n.announcer = &announcer{node: n}
@@ -90,7 +90,7 @@
 		DataCentre: settings.DataCentre, Region: settings.Region,
 	})
 	grants := grantPace
-	grants.Extra = n.grantExtra
+	grants.ExtraPause = n.grantExtra
 	n.follow(loops, deps.Topics.Grants, n.grants, grants)
 	n.run(loops, n.expireLoans)
 	n.run(loops, n.reportOn)
--- a/edgenode/pace.go
+++ b/edgenode/pace.go
@@ -12,13 +12,13 @@
 var (
 	// configPace: a change must be in force within three seconds of its writing, also if the
 	// reading before it was lost and all must be read again.
-	configPace = keyedlog.Options{Wait: time.Second, Pause: 50 * time.Millisecond, Slack: 700 * time.Millisecond, Retry: 250 * time.Millisecond}
+	configPace = keyedlog.Options{Wait: time.Second, Pause: 50 * time.Millisecond, Slack: 700 * time.Millisecond, RetryPause: 250 * time.Millisecond}
 	// upstreamPace: a leaving upstream must get nothing new three seconds after.
-	upstreamPace = keyedlog.Options{Wait: 1500 * time.Millisecond, Pause: 400 * time.Millisecond, Slack: 700 * time.Millisecond, Retry: 250 * time.Millisecond}
+	upstreamPace = keyedlog.Options{Wait: 1500 * time.Millisecond, Pause: 400 * time.Millisecond, Slack: 700 * time.Millisecond, RetryPause: 250 * time.Millisecond}
 	// presencePace: callers keep addresses for two seconds, so half a second more matters little.
-	presencePace = keyedlog.Options{Wait: 400 * time.Millisecond, Pause: 400 * time.Millisecond, Slack: 700 * time.Millisecond, Retry: 300 * time.Millisecond}
+	presencePace = keyedlog.Options{Wait: 400 * time.Millisecond, Pause: 400 * time.Millisecond, Slack: 700 * time.Millisecond, RetryPause: 300 * time.Millisecond}
 	// grantPace: a caller that was told to return after a second should find the grant.
-	grantPace = keyedlog.Options{Wait: 1500 * time.Millisecond, Pause: 150 * time.Millisecond, Slack: 700 * time.Millisecond, Retry: 250 * time.Millisecond}
+	grantPace = keyedlog.Options{Wait: 1500 * time.Millisecond, Pause: 150 * time.Millisecond, Slack: 700 * time.Millisecond, RetryPause: 250 * time.Millisecond}
 )
 
 // quietPause lengthens the pause between readings on a node that holds no tokens and has no
--- a/edgenode/presencehandler.go
+++ b/edgenode/presencehandler.go
@@ -40,15 +40,15 @@
 // tried tells those who wait for the first reading that it is over.
 func (h *presenceHandler) tried() { h.first.Do(func() { close(h.node.rosterTried) }) }
 
-// Lost stops the clock by which silent nodes are dropped.
-func (h *presenceHandler) Lost(err error) {
+// ReadFailed stops the clock by which silent nodes are dropped.
+func (h *presenceHandler) ReadFailed(err error) {
 	h.node.roster.ReadFailed()
 	h.readings.lost(err)
 	h.tried()
 }
 
-// Caught lets it run and logs which nodes came or went.
-func (h *presenceHandler) Caught(r keyedlog.Reading) {
+// ReadSucceeded lets it run and logs which nodes came or went.
+func (h *presenceHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.readings.caught(r)
 	h.node.roster.ReadSucceeded()
 	h.tried()
--- a/edgenode/readinglog.go
+++ b/edgenode/readinglog.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *readingLog) caught(r keyedlog.Reading) {
+func (l *readingLog) caught(r keyedlog.ReadStats) {
 	l.caughtAt.Store(int64(l.clock.Now()))
 	failed := l.failed
 	l.failed = 0
@@ -49,26 +49,26 @@
 	switch {
 	case failed > 0:
 		number = event.LogReachable
-	case r.Late <= lateReading:
+	case r.Delay <= lateReading:
 		return
 	}
-	l.events.Record(number, "topic", l.topic, "failed", failed, "since_ms", r.Since.Milliseconds(), "late_ms", r.Late.Milliseconds(),
-		"took_ms", r.Took.Milliseconds(), "records", r.Records, "bytes", r.Bytes)
+	l.events.Record(number, "topic", l.topic, "failed", failed, "since_ms", r.SinceLast.Milliseconds(), "late_ms", r.Delay.Milliseconds(),
+		"took_ms", r.Duration.Milliseconds(), "records", r.Records, "bytes", r.Bytes)
 }
 
-// ReadingStats tells how a topic is being read.
-type ReadingStats struct {
+// TopicStats tells how a topic is being read.
+type TopicStats struct {
 	// AgeMs is how long ago a reading last succeeded, in milliseconds; -1 before the first.
 	AgeMs int64 `json:"age_ms"`
 	// Failures counts failed readings.
 	Failures int64 `json:"failures"`
 }
 
-// Readings returns how each topic is being read, by name.
-func (n *Node) Readings() map[string]ReadingStats {
-	stats := make(map[string]ReadingStats, len(n.readings))
+// TopicStats returns how each topic is being read, by name.
+func (n *Node) TopicStats() map[string]TopicStats {
+	stats := make(map[string]TopicStats, len(n.readings))
 	for _, l := range n.readings {
-		s := ReadingStats{AgeMs: -1, Failures: l.failures.Load()}
+		s := TopicStats{AgeMs: -1, Failures: l.failures.Load()}
 		if at := time.Duration(l.caughtAt.Load()); at != 0 {
 			s.AgeMs = (l.clock.Now() - at).Milliseconds()
 		}
--- a/edgenode/readinglog_test.go
+++ b/edgenode/readinglog_test.go
@@ -16,18 +16,18 @@
 
 // A reading that failed or was late must leave a line, and a store that is away for long must
 // not fill the log with them.
-func TestLogsLossAndReturnOfReadings(t *testing.T) {
+func TestLogsReadFailureAndRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		events := event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), "n", 64, log.NewNopLogger())
 		l := &readingLog{topic: "config", events: events, clock: bubbleClock{}}
-		l.caught(keyedlog.Reading{})
+		l.caught(keyedlog.ReadStats{})
 		for range 5 {
 			l.lost(errors.New("away"))
 		}
-		l.caught(keyedlog.Reading{Since: 6 * time.Second, Late: 4 * time.Second, Bytes: 7})
-		l.caught(keyedlog.Reading{Late: lateReading})
-		l.caught(keyedlog.Reading{Late: lateReading + time.Millisecond, Took: 2 * time.Second})
+		l.caught(keyedlog.ReadStats{SinceLast: 6 * time.Second, Delay: 4 * time.Second, Bytes: 7})
+		l.caught(keyedlog.ReadStats{Delay: lateReading})
+		l.caught(keyedlog.ReadStats{Delay: lateReading + time.Millisecond, Duration: 2 * time.Second})
 		var numbers []event.Number
 		recorded, _ := events.After(0, 64)
 		for _, e := range recorded {
@@ -40,6 +40,6 @@
 
 		n := &Node{readings: []*readingLog{l}, deps: Deps{Clock: bubbleClock{}}}
 		time.Sleep(time.Second)
-		is.Equal(n.Readings()["config"], ReadingStats{AgeMs: 1000, Failures: 5})
+		is.Equal(n.TopicStats()["config"], TopicStats{AgeMs: 1000, Failures: 5})
 	})
 }
--- a/edgenode/reports.go
+++ b/edgenode/reports.go
@@ -48,7 +48,7 @@
 func (n *Node) readEarlier(ctx context.Context) (allotment.PredecessorRecords, error) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, earlierTimeout)
-		earlier, err := allotment.ReadPredecessors(call, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.TimeOfDay)
+		earlier, err := allotment.ReadPredecessors(call, n.deps.Topics.Spend, n.settings.Node, n.settings.Start, n.deps.WallClock)
 		cancel()
 		if err == nil {
 			return earlier, nil
--- a/edgenode/start_test.go
+++ b/edgenode/start_test.go
@@ -20,7 +20,7 @@
 // All nodes lose power and come back at once. The store still shows their earlier
 // incarnations as nodes that serve, and nobody plans until they count as silent; callers'
 // prompts are refused for more than a second.
-func TestFleetIsGrantedSoonAfterAPowerLoss(t *testing.T) {
+func TestFleetGetsGrantsSoonAfterPowerLoss(t *testing.T) {
 	for _, size := range []int{6, 83} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -37,7 +37,7 @@
 
 // A fleet comes back while the store is silent. Once the store is back, callers must not
 // wait for the time limits of what was asked of it before.
-func TestFleetServesSoonAfterASilentStoreIsBack(t *testing.T) {
+func TestFleetServesSoonAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBubble(t)
@@ -114,7 +114,7 @@
 
 // Every node writes and all others read it: at a hundred nodes, readings as frequent as at
 // six fill the store's budget of calls with news of nodes that nobody waits for.
-func TestReadingsGrowRarerWithTheFleet(t *testing.T) {
+func TestReadRateDropsWithFleetSize(t *testing.T) {
 	const watched = 20 * time.Second
 	readings := func(size int) (nodes, grants float64) {
 		synctest.Test(t, func(t *testing.T) {
--- a/edgenode/startlink_test.go
+++ b/edgenode/startlink_test.go
@@ -21,7 +21,7 @@
 
 // Guards against a start of a large fleet that fills the link between regions with copies of
 // the upstreams' entries: changes of the configuration waited behind them for seconds.
-func TestStartOfALargeFleetFillsTheLinkWithUpstreams(t *testing.T) {
+func TestLargeFleetStartDoesNotSaturateLink(t *testing.T) {
 	for name, small := range map[string]int{"small nodes start one by one": smallCapacity / 2, "all at once": smallCapacity} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { startLargeFleet(t, small) })
--- a/edgenode/upstreamhandler.go
+++ b/edgenode/upstreamhandler.go
@@ -64,15 +64,15 @@
 	return e, true
 }
 
-// Lost keeps the entries and notes that they may lapse with the store.
-func (h *upstreamHandler) Lost(err error) {
+// ReadFailed keeps the entries and notes that they may lapse with the store.
+func (h *upstreamHandler) ReadFailed(err error) {
 	h.node.directory.RecordStoreFailure()
 	h.node.directory.Expire()
 	h.readings.lost(err)
 }
 
-// Caught drops doubted upstreams whose time is over.
-func (h *upstreamHandler) Caught(r keyedlog.Reading) {
+// ReadSucceeded drops doubted upstreams whose time is over.
+func (h *upstreamHandler) ReadSucceeded(r keyedlog.ReadStats) {
 	h.node.directory.Expire()
 	h.readings.caught(r)
 }
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -92,8 +92,8 @@
 	c.idle[address] = append(c.idle[address], cn)
 }
 
-// Forget closes the kept connections to a peer that is gone.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the kept connections to a peer that is gone.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cn := range c.idle[address] {
--- a/httpwire/client_test.go
+++ b/httpwire/client_test.go
@@ -85,7 +85,7 @@
 
 // An upstream closes a kept connection as the next request is on its way. Common clients
 // send such a request again by themselves; an order filed that way may run twice.
-func TestNeverSendsTwice(t *testing.T) {
+func TestNeverResendsRequest(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(n int64, _ *http.Request) string {
 		if n == 1 {
@@ -106,7 +106,7 @@
 
 // Nothing listens at an address. The caller may be served elsewhere, also with a request
 // that must run at most once, since nothing was sent.
-func TestTellsThatNothingWasSent(t *testing.T) {
+func TestReportsThatNothingWasSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -118,7 +118,7 @@
 
 // A faulty upstream sends a second answer after a whole one. It belongs to no request;
 // taken for the next one's answer, it would reach another caller.
-func TestExtraBytesReachNobody(t *testing.T) {
+func TestSurplusBytesReachNoCaller(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(n int64, _ *http.Request) string {
 		if n == 1 {
@@ -138,14 +138,14 @@
 
 // The second answer arrives only when the next request has been sent, right where its
 // answer is expected. The mark in the answer tells them apart.
-func TestLateAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
+func TestLateResponseOfAnotherRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(_ int64, _ *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nMark: old\r\nContent-Length: 5\r\n\r\nwrong" +
 			"HTTP/1.1 200 OK\r\nMark: new\r\nContent-Length: 5\r\n\r\nright"
 	})
 	a, err := newTestClient().Do(context.Background(), p.address(), &Request{Method: http.MethodGet, Target: "/", Host: "h",
-		Own: func(h http.Header) bool { return h.Get("Mark") == "new" }})
+		Matches: func(h http.Header) bool { return h.Get("Mark") == "new" }})
 	is.NoErr(err)
 	defer a.Close()
 	body, err := io.ReadAll(a)
@@ -155,7 +155,7 @@
 
 // A caller leaves. Closing the connection is what stops the upstream's work, which would
 // otherwise go on for nobody.
-func TestLeavingClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -185,7 +185,7 @@
 
 // An upstream answers before it has read a long body and keeps the connection open. The
 // rest of the body would be taken for the next request.
-func TestAnswerBeforeTheBodyIsReadIsNotFollowed(t *testing.T) {
+func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -216,7 +216,7 @@
 
 // An answer without a length ends with its connection. One that is reset on the way must
 // not look whole.
-func TestUnframedAnswerEndsOnlyWithAnOrderlyClose(t *testing.T) {
+func TestUnframedResponseIsCompleteOnlyAfterOrderlyClose(t *testing.T) {
 	is := is.New(t)
 	for _, reset := range []bool{false, true} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -246,7 +246,7 @@
 
 // An upstream says for how long it keeps a connection. Using it longer would lose a
 // request in the close.
-func TestConnectionIsGivenUpBeforeItsPeerCloses(t *testing.T) {
+func TestConnectionIsDroppedBeforePeerClosesIt(t *testing.T) {
 	is := is.New(t)
 	clock := &bootclock.Fake{}
 	p := newPeer(t, func(int64, *http.Request) string { return strings.Replace(okAnswer, "timeout=9", "timeout=1", 1) })
@@ -268,7 +268,7 @@
 
 // A caller has left while its tokens were being looked for. Nothing may be sent any more,
 // also not over a connection that is ready.
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
+func TestNothingIsSentAfterCancel(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(int64, *http.Request) string { return okAnswer })
 	c := newTestClient()
--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Answer is a response whose body is still being read. Close must be called.
-type Answer struct {
+// Response is a response whose body is still being read. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length in bytes; negative if the peer doesn't say.
@@ -34,16 +34,16 @@
 // Do sends a request once and returns the start of its answer. The connection is closed
 // when ctx ends, which stops the peer's work. An error that doesn't wrap ErrNotSent
 // leaves open whether the request ran.
-func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	return c.do(ctx, address, r, false)
 }
 
 // DoFresh is Do over a new connection.
-func (c *Client) DoFresh(ctx context.Context, address string, r *Request) (*Answer, error) {
+func (c *Client) DoFresh(ctx context.Context, address string, r *Request) (*Response, error) {
 	return c.do(ctx, address, r, true)
 }
 
-func (c *Client) do(ctx context.Context, address string, r *Request, fresh bool) (*Answer, error) {
+func (c *Client) do(ctx context.Context, address string, r *Request, fresh bool) (*Response, error) {
 	cn, err := c.acquire(ctx, address, fresh)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		_ = cn.Close() // nothing was sent on it
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, context.Cause(ctx))
 	}
-	a := &Answer{client: c, address: address, conn: cn}
+	a := &Response{client: c, address: address, conn: cn}
 	a.stop = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if err := a.send(r); err != nil {
 		a.Close()
@@ -66,7 +66,7 @@
 	return a, nil
 }
 
-func (a *Answer) send(r *Request) error {
+func (a *Response) send(r *Request) error {
 	wire := r.encode()
 	if len(r.Body) <= inlineBody {
 		_, err := a.conn.Write(wire)
@@ -84,7 +84,7 @@
 // mostForeign is how many answers of other requests are passed over.
 const mostForeign = 2
 
-func (a *Answer) receive(r *Request) error {
+func (a *Response) receive(r *Request) error {
 	for range mostForeign + 1 {
 		resp, err := http.ReadResponse(a.conn.r, &http.Request{Method: r.Method})
 		if err != nil {
@@ -93,21 +93,21 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if r.Own == nil || r.Own(resp.Header) {
+		if r.Matches == nil || r.Matches(resp.Header) {
 			a.take(resp)
 			return nil
 		}
 		if resp.ContentLength < 0 && !chunked(resp) {
-			return ErrForeignAnswers
+			return ErrUnmatchedResponses
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
 	}
-	return ErrForeignAnswers
+	return ErrUnmatchedResponses
 }
 
-func (a *Answer) take(resp *http.Response) {
+func (a *Response) take(resp *http.Response) {
 	a.Status, a.Header, a.Length, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
 	a.Framed = resp.ContentLength >= 0 || chunked(resp)
 	if resp.Close {
@@ -120,7 +120,7 @@
 }
 
 // Read reads the body. io.EOF means that it is whole.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
 		a.ended = true
@@ -129,11 +129,11 @@
 }
 
 // Buffered returns how many bytes can be read without waiting, at least.
-func (a *Answer) Buffered() int { return a.conn.r.Buffered() }
+func (a *Response) Buffered() int { return a.conn.r.Buffered() }
 
 // Close ends the exchange. The connection is kept if the answer was read to its end and
 // nothing speaks against it; otherwise it is closed, which stops the peer's work.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // keep returns for how long the connection may be kept.
-func (a *Answer) keep() time.Duration {
+func (a *Response) keep() time.Duration {
 	if !a.ended || !a.Framed || a.conn.r.Buffered() > 0 || strings.EqualFold(a.Header.Get("Connection"), "close") {
 		return 0
 	}
--- a/httpwire/request.go
+++ b/httpwire/request.go
@@ -11,8 +11,8 @@
 // request.
 var ErrNotSent = errors.New("the request was not sent")
 
-// ErrForeignAnswers tells that the peer answered other requests only.
-var ErrForeignAnswers = errors.New("the connection carried answers of other requests")
+// ErrUnmatchedResponses tells that the peer answered other requests only.
+var ErrUnmatchedResponses = errors.New("the connection carried answers of other requests")
 
 // Request is what is sent.
 type Request struct {
@@ -22,8 +22,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own tells by an answer's headers whether it answers this request; nil takes any.
-	Own func(http.Header) bool
+	// Matches tells by an answer's headers whether it answers this request; nil takes any.
+	Matches func(http.Header) bool
 }
 
 // encode returns the request as it goes over the wire.
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -78,11 +78,11 @@
 	r.Killed = h.killedNodes()
 	r.Leavings = h.leavingOps()
 	for _, recorder := range h.recorders {
-		events, dropped := recorder.Since("")
+		events, dropped := recorder.Find("")
 		r.Events = append(r.Events, events...)
 		r.Dropped += dropped
 	}
-	sort.SliceStable(r.Events, func(i, j int) bool { return r.Events[i].Stamp < r.Events[j].Stamp })
+	sort.SliceStable(r.Events, func(i, j int) bool { return r.Events[i].Timestamp < r.Events[j].Timestamp })
 	return r
 }
 
--- a/keyedlog/follower.go
+++ b/keyedlog/follower.go
@@ -16,9 +16,9 @@
 	Reset(records []Record)
 	// Apply takes records in the log's order.
 	Apply(records []Record)
-	// Lost is called for each failed reading, Caught after each successful one.
-	Lost(err error)
-	Caught(Reading)
+	// ReadFailed is called for each failed reading, Caught after each successful one.
+	ReadFailed(err error)
+	ReadSucceeded(ReadStats)
 }
 
 // Options set a follower's pace.
@@ -27,14 +27,14 @@
 	Wait time.Duration
 	// Pause is the time between two readings, which bounds their number.
 	Pause time.Duration
-	// Extra, where given, lengthens the pause by what it returns.
-	Extra func() time.Duration
+	// ExtraPause, where given, lengthens the pause by what it returns.
+	ExtraPause func() time.Duration
 	// Slack is how long an answer may take to begin beyond Wait before its connection
 	// counts as dead.
 	Slack time.Duration
-	// Retry is the mean pause after a failed reading; it varies by half, so that nodes
+	// RetryPause is the mean pause after a failed reading; it varies by half, so that nodes
 	// that failed together don't come back together.
-	Retry time.Duration
+	RetryPause time.Duration
 }
 
 const (
@@ -75,9 +75,9 @@
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := f.pause()
-		if err := f.Step(ctx); err != nil {
-			f.handler.Lost(err)
-			pause = f.options.Retry/2 + rand.N(f.options.Retry)
+		if err := f.Poll(ctx); err != nil {
+			f.handler.ReadFailed(err)
+			pause = f.options.RetryPause/2 + rand.N(f.options.RetryPause)
 		}
 		periodic.Pause(ctx, pause)
 	}
@@ -85,14 +85,14 @@
 
 // pause is the time between two readings that succeed.
 func (f *Follower) pause() time.Duration {
-	if f.options.Extra == nil {
+	if f.options.ExtraPause == nil {
 		return f.options.Pause
 	}
-	return f.options.Pause + f.options.Extra()
+	return f.options.Pause + f.options.ExtraPause()
 }
 
-// Step does one reading.
-func (f *Follower) Step(ctx context.Context) error {
+// Poll does one reading.
+func (f *Follower) Poll(ctx context.Context) error {
 	if f.next < 0 {
 		return f.reset(ctx)
 	}
@@ -100,7 +100,7 @@
 	limited, progress, cancel := stall.Limit(ctx, f.options.Wait+f.options.Slack, stalledAfter)
 	defer cancel()
 	records, next, err := f.topic.Read(limited, f.next, f.options.Wait, progress)
-	if errors.Is(err, ErrForgotten) {
+	if errors.Is(err, ErrOffsetExpired) {
 		f.next = -1
 		return f.reset(ctx)
 	}
@@ -115,7 +115,7 @@
 	if fresh := f.fresh(records); len(fresh) > 0 {
 		f.handler.Apply(fresh)
 	}
-	f.handler.Caught(reading)
+	f.handler.ReadSucceeded(reading)
 	return nil
 }
 
@@ -135,7 +135,7 @@
 	f.next = next
 	reading := f.reading(begun, records)
 	f.handler.Reset(records)
-	f.handler.Caught(reading)
+	f.handler.ReadSucceeded(reading)
 	return nil
 }
 
--- a/keyedlog/follower_test.go
+++ b/keyedlog/follower_test.go
@@ -37,7 +37,7 @@
 
 func (m *memoryTopic) Read(_ context.Context, from int64, _ time.Duration, _ func()) ([]Record, int64, error) {
 	if from < m.first {
-		return nil, 0, ErrForgotten
+		return nil, 0, ErrOffsetExpired
 	}
 	return append([]Record(nil), m.records[min(from, int64(len(m.records))):]...), int64(len(m.records)), m.fail
 }
@@ -70,47 +70,47 @@
 	}
 }
 
-func (s *sink) Lost(error)     { s.lost++ }
-func (s *sink) Caught(Reading) {}
+func (s *sink) ReadFailed(error)        { s.lost++ }
+func (s *sink) ReadSucceeded(ReadStats) {}
 
 // The store forgets its history while a node is cut off. The node must learn what changed
 // meanwhile all the same, and what is gone.
-func TestStartsAnewWhenTheHistoryIsForgotten(t *testing.T) {
+func TestResetsWhenOffsetExpired(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	topic.put("a", "")
 	topic.put("b", "2")
 	topic.first = 3
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.resets, 2)
 	is.Equal(s.values, map[string]string{"b": "2"})
 }
 
 // A reading of the newest records is seconds behind what was read before. An older value
 // would bring a withdrawn key or an upstream that left back.
-func TestOlderRecordsAreIgnored(t *testing.T) {
+func TestStaleRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	topic.put("a", "2")
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	f.next = 0
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.values["a"], "2")
 }
 
 // The store fails. The last good state stays, and the loss is told.
-func TestFailedReadingKeepsTheState(t *testing.T) {
+func TestFailedReadKeepsState(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
-	f := NewFollower(topic, s, Options{Retry: time.Millisecond, Slack: time.Second})
-	is.NoErr(f.Step(context.Background()))
+	f := NewFollower(topic, s, Options{RetryPause: time.Millisecond, Slack: time.Second})
+	is.NoErr(f.Poll(context.Background()))
 	topic.fail = errors.New("away")
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -122,20 +122,20 @@
 // A node is cut off while many large configurations are written. Reading all of them
 // afterwards takes longer than a reading may, so that the node would stay behind for as
 // long as it tries; it must take the newest one alone.
-func TestTakesTheNewestAloneAfterALoss(t *testing.T) {
+func TestReadsOnlyNewestAfterFailure(t *testing.T) {
 	is := is.New(t)
 	topic, s := &memoryTopic{}, &sink{}
 	topic.put("a", "1")
 	f := NewFollower(topic, s, Options{})
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	topic.fail = errors.New("cut off")
-	is.True(f.Step(context.Background()) != nil)
+	is.True(f.Poll(context.Background()) != nil)
 	for range 100 {
 		topic.put("a", "2")
 	}
 	topic.put("a", "3")
 	topic.fail = nil
-	is.NoErr(f.Step(context.Background()))
+	is.NoErr(f.Poll(context.Background()))
 	is.Equal(s.resets, 2)
 	is.Equal(s.values["a"], "3")
 }
--- a/keyedlog/newest_test.go
+++ b/keyedlog/newest_test.go
@@ -67,7 +67,7 @@
 
 // A fleet loses power and starts while the store is silent. What its nodes ask for then is
 // never answered; callers would get nothing for seconds after the store is back.
-func TestReadsAnewOnceASilentStoreIsBack(t *testing.T) {
+func TestRestartsReadOnceSilentStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topic := &silentTopic{silent: true, wakeAfter: 3}
@@ -83,20 +83,20 @@
 
 // All nodes share one slow link after a fault. An answer that keeps arriving must not be asked
 // for again, however long the whole takes: that would only fill the link.
-func TestKeepsAReadingThatArrives(t *testing.T) {
+func TestKeepsReadThatStillArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topic := &silentTopic{pieces: 30, apart: time.Second}
 		topic.put("a", "1")
 		f := NewFollower(topic, &sink{}, Options{})
-		is.NoErr(f.Step(t.Context()))
+		is.NoErr(f.Poll(t.Context()))
 		readings, _ := topic.counts()
 		is.Equal(readings, 1)
 	})
 }
 
 // The store stays silent. The reading ends with its time.
-func TestReadingEndsWithItsTime(t *testing.T) {
+func TestReadEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topic := &silentTopic{silent: true, wakeAfter: 1 << 30}
--- a/keyedlog/silence_test.go
+++ b/keyedlog/silence_test.go
@@ -83,7 +83,7 @@
 // lateness returns how long after the store's last return a follower knew what was written then.
 func (s *lossyStore) lateness(t *testing.T) time.Duration {
 	values := make(chan string, 1000)
-	f := NewFollower(s, &valueSink{values: values}, Options{Wait: time.Second, Pause: 50 * time.Millisecond, Slack: 700 * time.Millisecond, Retry: 250 * time.Millisecond})
+	f := NewFollower(s, &valueSink{values: values}, Options{Wait: time.Second, Pause: 50 * time.Millisecond, Slack: 700 * time.Millisecond, RetryPause: 250 * time.Millisecond})
 	s.write("config", "old")
 	ctx, cancel := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
@@ -112,14 +112,14 @@
 		s.values <- string(r.Value)
 	}
 }
-func (s *valueSink) Lost(error)     {}
-func (s *valueSink) Caught(Reading) {}
+func (s *valueSink) ReadFailed(error)        {}
+func (s *valueSink) ReadSucceeded(ReadStats) {}
 
 // inForceAim is within what time of its acknowledgement a change must be in force.
 const inForceAim = 3 * time.Second
 
 // A reading that meets a silent store must not outlive the silence.
-func TestSilentStoreDelaysNewsAfterItsReturn(t *testing.T) {
+func TestChangeIsReadSoonAfterOutage(t *testing.T) {
 	for silence := 100 * time.Millisecond; silence <= 12*time.Second; silence += 300 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -130,7 +130,7 @@
 }
 
 // The store falls silent once more while it answers what was asked after its return.
-func TestStoreLostWithinAnAnswerDelaysNews(t *testing.T) {
+func TestChangeIsReadSoonAfterOutageDuringResponse(t *testing.T) {
 	for _, answering := range []time.Duration{200, 400, 600, 800, 1000} {
 		for _, silence := range []time.Duration{100, 300, 1000} {
 			t.Run(fmt.Sprintf("%d-%d", answering, silence), func(t *testing.T) {
--- a/keyedlog/topic.go
+++ b/keyedlog/topic.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	// ErrForgotten tells that the records asked for aren't held any more.
-	ErrForgotten = errors.New("the log has forgotten these records")
+	// ErrOffsetExpired tells that the records asked for aren't held any more.
+	ErrOffsetExpired = errors.New("the log has forgotten these records")
 	// ErrFenced tells that a writer with a higher epoch has taken over.
 	ErrFenced = errors.New("a higher epoch has been seen")
 )
--- a/logsink/writer_test.go
+++ b/logsink/writer_test.go
@@ -25,7 +25,7 @@
 
 // Whoever reads the logs hangs. No request may wait for it, memory must not grow, and
 // afterwards the log must say how much is missing.
-func TestSlowReaderCostsLinesAndNotTime(t *testing.T) {
+func TestSlowOutputDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
 	out := &blocked{open: make(chan struct{})}
 	w := New(out)
--- a/lossreport/cause.go
+++ b/lossreport/cause.go
@@ -25,7 +25,7 @@
 )
 
 // cause reads the cause out of a line, and whether the line ends a request.
-func cause(l *event.Line) (Cause, bool) {
+func cause(l *event.LogLine) (Cause, bool) {
 	switch l.Number {
 	case event.RequestRefused:
 		return refusal(l), true
@@ -35,7 +35,7 @@
 	return "", false
 }
 
-func refusal(l *event.Line) Cause {
+func refusal(l *event.LogLine) Cause {
 	code := result.Code(number(l, "code"))
 	switch {
 	case code == result.BudgetSpent:
@@ -64,7 +64,7 @@
 }
 
 // number reads a field; absent or torn fields count as zero, as a cut line leaves them.
-func number(l *event.Line, field string) int64 {
+func number(l *event.LogLine, field string) int64 {
 	n, _ := strconv.ParseInt(l.Fields[field], 10, 64)
 	return n
 }
--- a/lossreport/plot.go
+++ b/lossreport/plot.go
@@ -21,7 +21,7 @@
 	p := plot.New()
 	p.Title.Text = "requests that weren't served"
 	p.X.Label.Text = "seconds from the first line"
-	p.Y.Label.Text = "requests in " + r.Every.String()
+	p.Y.Label.Text = "requests in " + r.IntervalLength.String()
 	p.Legend.Top = true
 	causes := r.Causes()
 	var lines []any
@@ -37,7 +37,7 @@
 func (r *Report) points(c Cause) plotter.XYs {
 	var points plotter.XYs
 	for _, i := range r.Intervals {
-		points = append(points, plotter.XY{X: i.Begin.Sub(r.Intervals[0].Begin).Seconds(), Y: float64(i.Ended[c])})
+		points = append(points, plotter.XY{X: i.Start.Sub(r.Intervals[0].Start).Seconds(), Y: float64(i.Requests[c])})
 	}
 	return points
 }
--- a/lossreport/report.go
+++ b/lossreport/report.go
@@ -11,15 +11,15 @@
 
 // Interval counts what ended within one interval.
 type Interval struct {
-	Begin time.Time
-	// Ended counts the requests that ended, by cause.
-	Ended map[Cause]int
+	Start time.Time
+	// Requests counts the requests that ended, by cause.
+	Requests map[Cause]int
 }
 
 // Lost returns how many requests weren't served.
 func (i *Interval) Lost() int {
 	lost := 0
-	for cause, n := range i.Ended {
+	for cause, n := range i.Requests {
 		if cause != Served {
 			lost += n
 		}
@@ -27,9 +27,9 @@
 	return lost
 }
 
-// Share returns the part of the requests that was served; one if there were none.
-func (i *Interval) Share() float64 {
-	served, lost := i.Ended[Served], i.Lost()
+// ServedFraction returns the part of the requests that was served; one if there were none.
+func (i *Interval) ServedFraction() float64 {
+	served, lost := i.Requests[Served], i.Lost()
 	if served+lost == 0 {
 		return 1
 	}
@@ -38,27 +38,27 @@
 
 // Report is what the logs tell, by interval.
 type Report struct {
-	Every     time.Duration
-	Intervals []Interval
+	IntervalLength time.Duration
+	Intervals      []Interval
 }
 
 // New counts the lines of any number of nodes in intervals. Times are the nodes' own, which
 // may be wrong by seconds.
-func New(lines []event.Line, every time.Duration) *Report {
-	r := &Report{Every: every}
+func New(lines []event.LogLine, every time.Duration) *Report {
+	r := &Report{IntervalLength: every}
 	byBegin := make(map[time.Time]*Interval)
 	for i := range lines {
 		why, ends := cause(&lines[i])
 		if !ends {
 			continue
 		}
-		begin := lines[i].At.Truncate(every)
+		begin := lines[i].Time.Truncate(every)
 		in, known := byBegin[begin]
 		if !known {
-			in = &Interval{Begin: begin, Ended: make(map[Cause]int)}
+			in = &Interval{Start: begin, Requests: make(map[Cause]int)}
 			byBegin[begin] = in
 		}
-		in.Ended[why]++
+		in.Requests[why]++
 	}
 	for _, begin := range slices.SortedFunc(maps.Keys(byBegin), time.Time.Compare) {
 		r.Intervals = append(r.Intervals, *byBegin[begin])
@@ -70,7 +70,7 @@
 func (r *Report) Causes() []Cause {
 	total := make(map[Cause]int)
 	for _, i := range r.Intervals {
-		for cause, n := range i.Ended {
+		for cause, n := range i.Requests {
 			total[cause] += n
 		}
 	}
@@ -83,6 +83,6 @@
 // Worst returns the intervals with the smallest part served, the worst first.
 func (r *Report) Worst(most int) []Interval {
 	sorted := slices.Clone(r.Intervals)
-	slices.SortStableFunc(sorted, func(a, b Interval) int { return cmp.Compare(a.Share(), b.Share()) })
+	slices.SortStableFunc(sorted, func(a, b Interval) int { return cmp.Compare(a.ServedFraction(), b.ServedFraction()) })
 	return sorted[:min(most, len(sorted))]
 }
--- a/lossreport/report_test.go
+++ b/lossreport/report_test.go
@@ -21,7 +21,7 @@
 level=info ts=2026-01-02T03:04:02.5Z event=417 name=RequestEnded node=n2 request=g outcome=cut
 torn line`
 
-func read(t *testing.T) []event.Line {
+func read(t *testing.T) []event.LogLine {
 	t.Helper()
 	read, _, err := event.ReadLog(strings.NewReader(lines))
 	if err != nil {
@@ -32,15 +32,15 @@
 
 // Accounts were short of tokens at night. The operators must see which of three shortages
 // it was, since each has another remedy: a top-up, other parts, or the store.
-func TestTellsShortagesApart(t *testing.T) {
+func TestDistinguishesTokenShortages(t *testing.T) {
 	is := is.New(t)
 	r := New(read(t), 2*time.Second)
 	is.Equal(len(r.Intervals), 2)
-	is.Equal(r.Intervals[0].Ended, map[Cause]int{Served: 1, accountUsedUp: 1})
-	is.Equal(r.Intervals[1].Ended, map[Cause]int{partUsedUp: 1, limitBelowPart: 2, "cut midway": 1})
+	is.Equal(r.Intervals[0].Requests, map[Cause]int{Served: 1, accountUsedUp: 1})
+	is.Equal(r.Intervals[1].Requests, map[Cause]int{partUsedUp: 1, limitBelowPart: 2, "cut midway": 1})
 	is.Equal(r.Causes()[0], limitBelowPart)
 	worst := r.Worst(1)
-	is.Equal(worst[0].Share(), 0.0)
+	is.Equal(worst[0].ServedFraction(), 0.0)
 	is.Equal(worst[0].Lost(), 4)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // No line ends a request: an empty report is a table with a head alone.
-func TestEmptyLogIsNoFailure(t *testing.T) {
+func TestEmptyLogGivesEmptyReport(t *testing.T) {
 	is := is.New(t)
 	r := New(nil, time.Second)
 	var table strings.Builder
--- a/lossreport/table.go
+++ b/lossreport/table.go
@@ -18,9 +18,9 @@
 		_, _ = fmt.Fprintf(t, "\t%s", c)
 	}
 	for _, i := range r.Intervals {
-		_, _ = fmt.Fprintf(t, "\n%s\t%d\t%.2f", i.Begin.UTC().Format(time.TimeOnly), i.Ended[Served], i.Share())
+		_, _ = fmt.Fprintf(t, "\n%s\t%d\t%.2f", i.Start.UTC().Format(time.TimeOnly), i.Requests[Served], i.ServedFraction())
 		for _, c := range causes {
-			_, _ = fmt.Fprintf(t, "\t%d", i.Ended[c])
+			_, _ = fmt.Fprintf(t, "\t%d", i.Requests[c])
 		}
 	}
 	_, _ = fmt.Fprintln(t)
--- a/node/calls.go
+++ b/node/calls.go
@@ -30,7 +30,7 @@
 // newRunner returns the runner for plain service calls with an idempotency key or a ticket.
 func (n *Node) newRunner() *idempotency.Runner {
 	return idempotency.NewRunner(idempotency.Options{
-		Incarnation: n.Incarnation(), Claims: n.claims, Journal: n.writer, Open: n.ledger.IsOpen,
+		Incarnation: n.Incarnation(), Claims: n.claims, Log: n.writer, IsOpen: n.ledger.IsOpen,
 		Clock: n.deps.Clock, Events: n.events,
 	})
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return upstream.CallResponse{}, p.unreachableError(incarnation)
 	}
-	n.events.Clock().Observe(event.Stamp(response.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	return forwardedResponse(response)
 }
 
@@ -58,7 +58,7 @@
 // While its incarnation is open the caller should retry; after that the outcome stays unknown.
 func (p requestPeers) unreachableError(incarnation string) error {
 	if p.node.ledger.IsOpen(incarnation) {
-		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").After(forwardRetryAfter)
+		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").WithRetryAfter(forwardRetryAfter)
 	}
 	return result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
@@ -68,10 +68,10 @@
 	if code := result.Code(response.GetCode()); code != result.OK {
 		err := result.New(code, "%s", response.GetMessage())
 		if code.Info().Retry {
-			err = err.After(forwardRetryAfter)
+			err = err.WithRetryAfter(forwardRetryAfter)
 		}
 		if forwarded.GetRan() {
-			err = err.Doubt()
+			err = err.WithMayHaveRun()
 		}
 		return upstream.CallResponse{}, err
 	}
@@ -87,9 +87,9 @@
 	err := n.Serving()
 	var callResponse upstream.CallResponse
 	if err == nil {
-		callResponse, err = n.requests.Forwarded(ctx, call)
+		callResponse, err = n.requests.HandleForwarded(ctx, call)
 	} else {
-		err = result.From(err).Doubt()
+		err = result.From(err).WithMayHaveRun()
 	}
 	if err != nil {
 		failure := result.From(err)
--- a/node/copyevents.go
+++ b/node/copyevents.go
@@ -58,20 +58,20 @@
 
 func (n *Node) copyEventsOf(ctx context.Context, member membership.Member) {
 	name := member.Node.GetIncarnation()
-	n.copiedEvents.Forget(func(node string) bool { return node == name })
+	n.copiedEvents.RetainNodes(func(node string) bool { return node == name })
 	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, eventsTimeout)
 	defer cancel()
 	answer, err := n.deps.Peers.Call(ctx, member.Node.GetPeerAddress(), &fleetv1.Request{
 		From: n.Incarnation(), Hlc: uint64(n.events.Clock().Now()),
 		Body: &fleetv1.Request_EventsGather{EventsGather: &fleetv1.EventsGather{
-			After: max(1, uint64(n.copiedEvents.After(name))), Limit: eventCopyLimit,
+			After: max(1, uint64(n.copiedEvents.LastTimestamp(name))), Limit: eventCopyLimit,
 		}},
 	})
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Stamp(answer.GetHlc()))
-	n.copiedEvents.Keep(name, eventsFromProto(answer.GetEvents().GetEvents()), answer.GetEvents().GetDropped())
+	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
+	n.copiedEvents.Add(name, eventsFromProto(answer.GetEvents().GetEvents()), answer.GetEvents().GetDropped())
 }
 
 // handleEventsGather returns the events after a stamp to a node that copies them, or else
@@ -80,14 +80,14 @@
 	if r.GetAfter() == 0 {
 		return n.localEvents(r.GetId())
 	}
-	events, left := n.events.After(event.Stamp(r.GetAfter()), int(r.GetLimit()))
+	events, left := n.events.After(event.Timestamp(r.GetAfter()), int(r.GetLimit()))
 	return &operatorv1.EventsResponse{Events: eventsToProto(events), Dropped: left}
 }
 
 // localEvents returns this node's events with id and those that it copied from other nodes.
 func (n *Node) localEvents(id string) *operatorv1.EventsResponse {
-	own, dropped := n.events.Since(id)
-	copied, missing := n.copiedEvents.Since(id)
+	own, dropped := n.events.Find(id)
+	copied, missing := n.copiedEvents.Find(id)
 	return &operatorv1.EventsResponse{Events: eventsToProto(append(own, copied...)), Dropped: dropped + missing}
 }
 
@@ -95,7 +95,7 @@
 	encoded := make([]*operatorv1.Event, 0, len(events))
 	for _, e := range events {
 		encoded = append(encoded, &operatorv1.Event{
-			Hlc: uint64(e.Stamp), Node: e.Node, Number: uint32(e.Number), Name: e.Number.Kind().Name, Fields: e.Fields,
+			Hlc: uint64(e.Timestamp), Node: e.Node, Number: uint32(e.Number), Name: e.Number.Kind().Name, Fields: e.Fields,
 		})
 	}
 	return encoded
@@ -105,7 +105,7 @@
 	events := make([]event.Event, 0, len(encoded))
 	for _, e := range encoded {
 		events = append(events, event.Event{
-			Stamp: event.Stamp(e.GetHlc()), Node: e.GetNode(), Number: event.Number(e.GetNumber()), Fields: e.GetFields(),
+			Timestamp: event.Timestamp(e.GetHlc()), Node: e.GetNode(), Number: event.Number(e.GetNumber()), Fields: e.GetFields(),
 		})
 	}
 	return events
--- a/node/drain.go
+++ b/node/drain.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) drainOrdered() bool { return n.Config().Drained(n.info.GetPeerAddress()) }
+func (n *Node) drainOrdered() bool { return n.Config().IsDrained(n.info.GetPeerAddress()) }
 
 // pollUntil polls until done returns true, limit has passed (0: no limit) or ctx is done.
 func (n *Node) pollUntil(ctx context.Context, done func() bool, limit time.Duration) {
@@ -115,5 +115,5 @@
 
 // errDrained returns the error of a node that started under an operator's drain order.
 func errDrained() error {
-	return result.New(result.NodeDrained, "operators drained this node").After(time.Second)
+	return result.New(result.NodeDrained, "operators drained this node").WithRetryAfter(time.Second)
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -363,7 +363,7 @@
 		time.Sleep(time.Second)
 		other.ledger.Apply(fold.Position{Offset: 1, Writer: "late"}, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{
 			Heartbeat: &recordv1.NodeHeartbeat{Number: 1, Node: other.info}}})
-		other.writer.Restored(1)
+		other.writer.HandleRestore(1)
 		go other.follower.Run(ctx)
 		time.Sleep(20 * time.Second)
 		is.Equal(other.State(), StateServing)
--- a/node/gather.go
+++ b/node/gather.go
@@ -18,9 +18,9 @@
 	n.appender = gather.NewAppender(gather.Config{
 		Self: n.info, Members: n.members.All, Local: n.gatherer,
 		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allReadGathered),
-		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, AllRead: n.allReadGathered,
+		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, GatheredSupported: n.allReadGathered,
 	})
-	n.writer.Through(n.appender)
+	n.writer.SetAppender(n.appender)
 }
 
 // handleHandOn appends a batch on behalf of another node.
--- a/node/gather_test.go
+++ b/node/gather_test.go
@@ -19,15 +19,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := gather.DefaultPolicy()
-		policy.Fleet, policy.From = 0, 2
+		policy.MinFleetNodes, policy.MinDataCentreNodes = 0, 2
 		f := startFleetWithGathering(t, policy, testPolicy, nearRegion, nearRegion, nearRegion, nearRegion, nearRegion, nearRegion)
 		f.topUp(400_000)
 		f.runLoad(5*time.Minute, 0, 1, 2, 3, 4, 5)
-		chosen := gather.Choose(f.nodes[0].info, f.nodes[0].members.All(), policy).GetIncarnation()
+		chosen := gather.ChooseGatherer(f.nodes[0].info, f.nodes[0].members.All(), policy).GetIncarnation()
 		var others []int
 		gatherer := -1
 		for i, n := range f.nodes {
-			is.True(n.appender.HandedOn() > 0)
+			is.True(n.appender.Forwarded() > 0)
 			if n.Incarnation() == chosen {
 				gatherer = i
 			} else {
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	info     *recordv1.NodeInfo
 
 	events       *event.Recorder
-	copiedEvents *event.Keeper
+	copiedEvents *event.Archive
 	lifecycle    *stateless.StateMachine
 	config       *config.State
 	watchers     *watchers
@@ -87,11 +87,11 @@
 		OperatorAddress: settings.OperatorAddress,
 		Region:          settings.Region,
 		DataCentre:      settings.DataCentre,
-		RecordForms:     record.Forms,
+		RecordForms:     record.SupportedForms,
 	}
 	hlc := event.NewHLC(deps.Clock)
 	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventCapacity, deps.Logger)
-	n.copiedEvents = event.NewKeeper(max(1, settings.EventCapacity/copiedEventsDivisor))
+	n.copiedEvents = event.NewArchive(max(1, settings.EventCapacity/copiedEventsDivisor))
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.onConfigChange)
 	n.ledger = budget.NewLedger()
@@ -111,7 +111,7 @@
 	n.requests = &request.Server{
 		Config: n.config.View, Reserver: n.budgets.reserver, Picker: n.balancer, Admission: n.admission,
 		Client: deps.Upstreams, Events: n.events, Clock: deps.Clock, Region: settings.Region,
-		Staying: n.excludeLeaving,
+		ExcludeLeaving: n.excludeLeaving,
 	}
 	n.configureRequests()
 	n.metrics = n.newMetrics()
@@ -186,11 +186,11 @@
 
 // batchApplied is called after each batch, in offset order, in the goroutine that applies them.
 func (n *Node) batchApplied(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
-	n.snapshots.Folded(batch, proto.Size(batch))
-	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
+	n.snapshots.HandleFolded(batch, proto.Size(batch))
+	n.events.Clock().Observe(event.Timestamp(batch.GetHlc()))
 	n.budgets.batchApplied(batch, verdicts)
 	n.recordBatchEvents(batch, verdicts)
-	n.writer.Folded(batch, verdicts)
+	n.writer.HandleFolded(batch, verdicts)
 }
 
 func (n *Node) recordBatchEvents(batch *recordv1.Batch, verdicts []fold.Verdict) {
--- a/node/relay.go
+++ b/node/relay.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) handleLogRead(ctx context.Context, r *fleetv1.LogRead, response *fleetv1.Response) {
-	slice, err := n.relay.Answer(ctx, r)
+	slice, err := n.relay.HandleLogRead(ctx, r)
 	if err != nil {
 		setError(response, err)
 		return
@@ -68,8 +68,8 @@
 // new one. A starting incarnation continues.
 func (n *Node) stateRestored(offset uint64) {
 	n.events.Record(event.StateRestored, "offset", offset)
-	n.snapshots.Restored(offset)
-	n.writer.Restored(n.follower.LastSeq(n.Incarnation()))
+	n.snapshots.HandleRestore(offset)
+	n.writer.HandleRestore(n.follower.LastSeq(n.Incarnation()))
 	if n.State() != StateStarting {
 		n.holder.RevokeRight()
 		n.stateReplacedOnce.Do(func() { close(n.stateReplaced) })
--- a/node/resume.go
+++ b/node/resume.go
@@ -15,7 +15,7 @@
 	secret := n.settings.TokenSecret
 	if len(secret) == 0 {
 		// Without a shared secret, cursors and tickets are valid on this node only.
-		secret = make([]byte, signed.MinSecret)
+		secret = make([]byte, signed.MinSecretLen)
 		_, _ = rand.Read(secret)
 	}
 	n.requests.PeerAddress = n.settings.PeerAddress
--- a/node/settings.go
+++ b/node/settings.go
@@ -90,10 +90,10 @@
 	require(s.SpendRight > 2*s.HeartbeatInterval, "spend right is not longer than two heartbeat intervals")
 	require(s.LeaseTerm >= time.Second, "lease term is shorter than one second")
 	require(s.BatchDelay >= 0, "batch delay is negative")
-	require(s.GatherPolicy.From > 0 && s.GatherPolicy.Answer > 0 && s.GatherPolicy.LeastRest > 0, "gather policy has a value that is not positive")
+	require(s.GatherPolicy.MinDataCentreNodes > 0 && s.GatherPolicy.Timeout > 0 && s.GatherPolicy.MinBackoff > 0, "gather policy has a value that is not positive")
 	require(s.ClaimChunk > 0, "claim chunk is zero")
 	require(s.AddressLifetime > 0, "address lifetime isn't positive")
-	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecret, "token secret is shorter than 32 bytes")
+	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecretLen, "token secret is shorter than 32 bytes")
 	require(s.SnapshotPolicy.Records > 0 && s.SnapshotPolicy.Bytes > 0 && s.SnapshotPolicy.Age > 0, "snapshot policy has a value that is not positive")
 	require(s.EventCapacity > 0, "event capacity is not positive")
 	if len(mistakes) > 0 {
--- a/node/status.go
+++ b/node/status.go
@@ -43,8 +43,8 @@
 		if n.drainOrdered() {
 			return errDrained()
 		}
-		return result.New(result.NotServing, "the node holds no configuration yet").After(time.Second)
+		return result.New(result.NotServing, "the node holds no configuration yet").WithRetryAfter(time.Second)
 	default:
-		return result.New(result.IncarnationClosed, "the node is being replaced").After(time.Second)
+		return result.New(result.IncarnationClosed, "the node is being replaced").WithRetryAfter(time.Second)
 	}
 }
--- a/node/streams_test.go
+++ b/node/streams_test.go
@@ -132,7 +132,7 @@
 	}}}})
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if n.Config().ServiceByModel("m") == nil || n.Config().Budget("a", "chat") == "" {
+			if n.Config().ServiceByModel("m") == nil || n.Config().BudgetName("a", "chat") == "" {
 				return false
 			}
 		}
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -100,7 +100,7 @@
 	settings.ClaimChunk = 1000
 	settings.AddressLifetime = time.Second
 	settings.EventCapacity = 100_000
-	settings.TokenSecret = make([]byte, signed.MinSecret)
+	settings.TokenSecret = make([]byte, signed.MinSecretLen)
 	f.sequence++
 	name := fmt.Sprintf("n%d-%d", i, f.sequence)
 	node, err := New(settings, Deps{
@@ -152,10 +152,10 @@
 		line := n.Ledger().Budget(testBudget)
 		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, reported %d, witnessing %d", n.Incarnation(), n.State(),
 			line.Spent, f.engines.totalUsed(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.replicator.Len(), n.budgets.witnessStore.Len())
-		events, _ := n.events.Since("")
+		events, _ := n.events.Find("")
 		for _, e := range events {
 			if e.Number >= event.SpendRightLapsed && e.Number <= event.WitnessChanged && e.Number != event.RecoveryWaiting {
-				f.t.Log(e.Stamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
+				f.t.Log(e.Timestamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
 			}
 		}
 	}
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Stamp(answer.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
 	into.Events = append(into.Events, answer.GetEvents().GetEvents()...)
 	into.Dropped += answer.GetEvents().GetDropped()
 }
--- a/peerfetch/topic.go
+++ b/peerfetch/topic.go
@@ -207,7 +207,7 @@
 // applyReply adds a peer's records since an offset.
 func (t *Topic) applyReply(from int64, reply Reply) ([]keyedlog.Record, int64, error) {
 	if reply.Incomplete {
-		return nil, 0, keyedlog.ErrForgotten
+		return nil, 0, keyedlog.ErrOffsetExpired
 	}
 	t.Replica.Extend(from, reply.Records, reply.Next)
 	return reply.Records, reply.Next, nil
