--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -66,7 +66,7 @@
 	_, err = client.Apply(as("viewer-token"), account("a", 0))
 	is.Equal(status.Code(err), codes.PermissionDenied)
 
-	events, _ := fleet.Daemons[0].Node().Events().Since("Apply")
+	events, _ := fleet.Daemons[0].Node().Events().Find("Apply")
 	outcomes := map[string]int{}
 	for _, e := range events {
 		if e.Number == event.OperatorCalled {
