--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries exchanges between nodes: one request and one response,
-// over QUIC with mutual TLS. Every exchange moves the hybrid logical clocks.
+// Package peer implements request-response calls between nodes over QUIC with mutual
+// TLS. Every call advances the hybrid logical clocks.
 package peer
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -11,8 +11,8 @@
 	fleetv1 "lavenderpin.dev/lavenderpin/api/fleet/v1"
 )
 
-// FuzzFrame reads arbitrary bytes as a request of another node. A frame that made the
-// reader panic or allocate without bound would let one bad peer end this node.
+// FuzzFrame decodes arbitrary bytes as a request from another node. A frame that makes the
+// reader panic or allocate without bound would let one faulty peer crash this node.
 func FuzzFrame(f *testing.F) {
 	for _, r := range []*fleetv1.Request{
 		{From: "n", Body: &fleetv1.Request_Ping{Ping: &fleetv1.Ping{Views: []*fleetv1.PeerView{{Beat: 1}}}}},
@@ -25,14 +25,14 @@
 		}
 		f.Add(frame.Bytes())
 	}
-	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f}) // a length far above what follows
+	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f}) // length prefix exceeds the data
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		request, err := readRequest(bufio.NewReader(bytes.NewReader(frame)))
 		if err != nil {
 			return
 		}
 		if proto.Size(request) > len(frame)*2+16 {
-			t.Fatalf("%d bytes became %d", len(frame), proto.Size(request))
+			t.Fatalf("a frame of %d bytes decoded to a message of %d bytes", len(frame), proto.Size(request))
 		}
 	})
 }
--- a/peer/quic.go
+++ b/peer/quic.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	alpn       = "lavenderpin-fleet-1"
-	maxMessage = 16 << 20
-	// idleTimeout outlasts the time between two pings of the same neighbour. There
-	// are no keep-alives: those of a connection to every other node would by
-	// themselves take more than a node may spend on control in a large fleet.
-	idleTimeout  = 30 * time.Second
-	maxStreams   = 10_000
-	dialDeadline = 2 * time.Second
-	// exchangeBuffer holds what nodes tell each other for a request; longer messages
-	// are read past it. The default of 4 kB, at both ends, was a sixth of what
-	// a request allocated on its node and its witness.
-	exchangeBuffer = 512
+	alpnProtocol   = "lavenderpin-fleet-1"
+	maxMessageSize = 16 << 20
+	// idleTimeout exceeds the interval between two pings of the same peer. Keep-alives
+	// are disabled: with a connection to every other node, they alone would exceed
+	// a node's budget for control traffic in a large fleet.
+	idleTimeout        = 30 * time.Second
+	maxIncomingStreams = 10_000
+	handshakeTimeout   = 2 * time.Second
+	// streamBufferSize fits the messages that nodes exchange for a client request; longer
+	// ones bypass the buffer. The default of 4 kB, at both ends, was a sixth of the
+	// memory that a request allocated on its node and its witness.
+	streamBufferSize = 512
 )
 
-// QUIC is a peer transport on one UDP socket. It implements Caller.
+// QUIC is a peer transport over one UDP socket. It implements Caller.
 type QUIC struct {
 	transport *quic.Transport
 	config    *tls.Config
@@ -41,25 +41,25 @@
 
 var _ Caller = (*QUIC)(nil)
 
-// NewQUIC returns a transport on the socket. The TLS configuration must hold the
-// node's certificate and demand one of the same authority from others.
+// NewQUIC returns a transport over the socket. The TLS configuration must contain the
+// node's certificate and require peers to present one issued by the same authority.
 func NewQUIC(socket net.PacketConn, config *tls.Config) *QUIC {
 	config = config.Clone()
-	config.NextProtos = []string{alpn}
+	config.NextProtos = []string{alpnProtocol}
 	return &QUIC{transport: &quic.Transport{Conn: socket}, config: config, conns: map[string]*quic.Conn{}}
 }
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:        idleTimeout,
-		MaxIncomingStreams:    maxStreams,
+		MaxIncomingStreams:    maxIncomingStreams,
 		MaxIncomingUniStreams: -1,
-		HandshakeIdleTimeout:  dialDeadline,
+		HandshakeIdleTimeout:  handshakeTimeout,
 	}
 }
 
-// Serve answers requests until ctx ends.
-func (q *QUIC) Serve(ctx context.Context, handle Handler) error {
+// Serve accepts connections and handles their requests until ctx is done.
+func (q *QUIC) Serve(ctx context.Context, handler Handler) error {
 	listener, err := q.transport.Listen(q.config, quicConfig())
 	if err != nil {
 		return errors.Annotate(err, "peer listener")
@@ -70,34 +70,34 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		go serveConn(ctx, conn, handle)
+		go serveConn(ctx, conn, handler)
 	}
 }
 
-func serveConn(ctx context.Context, conn *quic.Conn, handle Handler) {
+func serveConn(ctx context.Context, conn *quic.Conn, handler Handler) {
 	for {
 		stream, err := conn.AcceptStream(ctx)
 		if err != nil {
 			return
 		}
-		go serveStream(ctx, stream, handle)
+		go serveStream(ctx, stream, handler)
 	}
 }
 
-func serveStream(ctx context.Context, stream *quic.Stream, handle Handler) {
+func serveStream(ctx context.Context, stream *quic.Stream, handler Handler) {
 	defer func() { _ = stream.Close() }()
-	request, err := readRequest(bufio.NewReaderSize(stream, exchangeBuffer))
+	request, err := readRequest(bufio.NewReaderSize(stream, streamBufferSize))
 	if err != nil {
 		stream.CancelRead(0)
 		return
 	}
-	_, _ = protodelim.MarshalTo(stream, handle(ctx, request))
+	_, _ = protodelim.MarshalTo(stream, handler(ctx, request))
 }
 
 // readRequest reads one length-delimited request.
 func readRequest(r *bufio.Reader) (*fleetv1.Request, error) {
 	request := &fleetv1.Request{}
-	options := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	options := protodelim.UnmarshalOptions{MaxSize: maxMessageSize}
 	if err := options.UnmarshalFrom(r, request); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -110,15 +110,15 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "peer %s", address)
 	}
-	response, err := exchange(ctx, conn, request)
+	response, err := roundTrip(ctx, conn, request)
 	if err != nil {
-		q.forget(address, conn)
+		q.dropConn(address, conn)
 		return nil, errors.Annotatef(err, "peer %s", address)
 	}
 	return response, nil
 }
 
-func exchange(ctx context.Context, conn *quic.Conn, request *fleetv1.Request) (*fleetv1.Response, error) {
+func roundTrip(ctx context.Context, conn *quic.Conn, request *fleetv1.Request) (*fleetv1.Response, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -134,8 +134,8 @@
 		return nil, errors.Trace(err)
 	}
 	response := &fleetv1.Response{}
-	options := protodelim.UnmarshalOptions{MaxSize: maxMessage}
-	if err := options.UnmarshalFrom(bufio.NewReaderSize(stream, exchangeBuffer), response); err != nil {
+	options := protodelim.UnmarshalOptions{MaxSize: maxMessageSize}
+	if err := options.UnmarshalFrom(bufio.NewReaderSize(stream, streamBufferSize), response); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return response, nil
@@ -143,16 +143,16 @@
 
 func (q *QUIC) conn(ctx context.Context, address string) (*quic.Conn, error) {
 	q.mu.Lock()
-	held := q.conns[address]
+	cached := q.conns[address]
 	q.mu.Unlock()
-	if held != nil && held.Context().Err() == nil {
-		return held, nil
+	if cached != nil && cached.Context().Err() == nil {
+		return cached, nil
 	}
-	to, err := net.ResolveUDPAddr("udp", address)
+	udpAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	conn, err := q.transport.Dial(ctx, to, q.config, quicConfig())
+	conn, err := q.transport.Dial(ctx, udpAddr, q.config, quicConfig())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -162,10 +162,10 @@
 	return conn, nil
 }
 
-// forget drops a connection that failed, so that the next call dials anew. A node
-// restarted at the same address would otherwise be called over a dead connection
-// until the idle timeout.
-func (q *QUIC) forget(address string, conn *quic.Conn) {
+// dropConn closes a failed connection and removes it from the cache, so that the next call
+// dials again. Otherwise calls to a node restarted at the same address would use a dead
+// connection until the idle timeout.
+func (q *QUIC) dropConn(address string, conn *quic.Conn) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.conns[address] == conn {
@@ -174,5 +174,5 @@
 	}
 }
 
-// Close ends all connections and the socket.
+// Close closes all connections and the transport.
 func (q *QUIC) Close() error { return errors.Trace(q.transport.Close()) }
