--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -68,7 +68,7 @@
 
 	secret    []byte
 	options   Options
-	authority tlskeys.Pair
+	authority tlskeys.KeyPair
 	stops     []context.CancelFunc
 	ended     []chan struct{}
 	nodes     sync.WaitGroup
@@ -136,7 +136,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	peerTLS, err := tlskeys.Config(authority.Cert, pair)
+	peerTLS, err := tlskeys.PeerConfig(authority.Cert, pair)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/tlskeys/authority.go
+++ b/tlskeys/authority.go
@@ -13,20 +13,20 @@
 	"github.com/juju/errors"
 )
 
-// ServerName is the name in every node's certificate. Nodes are reached by IP
-// numbers that change; what is checked is the fleet's authority, not the address.
+// ServerName is the DNS name in every node's certificate. Nodes are dialed by IP
+// addresses that change, so verification relies on the fleet's authority, not the address.
 const ServerName = "node.lavenderpin.internal"
 
 const serialBits = 120
 
-// Pair is a certificate and its key, both PEM.
-type Pair struct {
+// KeyPair is a certificate and its private key, both PEM-encoded.
+type KeyPair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// NewAuthority makes a fleet's authority, valid from an hour before now.
-func NewAuthority(now time.Time, validity time.Duration) (Pair, error) {
+// NewAuthority creates a fleet's certificate authority, valid from an hour before now.
+func NewAuthority(now time.Time, validity time.Duration) (KeyPair, error) {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "lavenderpin fleet authority"},
 		NotBefore:             now.Add(-time.Hour),
@@ -37,16 +37,16 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
-	return sign(template, template, key, key)
+	return signCertificate(template, template, key, key)
 }
 
-// Issue makes a node's certificate, valid from an hour before now.
-func (p Pair) Issue(now time.Time, validity time.Duration) (Pair, error) {
+// Issue creates a node certificate signed by p, valid from an hour before now.
+func (p KeyPair) Issue(now time.Time, validity time.Duration) (KeyPair, error) {
 	parent, parentKey, err := p.parse()
 	if err != nil {
-		return Pair{}, errors.Annotate(err, "authority")
+		return KeyPair{}, errors.Annotate(err, "authority")
 	}
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "lavenderpin node"},
@@ -58,36 +58,36 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
-	return sign(template, parent, key, parentKey)
+	return signCertificate(template, parent, key, parentKey)
 }
 
-func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (Pair, error) {
+func signCertificate(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (KeyPair, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	template.SerialNumber = serial
 	cert, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
-	return Pair{
+	return KeyPair{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert}),
 		Key:  pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}),
 	}, nil
 }
 
-func (p Pair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func (p KeyPair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certBlock, _ := pem.Decode(p.Cert)
 	keyBlock, _ := pem.Decode(p.Key)
 	if certBlock == nil || keyBlock == nil {
-		return nil, nil, errors.New("no PEM data")
+		return nil, nil, errors.New("no PEM block in the certificate or key")
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("the key isn't an ECDSA key")
+		return nil, nil, errors.New("private key is not an ECDSA key")
 	}
 	return cert, ecKey, nil
 }
--- a/tlskeys/config.go
+++ b/tlskeys/config.go
@@ -7,16 +7,16 @@
 	"github.com/juju/errors"
 )
 
-// Config returns the TLS configuration of a node: it shows its certificate and
-// demands one of the authority from the other side, in both roles.
-func Config(authorityPEM []byte, node Pair) (*tls.Config, error) {
+// PeerConfig returns the TLS configuration of a node, for both client and server: it
+// presents the node's certificate and requires one issued by the authority from the peer.
+func PeerConfig(authorityPEM []byte, node KeyPair) (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(node.Cert, node.Key)
 	if err != nil {
 		return nil, errors.Annotate(err, "node certificate")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorityPEM) {
-		return nil, errors.New("the authority holds no certificate")
+		return nil, errors.New("authority PEM contains no certificate")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
--- a/tlskeys/doc.go
+++ b/tlskeys/doc.go
@@ -1,3 +1,3 @@
-// Package tlskeys makes and loads the keys for mutual TLS between nodes: one
-// authority for the fleet, one certificate per node.
+// Package tlskeys issues and loads the certificates for mutual TLS between nodes: one
+// certificate authority per fleet, one certificate per node.
 package tlskeys
--- a/tlskeys/store.go
+++ b/tlskeys/store.go
@@ -17,36 +17,35 @@
 	"lavenderpin.dev/lavenderpin/internal/periodic"
 )
 
-// reloadInterval is how soon changed files are noticed.
+// reloadInterval is the interval between two checks for changed files.
 const reloadInterval = 5 * time.Second
 
-// Files names the PEM files of a node. The authority's file may hold several
-// certificates, which is how an authority is replaced: first the new one is added
-// on every node, then the nodes' certificates are issued by it, then the old one
-// is removed.
+// Files holds the paths of a node's PEM files. The authority file may contain several
+// certificates, which allows the authority to be rotated: add the new one on every
+// node, reissue the nodes' certificates with it, then remove the old one.
 type Files struct {
 	Authority string
 	Cert      string
 	Key       string
 }
 
-// material is what the files held when they were read last.
-type material struct {
+// loadedKeys holds the file contents of the last successful load.
+type loadedKeys struct {
 	authority []byte
-	pair      Pair
+	pair      KeyPair
 	config    *tls.Config
 }
 
-// Store holds a node's keys and takes in changed files without a restart. It is
-// safe for concurrent use.
+// Store holds a node's keys and reloads changed files without a restart. It is safe
+// for concurrent use.
 type Store struct {
-	files  Files
-	clock  clockwork.Clock
-	logger log.Logger
-	held   atomic.Pointer[material]
+	files   Files
+	clock   clockwork.Clock
+	logger  log.Logger
+	current atomic.Pointer[loadedKeys]
 }
 
-// NewStore reads the files once; it fails when they don't hold usable keys.
+// NewStore loads the files; it fails if they don't contain usable keys.
 func NewStore(files Files, clock clockwork.Clock, logger log.Logger) (*Store, error) {
 	s := &Store{files: files, clock: clock, logger: logger}
 	if _, err := s.Reload(); err != nil {
@@ -55,37 +54,37 @@
 	return s, nil
 }
 
-// Reload reads the files again and tells whether they changed. Files that don't
-// fit together, as halfway through a copy, leave the held keys in force: a node
-// that dropped them would lose every peer until somebody came.
+// Reload reads the files again and returns whether they changed. If the files don't
+// match, as during a copy, the current keys stay in use: a node without keys would be
+// cut off from every peer until an operator intervened.
 func (s *Store) Reload() (changed bool, err error) {
 	authority, err := os.ReadFile(s.files.Authority)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
-	var pair Pair
+	var pair KeyPair
 	if pair.Cert, err = os.ReadFile(s.files.Cert); err != nil {
 		return false, errors.Trace(err)
 	}
 	if pair.Key, err = os.ReadFile(s.files.Key); err != nil {
 		return false, errors.Trace(err)
 	}
-	if held := s.held.Load(); held != nil && held.same(authority, pair) {
+	if current := s.current.Load(); current != nil && current.equal(authority, pair) {
 		return false, nil
 	}
-	config, err := Config(authority, pair)
+	config, err := PeerConfig(authority, pair)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
-	s.held.Store(&material{authority: authority, pair: pair, config: config})
+	s.current.Store(&loadedKeys{authority: authority, pair: pair, config: config})
 	return true, nil
 }
 
-func (m *material) same(authority []byte, pair Pair) bool {
-	return bytes.Equal(m.authority, authority) && bytes.Equal(m.pair.Cert, pair.Cert) && bytes.Equal(m.pair.Key, pair.Key)
+func (k *loadedKeys) equal(authority []byte, pair KeyPair) bool {
+	return bytes.Equal(k.authority, authority) && bytes.Equal(k.pair.Cert, pair.Cert) && bytes.Equal(k.pair.Key, pair.Key)
 }
 
-// Run takes in changed files until ctx ends.
+// Run reloads changed files until ctx is done.
 func (s *Store) Run(ctx context.Context) {
 	periodic.Run(ctx, s.clock, reloadInterval, func(context.Context) { s.reloadAndLog() })
 }
@@ -93,51 +92,51 @@
 func (s *Store) reloadAndLog() {
 	changed, err := s.Reload()
 	if err != nil {
-		_ = level.Warn(s.logger).Log("msg", "keys not reloaded, the held ones stay in force", "err", err)
+		_ = level.Warn(s.logger).Log("msg", "failed to reload TLS keys; keeping the current ones", "err", err)
 	}
 	if changed {
-		_ = level.Info(s.logger).Log("msg", "keys reloaded")
+		_ = level.Info(s.logger).Log("msg", "TLS keys reloaded")
 	}
 }
 
-// TLS returns a configuration that looks the keys up anew for each handshake, in
-// both roles. Connections that stand are not disturbed by a rotation.
-func (s *Store) TLS() *tls.Config {
+// PeerConfig returns a configuration for both client and server that looks up the current
+// keys for each handshake. A rotation doesn't affect established connections.
+func (s *Store) PeerConfig() *tls.Config {
 	return &tls.Config{
 		ServerName: ServerName,
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &s.held.Load().config.Certificates[0], nil
+			return &s.current.Load().config.Certificates[0], nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &s.held.Load().config.Certificates[0], nil
+			return &s.current.Load().config.Certificates[0], nil
 		},
 		ClientAuth: tls.RequireAnyClientCert,
-		// The standard check knows one fixed set of authorities. Verify does the
-		// same check against the set that is in force now.
+		// The standard verification uses a fixed set of authorities. verify performs
+		// the same verification against the current set.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verify,
 	}
 }
 
-// ServerTLS returns a configuration for operators: they check the node's
-// certificate, and identify themselves by token.
-func (s *Store) ServerTLS() *tls.Config {
+// OperatorConfig returns the server configuration for operators: they verify the node's
+// certificate and authenticate by token.
+func (s *Store) OperatorConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &s.held.Load().config.Certificates[0], nil
+			return &s.current.Load().config.Certificates[0], nil
 		},
 	}
 }
 
-// verify checks the other side's chain against the authorities in force.
+// verify checks the peer's certificate chain against the current authorities.
 func (s *Store) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the other side showed no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	options := x509.VerifyOptions{
-		Roots:         s.held.Load().config.RootCAs,
+		Roots:         s.current.Load().config.RootCAs,
 		DNSName:       ServerName,
 		CurrentTime:   s.clock.Now(),
 		Intermediates: x509.NewCertPool(),
@@ -147,5 +146,5 @@
 		options.Intermediates.AddCert(cert)
 	}
 	_, err := state.PeerCertificates[0].Verify(options)
-	return errors.Annotate(err, "certificate of the other side")
+	return errors.Annotate(err, "peer certificate")
 }
--- a/tlskeys/store_test.go
+++ b/tlskeys/store_test.go
@@ -15,23 +15,23 @@
 
 const validity = time.Hour
 
-type keyring struct {
+type testNode struct {
 	files Files
 	store *Store
 }
 
-func newKeyring(t *testing.T, authorities []Pair, issuer Pair) *keyring {
+func newTestNode(t *testing.T, authorities []KeyPair, issuer KeyPair) *testNode {
 	t.Helper()
 	dir := t.TempDir()
-	k := &keyring{files: Files{filepath.Join(dir, "authority.pem"), filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key")}}
-	k.write(t, authorities, issuer)
-	store, err := NewStore(k.files, clockwork.NewRealClock(), log.NewNopLogger())
+	n := &testNode{files: Files{filepath.Join(dir, "authority.pem"), filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key")}}
+	n.writeFiles(t, authorities, issuer)
+	store, err := NewStore(n.files, clockwork.NewRealClock(), log.NewNopLogger())
 	is.New(t).NoErr(err)
-	k.store = store
-	return k
+	n.store = store
+	return n
 }
 
-func (k *keyring) write(t *testing.T, authorities []Pair, issuer Pair) {
+func (n *testNode) writeFiles(t *testing.T, authorities []KeyPair, issuer KeyPair) {
 	t.Helper()
 	is := is.New(t)
 	var bundle []byte
@@ -40,27 +40,27 @@
 	}
 	pair, err := issuer.Issue(time.Now(), validity)
 	is.NoErr(err)
-	is.NoErr(os.WriteFile(k.files.Authority, bundle, 0o600))
-	is.NoErr(os.WriteFile(k.files.Cert, pair.Cert, 0o600))
-	is.NoErr(os.WriteFile(k.files.Key, pair.Key, 0o600))
+	is.NoErr(os.WriteFile(n.files.Authority, bundle, 0o600))
+	is.NoErr(os.WriteFile(n.files.Cert, pair.Cert, 0o600))
+	is.NoErr(os.WriteFile(n.files.Key, pair.Key, 0o600))
 }
 
-func (k *keyring) rotate(t *testing.T, authorities []Pair, issuer Pair) {
+func (n *testNode) rotate(t *testing.T, authorities []KeyPair, issuer KeyPair) {
 	t.Helper()
-	k.write(t, authorities, issuer)
-	changed, err := k.store.Reload()
+	n.writeFiles(t, authorities, issuer)
+	changed, err := n.store.Reload()
 	is.New(t).NoErr(err)
 	is.New(t).True(changed)
 }
 
-func authority(t *testing.T) Pair {
+func newAuthority(t *testing.T) KeyPair {
 	t.Helper()
 	pair, err := NewAuthority(time.Now(), validity)
 	is.New(t).NoErr(err)
 	return pair
 }
 
-// handshake connects two nodes and returns what each side says.
+// handshake connects a client and a server and returns the error of each side.
 func handshake(client, server *tls.Config) (clientErr, serverErr error) {
 	a, b := net.Pipe()
 	defer func() { _ = a.Close() }()
@@ -84,55 +84,55 @@
 	return clientErr, <-served
 }
 
-func connects(client, server *keyring) bool {
-	clientErr, serverErr := handshake(client.store.TLS(), server.store.TLS())
+func connects(client, server *testNode) bool {
+	clientErr, serverErr := handshake(client.store.PeerConfig(), server.store.PeerConfig())
 	return clientErr == nil && serverErr == nil
 }
 
-// The fleet's authority is replaced node by node while all of them run. At no point
-// may two nodes refuse each other, or requests that need a peer would fail.
-func TestAuthorityRotatesWithoutARefusal(t *testing.T) {
+// The fleet's authority is rotated node by node while all nodes run. Two nodes must never
+// reject each other during the rotation, or requests that need a peer would fail.
+func TestAuthorityRotationKeepsPeersConnected(t *testing.T) {
 	is := is.New(t)
-	old, next := authority(t), authority(t)
-	a := newKeyring(t, []Pair{old}, old)
-	b := newKeyring(t, []Pair{old}, old)
-	both := func() {
+	old, next := newAuthority(t), newAuthority(t)
+	a := newTestNode(t, []KeyPair{old}, old)
+	b := newTestNode(t, []KeyPair{old}, old)
+	assertConnected := func() {
 		t.Helper()
 		is.True(connects(a, b))
 		is.True(connects(b, a))
 	}
-	both()
+	assertConnected()
 	for _, step := range []struct {
-		trusted []Pair
-		issuer  Pair
-	}{{[]Pair{old, next}, old}, {[]Pair{old, next}, next}, {[]Pair{next}, next}} {
+		trusted []KeyPair
+		issuer  KeyPair
+	}{{[]KeyPair{old, next}, old}, {[]KeyPair{old, next}, next}, {[]KeyPair{next}, next}} {
 		a.rotate(t, step.trusted, step.issuer)
-		both()
+		assertConnected()
 		b.rotate(t, step.trusted, step.issuer)
-		both()
+		assertConnected()
 	}
 }
 
-// A node with keys of another fleet, or with none, knocks on the peer port. Were it
-// let in, anyone on the network could spend shares and read events.
-func TestStrangersAreRefused(t *testing.T) {
+// A client with a certificate of another fleet, or with none, connects to the peer port.
+// If it were accepted, anyone on the network could spend shares and read events.
+func TestUntrustedCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := authority(t), authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	stranger := newKeyring(t, []Pair{ours}, theirs)
-	is.True(!connects(stranger, a))
-	is.True(!connects(a, stranger))
+	ours, theirs := newAuthority(t), newAuthority(t)
+	a := newTestNode(t, []KeyPair{ours}, ours)
+	untrusted := newTestNode(t, []KeyPair{ours}, theirs)
+	is.True(!connects(untrusted, a))
+	is.True(!connects(a, untrusted))
 
-	_, serverErr := handshake(&tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13}, a.store.TLS())
+	_, serverErr := handshake(&tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13}, a.store.PeerConfig())
 	is.True(serverErr != nil) // no certificate at all
 }
 
-// A certificate has run out. It must be refused like a stranger's.
+// An expired certificate must be rejected like an untrusted one.
 func TestExpiredCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
-	ours := authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	b := newKeyring(t, []Pair{ours}, ours)
+	ours := newAuthority(t)
+	a := newTestNode(t, []KeyPair{ours}, ours)
+	b := newTestNode(t, []KeyPair{ours}, ours)
 	expired, err := ours.Issue(time.Now().Add(-3*validity), validity)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(b.files.Cert, expired.Cert, 0o600))
@@ -142,13 +142,13 @@
 	is.True(!connects(b, a))
 }
 
-// A rotation is seen halfway: the new certificate stands beside the old key. The
-// node must go on with what it holds; dropping it would cut the node off.
-func TestHalfWrittenFilesLeaveTheHeldKeysInForce(t *testing.T) {
+// A reload happens in the middle of a rotation, with the new certificate next to the old
+// key. The node must keep its current keys; dropping them would isolate it.
+func TestPartialFileUpdateKeepsCurrentKeys(t *testing.T) {
 	is := is.New(t)
-	ours := authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	b := newKeyring(t, []Pair{ours}, ours)
+	ours := newAuthority(t)
+	a := newTestNode(t, []KeyPair{ours}, ours)
+	b := newTestNode(t, []KeyPair{ours}, ours)
 	other, err := ours.Issue(time.Now(), validity)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(a.files.Cert, other.Cert, 0o600))
