--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -93,7 +93,7 @@
 }
 
 func newOperatorServer(api *operator.Server, config *tls.Config) *grpc.Server {
-	options := []grpc.ServerOption{grpc.UnaryInterceptor(api.Intercept), grpc.StreamInterceptor(api.InterceptStream)}
+	options := []grpc.ServerOption{grpc.UnaryInterceptor(api.InterceptUnary), grpc.StreamInterceptor(api.InterceptStream)}
 	if config != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(config)))
 	}
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -11,34 +11,34 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Intercept records every call, accepted or refused, as an audit event, and keeps a
-// defect in one call from ending the node.
-func (s *Server) Intercept(ctx context.Context, request any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (answer any, err error) {
-	operator, _ := s.identify(ctx)
+// InterceptUnary records every call, accepted or refused, as an audit event, and recovers
+// from a panic in a handler so that it doesn't terminate the node.
+func (s *Server) InterceptUnary(ctx context.Context, request any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (response any, err error) {
+	operator, _ := s.authenticate(ctx)
 	defer func() {
-		if defect := recover(); defect != nil {
-			s.node().Events().Record(event.PanicRecovered, "method", info.FullMethod, "why", defect)
-			answer, err = nil, toStatus(result.New(result.InternalError, "a defect in this node"))
+		if recovered := recover(); recovered != nil {
+			s.currentNode().Events().Record(event.PanicRecovered, "method", info.FullMethod, "why", recovered)
+			response, err = nil, toStatus(result.New(result.InternalError, "a defect in this node"))
 		}
 		s.audit(operator, info.FullMethod, err)
 	}()
-	return handle(ctx, request)
+	return handler(ctx, request)
 }
 
-// InterceptStream is Intercept for streaming calls.
-func (s *Server) InterceptStream(server any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handle grpc.StreamHandler) (err error) {
-	operator, _ := s.identify(stream.Context())
+// InterceptStream is the counterpart of InterceptUnary for streaming calls.
+func (s *Server) InterceptStream(server any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) (err error) {
+	operator, _ := s.authenticate(stream.Context())
 	defer func() {
-		if defect := recover(); defect != nil {
-			s.node().Events().Record(event.PanicRecovered, "method", info.FullMethod, "why", defect)
+		if recovered := recover(); recovered != nil {
+			s.currentNode().Events().Record(event.PanicRecovered, "method", info.FullMethod, "why", recovered)
 			err = toStatus(result.New(result.InternalError, "a defect in this node"))
 		}
 		s.audit(operator, info.FullMethod, err)
 	}()
-	return handle(server, stream)
+	return handler(server, stream)
 }
 
 func (s *Server) audit(operator, method string, err error) {
-	s.node().Events().Record(event.OperatorCalled, "operator", operator, "method", path.Base(method),
+	s.currentNode().Events().Record(event.OperatorCalled, "operator", operator, "method", path.Base(method),
 		"outcome", status.Code(err), "why", status.Convert(err).Message())
 }
--- a/operator/auth.go
+++ b/operator/auth.go
@@ -12,33 +12,33 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// bootstrapName is the operator named in events while the bootstrap token is used.
-const bootstrapName = "bootstrap"
+// bootstrapOperator is the operator name in events for calls with the bootstrap token.
+const bootstrapOperator = "bootstrap"
 
-// authorize returns the operator's name when its token has the role.
-func (s *Server) authorize(ctx context.Context, need operatorv1.Role) (string, error) {
-	name, role := s.identify(ctx)
-	if role >= need {
+// authorize returns the operator's name if its token grants at least the required role.
+func (s *Server) authorize(ctx context.Context, required operatorv1.Role) (string, error) {
+	name, role := s.authenticate(ctx)
+	if role >= required {
 		return name, nil
 	}
-	s.node().Events().Record(event.OperatorRefused, "operator", name, "needs", need)
-	return "", result.New(result.NotAuthorized, "the operator token lacks %s", need)
+	s.currentNode().Events().Record(event.OperatorRefused, "operator", name, "needs", required)
+	return "", result.New(result.NotAuthorized, "the operator token lacks %s", required)
 }
 
-func (s *Server) identify(ctx context.Context) (string, operatorv1.Role) {
+func (s *Server) authenticate(ctx context.Context) (string, operatorv1.Role) {
 	token := bearerToken(ctx)
 	if token == "" {
 		return "", operatorv1.Role_ROLE_UNSPECIFIED
 	}
-	view := s.node().Config()
-	if held := view.OperatorToken(token); held != nil {
-		return held.GetName(), held.GetRole()
+	view := s.currentNode().Config()
+	if stored := view.OperatorToken(token); stored != nil {
+		return stored.GetName(), stored.GetRole()
 	}
-	// The bootstrap token works only until a stored one exists, so that a leaked
-	// start script doesn't stay a key for ever.
-	bootstrap := s.node().Settings().BootstrapTokenSHA256
+	// The bootstrap token is valid only until an operator token is stored, so that
+	// a leaked start script doesn't grant access forever.
+	bootstrap := s.currentNode().Settings().BootstrapTokenSHA256
 	if bootstrap != "" && !view.HasOperatorTokens() && config.HashKey(token) == strings.ToLower(bootstrap) {
-		return bootstrapName, operatorv1.Role_ROLE_OPERATE
+		return bootstrapOperator, operatorv1.Role_ROLE_OPERATE
 	}
 	return "", operatorv1.Role_ROLE_UNSPECIFIED
 }
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' gRPC API on a node.
+// Package operator implements the operators' gRPC API of a node.
 //
-// Any node takes any call. A change counts once it was read back from the log;
-// an answer never claims more than that.
+// Any node accepts any call. A change is acknowledged only after it has been read back
+// from the log; no response claims more than that.
 package operator
--- a/operator/server.go
+++ b/operator/server.go
@@ -15,30 +15,30 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// verdictWait bounds how long a call waits for the log to show a change. A caller's
-// shorter deadline goes first.
-const verdictWait = 10 * time.Second
+// submitTimeout bounds how long a call waits until its change is read back from the log.
+// An earlier deadline of the caller takes precedence.
+const submitTimeout = 10 * time.Second
 
 // Server implements operator.v1.OperatorService.
 type Server struct {
 	operatorv1.UnimplementedOperatorServiceServer
-	node func() *node.Node
+	currentNode func() *node.Node
 }
 
-// New returns a server; node is asked for each call, since a daemon replaces its
-// node when the fleet closes the incarnation.
-func New(current func() *node.Node) *Server { return &Server{node: current} }
+// New returns a server. It calls current for each access to the node, since a daemon
+// replaces its node when the fleet closes the incarnation.
+func New(current func() *node.Node) *Server { return &Server{currentNode: current} }
 
-// Register adds the service to a gRPC server.
+// Register registers the service with a gRPC server.
 func (s *Server) Register(server *grpc.Server) { operatorv1.RegisterOperatorServiceServer(server, s) }
 
-// toStatus returns an error as gRPC carries it: the numbered code and its message.
+// toStatus converts an error to a gRPC status with the result code and its message.
 func toStatus(err error) error {
 	if err == nil {
 		return nil
 	}
-	known := result.From(err)
-	return status.Error(known.Code.Info().GRPC, known.Error())
+	resultErr := result.From(err)
+	return status.Error(resultErr.Code.Info().GRPC, resultErr.Error())
 }
 
 // Apply implements operator.v1.OperatorService.
@@ -79,7 +79,7 @@
 	if topUp.GetId() == "" || topUp.GetBudget() == "" || topUp.GetTokens() == 0 {
 		return nil, toStatus(result.New(result.InvalidResource, "a top-up needs id, budget and tokens"))
 	}
-	if !s.node().Config().HasBudget(topUp.GetBudget()) {
+	if !s.currentNode().Config().HasBudget(topUp.GetBudget()) {
 		return nil, toStatus(result.New(result.UnknownResource, "no budget %q", topUp.GetBudget()))
 	}
 	verdict, err := s.submit(ctx, &recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{Operator: operator, TopUp: topUp}}})
@@ -90,9 +90,9 @@
 }
 
 func (s *Server) submit(ctx context.Context, entry *recordv1.Entry) (fold.Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, verdictWait)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	verdict, err := s.node().Journal().Submit(entry).Wait(ctx)
+	verdict, err := s.currentNode().Journal().Submit(entry).Wait(ctx)
 	if err != nil {
 		return verdict, err
 	}
@@ -104,16 +104,16 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	n := s.node()
-	answer := &operatorv1.ListResponse{Offset: n.Offset()}
+	n := s.currentNode()
+	response := &operatorv1.ListResponse{Offset: n.Offset()}
 	if key := (config.Key{Kind: config.Kind(r.GetKind()), Name: r.GetName()}); key != (config.Key{}) {
-		if held := n.Config().Versioned(key); held != nil {
-			answer.Resources = append(answer.Resources, held)
+		if resource := n.Config().Versioned(key); resource != nil {
+			response.Resources = append(response.Resources, resource)
 		}
-		return answer, nil
+		return response, nil
 	}
-	answer.Resources, answer.Next = n.Config().Page(r.GetAfter())
-	return answer, nil
+	response.Resources, response.Next = n.Config().Page(r.GetAfter())
+	return response, nil
 }
 
 // Watch implements operator.v1.OperatorService.
@@ -121,7 +121,7 @@
 	if _, err := s.authorize(stream.Context(), operatorv1.Role_ROLE_VIEW); err != nil {
 		return toStatus(err)
 	}
-	changes, stop := s.node().Watch()
+	changes, stop := s.currentNode().Watch()
 	defer stop()
 	for {
 		select {
@@ -143,14 +143,14 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	n := s.node()
-	answer := &operatorv1.BudgetsResponse{Offset: n.Offset()}
+	n := s.currentNode()
+	response := &operatorv1.BudgetsResponse{Offset: n.Offset()}
 	if r.GetBudget() != "" {
-		answer.Budgets = n.BudgetState(r.GetBudget())
-		return answer, nil
+		response.Budgets = n.BudgetState(r.GetBudget())
+		return response, nil
 	}
-	answer.Budgets, answer.Next = n.BudgetStates(r.GetAfter())
-	return answer, nil
+	response.Budgets, response.Next = n.BudgetStates(r.GetAfter())
+	return response, nil
 }
 
 // Nodes implements operator.v1.OperatorService.
@@ -158,7 +158,7 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	return &operatorv1.NodesResponse{Nodes: s.node().Nodes()}, nil
+	return &operatorv1.NodesResponse{Nodes: s.currentNode().Nodes()}, nil
 }
 
 // Events implements operator.v1.OperatorService.
@@ -166,5 +166,5 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	return s.node().Timeline(ctx, r.GetId(), r.GetFleet()), nil
+	return s.currentNode().Timeline(ctx, r.GetId(), r.GetFleet()), nil
 }
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -16,7 +16,7 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-func start(t *testing.T) (*devfleet.Fleet, operatorv1.OperatorServiceClient) {
+func startFleet(t *testing.T) (*devfleet.Fleet, operatorv1.OperatorServiceClient) {
 	t.Helper()
 	is := is.New(t)
 	fleet, err := devfleet.Start(devfleet.Options{Nodes: []devfleet.Place{{Region: "r", DataCentre: "d"}}})
@@ -28,11 +28,11 @@
 	return fleet, operatorv1.NewOperatorServiceClient(conn)
 }
 
-func as(token string) context.Context {
+func withToken(token string) context.Context {
 	return metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+token)
 }
 
-func account(name string, base uint64) *operatorv1.ApplyRequest {
+func accountChange(name string, base uint64) *operatorv1.ApplyRequest {
 	return &operatorv1.ApplyRequest{ChangeId: name + time.Now().String(), Changes: []*operatorv1.Change{{
 		BaseVersion: base,
 		Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{
@@ -40,30 +40,30 @@
 	}}}
 }
 
-func token(name string, role operatorv1.Role) *operatorv1.ApplyRequest {
+func tokenChange(name string, role operatorv1.Role) *operatorv1.ApplyRequest {
 	return &operatorv1.ApplyRequest{ChangeId: name, Changes: []*operatorv1.Change{{
 		Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_OperatorToken{OperatorToken: &operatorv1.OperatorToken{
 			Name: name, TokenSha256: config.HashKey(name + "-token"), Role: role}}},
 	}}}
 }
 
-// Somebody calls with no token, a wrong one, one that may only look, or the
-// bootstrap token after a stored one exists. Each must be refused and leave an
-// audit event, or nobody could tell later who tried.
-func TestRoles(t *testing.T) {
+// Calls arrive with no token, a wrong one, a view-only one, or the bootstrap token after
+// an operator token was stored. Each must be refused and leave an audit event, or such
+// attempts could not be traced later.
+func TestRolesAreEnforced(t *testing.T) {
 	is := is.New(t)
-	fleet, client := start(t)
-	for _, ctx := range []context.Context{context.Background(), as("wrong")} {
+	fleet, client := startFleet(t)
+	for _, ctx := range []context.Context{context.Background(), withToken("wrong")} {
 		_, err := client.List(ctx, &operatorv1.ListRequest{})
 		is.Equal(status.Code(err), codes.PermissionDenied)
 	}
-	_, err := client.Apply(as(devfleet.OperatorToken), token("viewer", operatorv1.Role_ROLE_VIEW))
+	_, err := client.Apply(withToken(devfleet.OperatorToken), tokenChange("viewer", operatorv1.Role_ROLE_VIEW))
 	is.NoErr(err)
-	_, err = client.Apply(as(devfleet.OperatorToken), account("a", 0))
-	is.Equal(status.Code(err), codes.PermissionDenied) // the bootstrap token has done its work
-	_, err = client.List(as("viewer-token"), &operatorv1.ListRequest{})
+	_, err = client.Apply(withToken(devfleet.OperatorToken), accountChange("a", 0))
+	is.Equal(status.Code(err), codes.PermissionDenied) // the bootstrap token is no longer valid
+	_, err = client.List(withToken("viewer-token"), &operatorv1.ListRequest{})
 	is.NoErr(err)
-	_, err = client.Apply(as("viewer-token"), account("a", 0))
+	_, err = client.Apply(withToken("viewer-token"), accountChange("a", 0))
 	is.Equal(status.Code(err), codes.PermissionDenied)
 
 	events, _ := fleet.Daemons[0].Node().Events().Since("Apply")
@@ -76,52 +76,51 @@
 	is.Equal(outcomes, map[string]int{"bootstrap OK": 1, " PermissionDenied": 1, "viewer PermissionDenied": 1})
 }
 
-// Two operators change the same account from the same version. The second must
-// learn that it lost, and against which version, instead of silently undoing the
-// first.
-func TestRacingOperators(t *testing.T) {
+// Two operators change the same account based on the same version. The second must get
+// a conflict that names the current version, instead of silently overwriting the first.
+func TestConcurrentChangesConflict(t *testing.T) {
 	is := is.New(t)
-	_, client := start(t)
-	ctx := as(devfleet.OperatorToken)
-	first, err := client.Apply(ctx, account("a", 0))
+	_, client := startFleet(t)
+	ctx := withToken(devfleet.OperatorToken)
+	first, err := client.Apply(ctx, accountChange("a", 0))
 	is.NoErr(err)
-	_, err = client.Apply(ctx, account("a", 0))
+	_, err = client.Apply(ctx, accountChange("a", 0))
 	is.Equal(status.Code(err), codes.Aborted)
-	_, err = client.Apply(ctx, account("a", first.GetVersion()))
+	_, err = client.Apply(ctx, accountChange("a", first.GetVersion()))
 	is.NoErr(err)
 }
 
-// The answer to a change is lost and the operator sends it again. It must take
-// effect once and be answered alike.
+// The response to a change is lost and the operator retries. The change must be applied
+// once, and both calls must return the same version.
 func TestSameChangeIDIsIdempotent(t *testing.T) {
 	is := is.New(t)
-	fleet, client := start(t)
-	ctx := as(devfleet.OperatorToken)
-	change := account("a", 0)
+	fleet, client := startFleet(t)
+	ctx := withToken(devfleet.OperatorToken)
+	change := accountChange("a", 0)
 	fleet.Log.LoseAnswers(1)
 	first, err := client.Apply(ctx, change)
 	is.NoErr(err)
-	again, err := client.Apply(ctx, change)
+	retry, err := client.Apply(ctx, change)
 	is.NoErr(err)
-	is.Equal(first.GetVersion(), again.GetVersion())
+	is.Equal(first.GetVersion(), retry.GetVersion())
 }
 
-// The log is down. The operator must hear that nothing was changed only when that
-// is the truth, and otherwise that the outcome is open.
-func TestChangeWhileTheLogIsDown(t *testing.T) {
+// The log is down. The response may claim that nothing was changed only if that is true;
+// otherwise it must report that the outcome is unknown.
+func TestChangeDuringLogOutage(t *testing.T) {
 	is := is.New(t)
-	fleet, client := start(t)
+	fleet, client := startFleet(t)
 	fleet.Log.SetDown(true)
-	ctx, cancel := context.WithTimeout(as(devfleet.OperatorToken), 500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(withToken(devfleet.OperatorToken), 500*time.Millisecond)
 	defer cancel()
-	change := account("a", 0)
+	change := accountChange("a", 0)
 	_, err := client.Apply(ctx, change)
 	is.True(err != nil)
 	fleet.Log.SetDown(false)
-	answer, err := client.Apply(as(devfleet.OperatorToken), change) // the same id, whatever became of the first
+	response, err := client.Apply(withToken(devfleet.OperatorToken), change) // retry with the same id
 	is.NoErr(err)
-	is.True(answer.GetVersion() > 0)
-	list, err := client.List(as(devfleet.OperatorToken), &operatorv1.ListRequest{})
+	is.True(response.GetVersion() > 0)
+	list, err := client.List(withToken(devfleet.OperatorToken), &operatorv1.ListRequest{})
 	is.NoErr(err)
 	is.Equal(len(list.GetResources()), 1)
 }
