--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -47,7 +47,7 @@
 		return errors.Trace(err)
 	}
 	defer func() { _ = conn.Close() }()
-	file, err := fleetfile.FromMessage(fleet)
+	file, err := fleetfile.FromProto(fleet)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/fleetfile/doc.go
+++ b/fleetfile/doc.go
@@ -1,4 +1,4 @@
-// Package fleetfile reads the declarative file that "lavenderctl apply" takes: the
-// message operator.v1.Fleet as protojson. The file is checked whole before anything
-// is sent, and every mistake is named with its place.
+// Package fleetfile parses and applies the declarative file of "lavenderctl apply": the
+// message operator.v1.Fleet as protojson. The whole file is validated before anything is
+// sent, and every problem is reported with its location.
 package fleetfile
--- a/fleetfile/export.go
+++ b/fleetfile/export.go
@@ -4,12 +4,12 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Export returns the resources in force as a fleet that a file can hold. Applying that
-// file changes nothing. Drains aren't part of a file, and top-ups are left out: they
-// have taken effect, and their ids are known to the budgets alone.
-func Export(held []*operatorv1.VersionedResource) *operatorv1.Fleet {
+// Export returns the current resources as a message to be written to a fleet file.
+// Applying that file changes nothing. Drains aren't part of a file, and top-ups are
+// omitted: they have been applied, and only the budgets know their ids.
+func Export(current []*operatorv1.VersionedResource) *operatorv1.Fleet {
 	fleet := &operatorv1.Fleet{}
-	for _, r := range held {
+	for _, r := range current {
 		if r.GetDeleted() {
 			continue
 		}
--- a/fleetfile/fake_test.go
+++ b/fleetfile/fake_test.go
@@ -12,14 +12,14 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// fakeOperator is the operator API over a folded configuration.
+// fakeOperator implements the operator API on an in-memory configuration state.
 type fakeOperator struct {
 	operatorv1.OperatorServiceClient
 	state  *config.State
 	offset uint64
-	// race, when set, runs once before the next change is folded.
-	race   func()
-	topUps []string
+	// beforeApply, if set, runs once before the next change is applied.
+	beforeApply func()
+	topUps      []string
 }
 
 func newFakeOperator() *fakeOperator { return &fakeOperator{state: config.NewState(nil)} }
@@ -30,9 +30,9 @@
 }
 
 func (f *fakeOperator) Apply(_ context.Context, r *operatorv1.ApplyRequest, _ ...grpc.CallOption) (*operatorv1.ApplyResponse, error) {
-	if race := f.race; race != nil {
-		f.race = nil
-		race()
+	if beforeApply := f.beforeApply; beforeApply != nil {
+		f.beforeApply = nil
+		beforeApply()
 	}
 	f.offset++
 	change := &recordv1.ConfigChange{ChangeId: r.GetChangeId(), Changes: r.GetChanges()}
--- a/fleetfile/fuzz_test.go
+++ b/fleetfile/fuzz_test.go
@@ -10,10 +10,10 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// Whatever stands in a fleet file, reading it must not panic; and what is taken must be
-// something that the fleet can hold, each name once, and read the same when it is
-// written out again. Otherwise an operator's file would be refused after half of it, or
-// the second apply of an unchanged file would change something.
+// FuzzParse parses arbitrary bytes as a fleet file. Parsing must not panic; an accepted file
+// must contain only valid resources, each name once, and be unchanged after a round trip.
+// Otherwise a file would be refused after half of it was applied, or the second apply of
+// an unchanged file would change something.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"accounts":[{"name":"crew","keySha256":["` + config.HashKey("key") + `"]}],` +
 		`"services":[{"name":"chat","kind":"SERVICE_KIND_ENGINE","models":["m"]}],` +
@@ -33,16 +33,16 @@
 		seen := map[config.Key]bool{}
 		for _, r := range file.Resources {
 			key, known := config.KeyOf(r)
-			if mistakes := config.Validate(r); !known || seen[key] || len(mistakes) > 0 {
-				t.Fatalf("took %s: %v", key, mistakes)
+			if problems := config.Validate(r); !known || seen[key] || len(problems) > 0 {
+				t.Fatalf("accepted an invalid or duplicate resource %s: %v", key, problems)
 			}
 			seen[key] = true
 		}
-		sameAgain(t, data, file)
+		checkRoundTrip(t, data, file)
 	})
 }
 
-func sameAgain(t *testing.T, data []byte, file *File) {
+func checkRoundTrip(t *testing.T, data []byte, file *File) {
 	fleet := &operatorv1.Fleet{}
 	if err := protojson.Unmarshal(data, fleet); err != nil {
 		t.Fatal(err)
@@ -51,16 +51,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Parse(written)
+	reparsed, err := Parse(written)
 	if err != nil {
 		t.Fatalf("%s: %v", written, err)
 	}
-	if len(again.Resources) != len(file.Resources) || len(again.TopUps) != len(file.TopUps) {
-		t.Fatalf("%s reads as another fleet", written)
+	if len(reparsed.Resources) != len(file.Resources) || len(reparsed.TopUps) != len(file.TopUps) {
+		t.Fatalf("%s: the numbers of resources or top-ups differ after a round trip", written)
 	}
 	for i, r := range file.Resources {
-		if !proto.Equal(r, again.Resources[i]) {
-			t.Fatalf("%v became %v", r, again.Resources[i])
+		if !proto.Equal(r, reparsed.Resources[i]) {
+			t.Fatalf("round trip changed %v to %v", r, reparsed.Resources[i])
 		}
 	}
 }
--- a/fleetfile/parse.go
+++ b/fleetfile/parse.go
@@ -11,7 +11,7 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// File is a fleet file that was checked.
+// File is a validated fleet file.
 type File struct {
 	Resources []*operatorv1.Resource
 	TopUps    []*operatorv1.TopUp
@@ -26,25 +26,25 @@
 	return false
 }
 
-// Parse reads and checks a file; the error names all mistakes.
+// Parse parses and validates a file; the error lists all problems.
 func Parse(data []byte) (*File, error) {
 	fleet := &operatorv1.Fleet{}
 	if err := protojson.Unmarshal(data, fleet); err != nil {
 		return nil, errors.Annotate(err, "fleet file")
 	}
-	return FromMessage(fleet)
+	return FromProto(fleet)
 }
 
-// FromMessage checks a fleet that was read or built already.
-func FromMessage(fleet *operatorv1.Fleet) (*File, error) {
-	file := &File{Resources: resources(fleet), TopUps: fleet.GetTopUps()}
-	if mistakes := check(fleet, file); len(mistakes) > 0 {
-		return nil, errors.Errorf("fleet file:\n  %s", strings.Join(mistakes, "\n  "))
+// FromProto validates a fleet message that is already decoded.
+func FromProto(fleet *operatorv1.Fleet) (*File, error) {
+	file := &File{Resources: flatten(fleet), TopUps: fleet.GetTopUps()}
+	if problems := validate(fleet, file); len(problems) > 0 {
+		return nil, errors.Errorf("fleet file:\n  %s", strings.Join(problems, "\n  "))
 	}
 	return file, nil
 }
 
-func resources(f *operatorv1.Fleet) []*operatorv1.Resource {
+func flatten(f *operatorv1.Fleet) []*operatorv1.Resource {
 	var all []*operatorv1.Resource
 	for _, r := range f.GetAccounts() {
 		all = append(all, &operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: r}})
@@ -64,45 +64,45 @@
 	return all
 }
 
-func check(f *operatorv1.Fleet, file *File) []string {
-	var mistakes []string
+func validate(f *operatorv1.Fleet, file *File) []string {
+	var problems []string
 	seen := map[config.Key]bool{}
 	for _, r := range file.Resources {
-		mistakes = append(mistakes, config.Validate(r)...)
+		problems = append(problems, config.Validate(r)...)
 		key, _ := config.KeyOf(r)
 		if seen[key] {
-			mistakes = append(mistakes, fmt.Sprintf("%s stands twice", key))
+			problems = append(problems, fmt.Sprintf("%s is declared twice", key))
 		}
 		seen[key] = true
 	}
-	mistakes = append(mistakes, checkReferences(f, seen)...)
-	return mistakes
+	problems = append(problems, checkReferences(f, seen)...)
+	return problems
 }
 
-// checkReferences finds names that the file uses but doesn't declare. A file
-// declares a fleet whole, so a name from elsewhere is a mistake.
+// checkReferences reports names that the file references but doesn't declare. A file
+// declares the complete fleet, so a reference to anything else is an error.
 func checkReferences(f *operatorv1.Fleet, declared map[config.Key]bool) []string {
-	var mistakes []string
-	need := func(place string, kind config.Kind, name string) {
+	var problems []string
+	requireDeclared := func(location string, kind config.Kind, name string) {
 		if !declared[config.Key{Kind: kind, Name: name}] {
-			mistakes = append(mistakes, fmt.Sprintf("%s names %s %q, which the file doesn't declare", place, kind, name))
+			problems = append(problems, fmt.Sprintf("%s references %s %q, which the file doesn't declare", location, kind, name))
 		}
 	}
 	for _, b := range f.GetBudgets() {
-		need("budget/"+b.GetName(), config.KindAccount, b.GetAccount())
+		requireDeclared("budget/"+b.GetName(), config.KindAccount, b.GetAccount())
 		for _, service := range b.GetServices() {
-			need("budget/"+b.GetName(), config.KindService, service)
+			requireDeclared("budget/"+b.GetName(), config.KindService, service)
 		}
 	}
 	for _, u := range f.GetUpstreams() {
-		need("upstream/"+u.GetName(), config.KindService, u.GetService())
+		requireDeclared("upstream/"+u.GetName(), config.KindService, u.GetService())
 	}
 	for i, t := range f.GetTopUps() {
-		place := fmt.Sprintf("topUps[%d]", i)
-		need(place, config.KindBudget, t.GetBudget())
+		location := fmt.Sprintf("topUps[%d]", i)
+		requireDeclared(location, config.KindBudget, t.GetBudget())
 		if t.GetId() == "" || t.GetTokens() == 0 {
-			mistakes = append(mistakes, place+" needs an id and tokens")
+			problems = append(problems, location+" needs an id and tokens")
 		}
 	}
-	return mistakes
+	return problems
 }
--- a/fleetfile/plan.go
+++ b/fleetfile/plan.go
@@ -9,7 +9,7 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// Action is what a step does to its resource.
+// Action is the operation of a step on its resource.
 type Action string
 
 // The actions of a plan.
@@ -19,38 +19,38 @@
 	ActionDelete Action = "delete"
 )
 
-// Step is one resource that a plan creates, changes or deletes.
+// Step is the creation, change or deletion of one resource.
 type Step struct {
 	Action Action
 	Key    config.Key
-	// Held is what is in force now; nil for a resource that is created.
-	Held *operatorv1.Resource
-	// Change is what is sent, made against the version that Held has.
+	// Current is the resource before the step; nil if it is created.
+	Current *operatorv1.Resource
+	// Change is the change to send, based on the version of Current.
 	Change *operatorv1.Change
 }
 
-// Plan is what it takes to make a fleet hold what a file declares.
+// Plan is the list of steps that bring a fleet to the state that a file declares.
 type Plan []Step
 
-// NewPlan compares a file with the resources in force. With prune it deletes those
-// that the file doesn't name; the deletions come first, so that what they held, such
-// as a caller's key or a model, is free for the resources that follow.
+// NewPlan compares a file with the current resources. With prune it deletes those that the
+// file doesn't declare; deletions come first, so that what they used, such as a caller's
+// key or a model, are free for the resources that follow.
 //
-// Two kinds are never pruned. Drains say what happens to a node now, not how the fleet
-// is meant to be. Operator tokens stay when the file declares none: deleting the last
-// one would lock all operators out.
-func NewPlan(held []*operatorv1.VersionedResource, file *File, prune bool) Plan {
-	wanted := map[config.Key]bool{}
+// Two kinds are exempt. Drains are never pruned: they describe an operation in progress on
+// a node, not the desired state of the fleet. Operator tokens are kept if the file declares
+// none: deleting the last one would lock out all operators.
+func NewPlan(current []*operatorv1.VersionedResource, file *File, prune bool) Plan {
+	declared := map[config.Key]bool{}
 	for _, r := range file.Resources {
 		key, _ := config.KeyOf(r)
-		wanted[key] = true
+		declared[key] = true
 	}
 	var plan Plan
 	byKey := map[config.Key]*operatorv1.VersionedResource{}
-	for _, r := range held {
+	for _, r := range current {
 		key, _ := config.KeyOf(r.GetResource())
 		byKey[key] = r
-		if prune && !wanted[key] && !r.GetDeleted() && prunes(key.Kind, file) {
+		if prune && !declared[key] && !r.GetDeleted() && prunable(key.Kind, file) {
 			plan = append(plan, Step{ActionDelete, key, r.GetResource(),
 				&operatorv1.Change{BaseVersion: r.GetVersion(), Resource: r.GetResource(), Delete: true}})
 		}
@@ -58,21 +58,21 @@
 	sort.Slice(plan, func(i, j int) bool { return plan[i].Key.String() < plan[j].Key.String() })
 	for _, r := range file.Resources {
 		key, _ := config.KeyOf(r)
-		old := byKey[key]
-		if proto.Equal(old.GetResource(), r) {
+		existing := byKey[key]
+		if proto.Equal(existing.GetResource(), r) {
 			continue
 		}
 		action := ActionChange
-		if old == nil {
+		if existing == nil {
 			action = ActionCreate
 		}
-		plan = append(plan, Step{action, key, old.GetResource(),
-			&operatorv1.Change{BaseVersion: old.GetVersion(), Resource: r}})
+		plan = append(plan, Step{action, key, existing.GetResource(),
+			&operatorv1.Change{BaseVersion: existing.GetVersion(), Resource: r}})
 	}
 	return plan
 }
 
-func prunes(kind config.Kind, file *File) bool {
+func prunable(kind config.Kind, file *File) bool {
 	switch kind {
 	case config.KindDrain:
 		return false
@@ -82,7 +82,7 @@
 	return true
 }
 
-// Changes returns what is sent to the fleet.
+// Changes returns the changes to send to the fleet.
 func (p Plan) Changes() []*operatorv1.Change {
 	changes := make([]*operatorv1.Change, 0, len(p))
 	for _, step := range p {
--- a/fleetfile/held.go
+++ b/fleetfile/resources.go
@@ -9,8 +9,9 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// Held reads all resources in force, page by page, and the lowest offset of the pages.
-func Held(ctx context.Context, client operatorv1.OperatorServiceClient) ([]*operatorv1.VersionedResource, uint64, error) {
+// ReadResources reads all current resources, page by page, and returns the lowest offset
+// of the pages.
+func ReadResources(ctx context.Context, client operatorv1.OperatorServiceClient) ([]*operatorv1.VersionedResource, uint64, error) {
 	var all []*operatorv1.VersionedResource
 	var offset uint64
 	request := &operatorv1.ListRequest{}
@@ -30,15 +31,15 @@
 	}
 }
 
-// HeldOne reads one resource; an error that is errors.NotFound when there is none.
-func HeldOne(ctx context.Context, client operatorv1.OperatorServiceClient, key config.Key) (*operatorv1.VersionedResource, error) {
+// ReadResource reads one resource. The error is errors.NotFound if it doesn't exist.
+func ReadResource(ctx context.Context, client operatorv1.OperatorServiceClient, key config.Key) (*operatorv1.VersionedResource, error) {
 	page, err := client.List(ctx, &operatorv1.ListRequest{Kind: string(key.Kind), Name: key.Name})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	for _, held := range page.GetResources() {
-		if heldKey, _ := config.KeyOf(held.GetResource()); heldKey == key {
-			return held, nil
+	for _, resource := range page.GetResources() {
+		if resourceKey, _ := config.KeyOf(resource.GetResource()); resourceKey == key {
+			return resource, nil
 		}
 	}
 	return nil, errors.NotFoundf("%s", key)
