--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -34,8 +34,8 @@
 type Config struct {
 	Settings  node.Settings
 	Log       ports.Log
-	Instances ports.Instances
-	Weights   ports.Weights
+	Instances ports.InstanceList
+	Weights   ports.WeightStore
 	PeerTLS   *tls.Config
 	// OperatorTLS serves operators over TLS; if nil, they are served in plaintext.
 	OperatorTLS *tls.Config
--- a/internal/bench/meter.go
+++ b/internal/bench/meter.go
@@ -61,7 +61,7 @@
 }
 
 // Read implements ports.Log.
-func (l *meteredLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *meteredLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	if l.away {
 		for _, r := range slice.Records {
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -33,7 +33,7 @@
 	instances *standin.Instances
 	policy    snapshot.Policy
 	// list and upstreams, when set, take the place of instances and of no upstreams.
-	list      ports.Instances
+	list      ports.InstanceList
 	upstreams upstream.Client
 
 	mu    sync.Mutex
@@ -77,7 +77,7 @@
 	f.count++
 	name := fmt.Sprintf("n%d-%d", i, f.count)
 	f.mu.Unlock()
-	var list ports.Instances = f.instances
+	var list ports.InstanceList = f.instances
 	if f.list != nil {
 		list = f.list
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -28,10 +28,10 @@
 
 // slowList answers with what the list held when it was asked, most of the time that a
 // node waits later.
-type slowList struct{ ports.Instances }
+type slowList struct{ ports.InstanceList }
 
 func (l slowList) List(ctx context.Context) ([]*platformv1.Instance, error) {
-	list, err := l.Instances.List(ctx)
+	list, err := l.InstanceList.List(ctx)
 	pause(ctx, 900*time.Millisecond)
 	return list, err
 }
--- a/ports/remote/client.go
+++ b/ports/remote/client.go
@@ -14,7 +14,7 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// Client implements ports.Log, ports.Instances and ports.Weights.
+// Client implements ports.Log, ports.InstanceList and ports.WeightStore.
 type Client struct {
 	conn      *grpc.ClientConn
 	log       platformv1.LogServiceClient
@@ -23,12 +23,12 @@
 }
 
 var (
-	_ ports.Log       = (*Client)(nil)
-	_ ports.Instances = (*Client)(nil)
-	_ ports.Weights   = (*Client)(nil)
+	_ ports.Log          = (*Client)(nil)
+	_ ports.InstanceList = (*Client)(nil)
+	_ ports.WeightStore  = (*Client)(nil)
 )
 
-// Dial returns a client for the platform at an address; it connects when first used.
+// Dial returns a client for the platform at an address; it connects on first use.
 func Dial(address string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -42,50 +42,50 @@
 	}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
 // Append implements ports.Log.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	answer, err := c.log.Append(ctx, &platformv1.AppendRequest{Stream: stream, Data: data})
+	response, err := c.log.Append(ctx, &platformv1.AppendRequest{Stream: stream, Data: data})
 	if err != nil {
-		return 0, errors.Annotate(err, "append")
+		return 0, errors.Annotate(err, "append to the log")
 	}
-	return answer.GetOffset(), nil
+	return response.GetOffset(), nil
 }
 
 // Read implements ports.Log.
-func (c *Client) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	answer, err := c.log.Read(ctx, &platformv1.ReadRequest{
-		Stream: stream, From: from, MaxRecords: uint32(max), WaitMs: uint32(wait.Milliseconds()),
+func (c *Client) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (ports.ReadResult, error) {
+	response, err := c.log.Read(ctx, &platformv1.ReadRequest{
+		Stream: stream, From: from, MaxRecords: uint32(maxRecords), WaitMs: uint32(wait.Milliseconds()),
 	})
 	if status.Code(err) == codes.OutOfRange {
-		return ports.Slice{}, errors.Annotatef(ports.ErrAgedOut, "offset %d", from)
+		return ports.ReadResult{}, errors.Annotatef(ports.ErrAgedOut, "offset %d", from)
 	}
 	if err != nil {
-		return ports.Slice{}, errors.Annotate(err, "read")
+		return ports.ReadResult{}, errors.Annotate(err, "read from the log")
 	}
-	slice := ports.Slice{Oldest: answer.GetOldest(), Next: answer.GetNext()}
-	for _, r := range answer.GetRecords() {
-		slice.Records = append(slice.Records, ports.Record{Offset: r.GetOffset(), Data: r.GetData()})
+	result := ports.ReadResult{Oldest: response.GetOldest(), Next: response.GetNext()}
+	for _, r := range response.GetRecords() {
+		result.Records = append(result.Records, ports.Record{Offset: r.GetOffset(), Data: r.GetData()})
 	}
-	return slice, nil
+	return result, nil
 }
 
-// List implements ports.Instances.
+// List implements ports.InstanceList.
 func (c *Client) List(ctx context.Context) ([]*platformv1.Instance, error) {
-	answer, err := c.instances.List(ctx, &platformv1.ListRequest{})
+	response, err := c.instances.List(ctx, &platformv1.ListRequest{})
 	if err != nil {
-		return nil, errors.Annotate(err, "instance list")
+		return nil, errors.Annotate(err, "list instances")
 	}
-	return answer.GetInstances(), nil
+	return response.GetInstances(), nil
 }
 
-// Fetch implements ports.Weights.
+// Fetch implements ports.WeightStore.
 func (c *Client) Fetch(ctx context.Context, model, version string) (uint64, time.Duration, error) {
-	answer, err := c.weights.Fetch(ctx, &platformv1.FetchRequest{Model: model, Version: version})
+	response, err := c.weights.Fetch(ctx, &platformv1.FetchRequest{Model: model, Version: version})
 	if err != nil {
-		return 0, 0, errors.Annotate(err, "weight store")
+		return 0, 0, errors.Annotate(err, "fetch weights")
 	}
-	return answer.GetBytes(), time.Duration(answer.GetRetryAfterMs()) * time.Millisecond, nil
+	return response.GetBytes(), time.Duration(response.GetRetryAfterMs()) * time.Millisecond, nil
 }
--- a/ports/remote/doc.go
+++ b/ports/remote/doc.go
@@ -1,2 +1,2 @@
-// Package remote speaks the platform's published gRPC protocol (api/platform/v1).
+// Package remote is a client for the platform's published gRPC protocol (api/platform/v1).
 package remote
--- a/ports/weights.go
+++ b/ports/weights.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Weights is the platform's weight store. It limits its rate.
-type Weights interface {
-	// Fetch asks for a model version's weights to be sent to an engine. A non-zero
-	// wait means that the store admits no fetch yet.
+// WeightStore is the platform's store of model weights. It is rate-limited.
+type WeightStore interface {
+	// Fetch requests that a model version's weights be sent to an engine. A non-zero
+	// wait means that the store doesn't accept a fetch yet.
 	Fetch(ctx context.Context, model, version string) (bytes uint64, wait time.Duration, err error)
 }
--- a/recordlog/recent.go
+++ b/recordlog/recent.go
@@ -59,10 +59,10 @@
 // Read returns up to max records from an offset on without waiting; grown is
 // closed once there are more. It fails with ports.ErrAgedOut when from isn't
 // held any more.
-func (r *Recent) Read(from uint64, max int) (slice ports.Slice, grown <-chan struct{}, err error) {
+func (r *Recent) Read(from uint64, max int) (slice ports.ReadResult, grown <-chan struct{}, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slice = ports.Slice{Oldest: r.next, Next: r.next}
+	slice = ports.ReadResult{Oldest: r.next, Next: r.next}
 	if len(r.records) > 0 {
 		slice.Oldest = r.records[0].Offset
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -60,10 +60,10 @@
 	member Peer
 }
 
-func (l logFrom) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l logFrom) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if l.group.isCut(l.member.Address) {
 		<-ctx.Done()
-		return ports.Slice{}, ctx.Err()
+		return ports.ReadResult{}, ctx.Err()
 	}
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	l.group.count(home, l.member.Region, len(slice.Records))
--- a/relay/server.go
+++ b/relay/server.go
@@ -47,7 +47,7 @@
 	return answer, nil
 }
 
-func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	idle := s.source.idle.wait()
 	slice, grown, err := s.follower.Recent().Read(from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
--- a/snapshot/finder.go
+++ b/snapshot/finder.go
@@ -24,7 +24,7 @@
 
 // Reader reads records; recordlog.Source is one.
 type Reader interface {
-	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error)
+	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error)
 }
 
 // Find reads the log from its oldest record and returns the first usable snapshot
@@ -58,7 +58,7 @@
 	return nil, errors.Trace(ErrNone)
 }
 
-func scan(collector *Collector, slice ports.Slice, ahead uint64) *recordv1.FoldState {
+func scan(collector *Collector, slice ports.ReadResult, ahead uint64) *recordv1.FoldState {
 	for _, held := range slice.Records {
 		batches, err := record.Decode(held.Data)
 		if err != nil {
