--- a/bootclock/clock.go
+++ b/bootclock/clock.go
@@ -7,16 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells how long ago the instance booted, suspensions included.
+// Clock returns the time since the instance booted, including suspensions.
 type Clock interface {
 	Now() time.Duration
 }
 
-// System is the instance's own clock.
+// System is the CLOCK_BOOTTIME clock of the operating system.
 type System struct{}
 
-// Now returns the time since boot. Where the kernel doesn't know the clock, which no
-// supported kernel does, it returns zero and rights that need it are never extended.
+// Now returns the time since boot. If the kernel lacks the clock, which no supported kernel
+// does, it returns zero and rights that depend on it are never extended.
 func (System) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -25,20 +25,20 @@
 	return time.Duration(ts.Nano())
 }
 
-// Fake is a clock that tests move by hand. It is safe for concurrent use.
+// Fake is a clock that tests advance manually. It is safe for concurrent use.
 type Fake struct{ now atomic.Int64 }
 
-// Now returns the time that the test set.
+// Now returns the total time by which the test advanced the clock.
 func (f *Fake) Now() time.Duration { return time.Duration(f.now.Load()) }
 
-// TimeOfDay returns a time of day that goes on along with the clock.
-func (f *Fake) TimeOfDay() FakeTimeOfDay { return FakeTimeOfDay{f} }
+// WallClock returns a wall clock that advances together with f.
+func (f *Fake) WallClock() FakeWallClock { return FakeWallClock{f} }
 
-// FakeTimeOfDay is the time of day of a Fake.
-type FakeTimeOfDay struct{ clock *Fake }
+// FakeWallClock is the wall clock of a Fake.
+type FakeWallClock struct{ clock *Fake }
 
-// Now returns a fixed date plus the clock's reading.
-func (t FakeTimeOfDay) Now() time.Time { return time.Unix(1e9, 0).Add(t.clock.Now()) }
+// Now returns a fixed date plus the reading of the fake clock.
+func (w FakeWallClock) Now() time.Time { return time.Unix(1e9, 0).Add(w.clock.Now()) }
 
-// Advance moves the clock forward.
+// Advance advances the clock by d.
 func (f *Fake) Advance(d time.Duration) { f.now.Add(int64(d)) }
--- a/bootclock/doc.go
+++ b/bootclock/doc.go
@@ -1,8 +1,7 @@
-// Package bootclock reads the clock that counts from an instance's boot and goes on
-// while the instance is suspended.
+// Package bootclock reads the time since an instance booted, which includes the time that
+// the instance was suspended.
 //
-// Go's monotonic clock stands still during a suspension and the time of day may jump,
-// so neither can bound a right to spend or a deadline: after a suspension of five
-// seconds a monotonic deadline is five seconds too generous. CLOCK_BOOTTIME counts the
-// suspension and never jumps.
+// Go's monotonic clock stops during a suspension and the wall clock may jump, so neither
+// can bound a spend right or a deadline: after a suspension of five seconds, a monotonic
+// deadline expires five seconds late. CLOCK_BOOTTIME includes suspensions and never jumps.
 package bootclock
