--- a/devfleet/doc.go
+++ b/devfleet/doc.go
@@ -1,3 +1,3 @@
-// Package devfleet runs a small fleet in one process on embedded stand-ins, for the
-// development command, for measurements and for tests.
+// Package devfleet runs a small fleet in one process, with simulated platform services and
+// upstreams, for the development command, benchmarks and tests.
 package devfleet
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -26,56 +26,56 @@
 )
 
 const (
-	// OperatorToken works on every node of a development fleet.
+	// OperatorToken is the bootstrap token of every node of a development fleet.
 	OperatorToken = "dev-operator"
 	keyValidity   = 365 * 24 * time.Hour
 	startTimeout  = 20 * time.Second
-	startPoll     = 20 * time.Millisecond
-	// devAddressLifetime keeps the stop of a development fleet short.
-	devAddressLifetime = 200 * time.Millisecond
+	pollInterval  = 20 * time.Millisecond
+	// addressLifetime is short so that a development fleet stops quickly.
+	addressLifetime = 200 * time.Millisecond
 )
 
-// Place is where a node or an upstream stands.
-type Place struct{ Region, DataCentre string }
+// Location is the region and data centre of a node or an upstream.
+type Location struct{ Region, DataCentre string }
 
-// Options describes the fleet wanted.
+// Options configures a fleet.
 type Options struct {
-	Nodes   []Place
-	Engines []Place
-	Plain   []Place
-	Engine  standin.EngineOptions
-	// PlainDelay is how long each call of a plain service takes.
+	Nodes         []Location
+	Engines       []Location
+	PlainServices []Location
+	Engine        standin.EngineOptions
+	// PlainDelay is the duration of each call of a plain service.
 	PlainDelay time.Duration
 	Logger     log.Logger
-	// Adjust changes a node's settings before it starts; may be nil.
-	Adjust func(*node.Settings)
-	// WrapLog and WrapSocket may replace what a node reaches the world through, to
-	// count what passes; nil keeps it.
-	WrapLog    func(Place, ports.Log) ports.Log
-	WrapSocket func(Place, net.PacketConn) net.PacketConn
+	// AdjustSettings modifies a node's settings before it starts; may be nil.
+	AdjustSettings func(*node.Settings)
+	// WrapLog and WrapSocket, if not nil, wrap a node's log client and peer socket, for
+	// example to count traffic.
+	WrapLog    func(Location, ports.Log) ports.Log
+	WrapSocket func(Location, net.PacketConn) net.PacketConn
 }
 
 // Fleet is a running development fleet.
 type Fleet struct {
-	Log       *standin.Log
-	Instances *standin.Instances
-	Daemons   []*daemon.Daemon
-	Engines   []*standin.Engine
-	Plain     []*standin.Service
+	Log           *standin.Log
+	Instances     *standin.Instances
+	Daemons       []*daemon.Daemon
+	Engines       []*standin.Engine
+	PlainServices []*standin.Service
 
 	EngineUpstreams []*operatorv1.Upstream
 	PlainUpstreams  []*operatorv1.Upstream
 
-	secret    []byte
-	options   Options
-	authority tlskeys.KeyPair
-	stops     []context.CancelFunc
-	ended     []chan struct{}
-	nodes     sync.WaitGroup
-	upstreams sync.WaitGroup
+	secret        []byte
+	options       Options
+	authority     tlskeys.KeyPair
+	cancels       []context.CancelFunc
+	stopped       []chan struct{}
+	nodeGroup     sync.WaitGroup
+	upstreamGroup sync.WaitGroup
 }
 
-// Start starts a fleet; Stop ends it.
+// Start starts a fleet and waits until all nodes serve; Stop ends it.
 func Start(options Options) (*Fleet, error) {
 	f := &Fleet{Log: standin.NewLog(), Instances: standin.NewInstances(), secret: make([]byte, signed.MinSecret)}
 	_, _ = rand.Read(f.secret)
@@ -88,8 +88,8 @@
 		return nil, errors.Trace(err)
 	}
 	f.options, f.authority = options, authority
-	for _, place := range options.Nodes {
-		if err := f.startNode(place); err != nil {
+	for _, location := range options.Nodes {
+		if err := f.startNode(location); err != nil {
 			f.Stop()
 			return nil, errors.Trace(err)
 		}
@@ -102,35 +102,35 @@
 }
 
 func (f *Fleet) startUpstreams(options Options) error {
-	for i, place := range options.Engines {
+	for i, location := range options.Engines {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return errors.Trace(err)
 		}
 		engine := standin.NewEngine(listener, options.Engine)
 		f.Engines = append(f.Engines, engine)
-		f.EngineUpstreams = append(f.EngineUpstreams, declare(fmt.Sprintf("engine-%d", i), "chat", listener, place))
-		f.upstreams.Go(func() { _ = engine.Run() })
+		f.EngineUpstreams = append(f.EngineUpstreams, newUpstream(fmt.Sprintf("engine-%d", i), "chat", listener, location))
+		f.upstreamGroup.Go(func() { _ = engine.Run() })
 	}
-	for i, place := range options.Plain {
+	for i, location := range options.PlainServices {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return errors.Trace(err)
 		}
 		service := standin.NewService(listener, options.PlainDelay)
-		f.Plain = append(f.Plain, service)
-		f.PlainUpstreams = append(f.PlainUpstreams, declare(fmt.Sprintf("plain-%d", i), "orders", listener, place))
-		f.upstreams.Go(func() { _ = service.Run() })
+		f.PlainServices = append(f.PlainServices, service)
+		f.PlainUpstreams = append(f.PlainUpstreams, newUpstream(fmt.Sprintf("plain-%d", i), "orders", listener, location))
+		f.upstreamGroup.Go(func() { _ = service.Run() })
 	}
 	return nil
 }
 
-func declare(name, service string, listener net.Listener, place Place) *operatorv1.Upstream {
+func newUpstream(name, service string, listener net.Listener, location Location) *operatorv1.Upstream {
 	return &operatorv1.Upstream{Name: name, Service: service, Address: listener.Addr().String(),
-		Region: place.Region, DataCentre: place.DataCentre}
+		Region: location.Region, DataCentre: location.DataCentre}
 }
 
-func (f *Fleet) startNode(place Place) error {
+func (f *Fleet) startNode(location Location) error {
 	options, authority := f.options, f.authority
 	pair, err := authority.Issue(time.Now(), keyValidity)
 	if err != nil {
@@ -141,43 +141,43 @@
 		return errors.Trace(err)
 	}
 	settings := node.DefaultSettings()
-	settings.Region, settings.DataCentre = place.Region, place.DataCentre
+	settings.Region, settings.DataCentre = location.Region, location.DataCentre
 	settings.TokenSecret = f.secret
 	settings.BootstrapTokenSHA256 = config.HashKey(OperatorToken)
 	sockets, err := openSockets(&settings)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	settings.AddressLifetime = devAddressLifetime
-	if options.Adjust != nil {
-		options.Adjust(&settings)
+	settings.AddressLifetime = addressLifetime
+	if options.AdjustSettings != nil {
+		options.AdjustSettings(&settings)
 	}
 	logger := options.Logger
 	if logger == nil {
 		logger = log.NewNopLogger()
 	}
-	wanted := daemon.Config{
+	daemonConfig := daemon.Config{
 		Settings: settings, Log: f.Log, Instances: f.Instances,
 		Weights: standin.NewWeights(clockwork.NewRealClock(), time.Second),
 		PeerTLS: peerTLS, Logger: logger, DrainTimeout: time.Minute, Sockets: sockets,
 	}
 	if options.WrapLog != nil {
-		wanted.Log = options.WrapLog(place, f.Log)
+		daemonConfig.Log = options.WrapLog(location, f.Log)
 	}
 	if options.WrapSocket != nil {
-		wanted.WrapSocket = func(socket net.PacketConn) net.PacketConn { return options.WrapSocket(place, socket) }
+		daemonConfig.WrapSocket = func(socket net.PacketConn) net.PacketConn { return options.WrapSocket(location, socket) }
 	}
-	d, err := daemon.New(wanted)
+	d, err := daemon.New(daemonConfig)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	f.Daemons = append(f.Daemons, d)
-	f.stops = append(f.stops, stop)
-	ended := make(chan struct{})
-	f.ended = append(f.ended, ended)
-	f.nodes.Go(func() {
-		defer close(ended)
+	f.cancels = append(f.cancels, cancel)
+	stopped := make(chan struct{})
+	f.stopped = append(f.stopped, stopped)
+	f.nodeGroup.Go(func() {
+		defer close(stopped)
 		_ = d.Run(ctx)
 	})
 	return nil
@@ -190,13 +190,13 @@
 			if time.Now().After(deadline) {
 				return errors.Errorf("node %s is still %s", d.Node().Incarnation(), d.Node().State())
 			}
-			time.Sleep(startPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return f.awaitAddresses(deadline)
 }
 
-// awaitAddresses waits until every node hands out the addresses of all.
+// awaitAddresses waits until every node advertises the addresses of all nodes.
 func (f *Fleet) awaitAddresses(deadline time.Time) error {
 	for _, d := range f.Daemons {
 		for {
@@ -205,31 +205,31 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("node %s hands out %d of %d addresses", d.Node().Incarnation(), len(list), len(f.Daemons))
+				return errors.Errorf("node %s advertises %d of %d addresses", d.Node().Incarnation(), len(list), len(f.Daemons))
 			}
-			time.Sleep(startPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// Operator returns a connection to the operator API of a node.
-func (f *Fleet) Operator(i int) (*grpc.ClientConn, error) {
+// DialOperator returns a connection to the operator API of a node.
+func (f *Fleet) DialOperator(i int) (*grpc.ClientConn, error) {
 	address := f.Daemons[i].Node().Settings().OperatorAddress
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 }
 
-// Stop ends all nodes gracefully and the stand-ins after them.
+// Stop stops all nodes gracefully, then the simulated upstreams.
 func (f *Fleet) Stop() {
-	for _, stop := range f.stops {
-		stop()
+	for _, cancel := range f.cancels {
+		cancel()
 	}
-	f.nodes.Wait()
+	f.nodeGroup.Wait()
 	for _, engine := range f.Engines {
 		engine.Close()
 	}
-	for _, service := range f.Plain {
+	for _, service := range f.PlainServices {
 		service.Close()
 	}
-	f.upstreams.Wait()
+	f.upstreamGroup.Wait()
 }
--- a/devfleet/replace.go
+++ b/devfleet/replace.go
@@ -4,16 +4,16 @@
 	"github.com/juju/errors"
 )
 
-// Replace stops a node gracefully and starts one at the same place under new
+// ReplaceNode gracefully stops a node and starts a new one at the given location with new
 // addresses, as a platform replaces an instance.
-func (f *Fleet) Replace(i int, place Place) error {
-	f.stops[i]()
-	<-f.ended[i]
-	if err := f.startNode(place); err != nil {
+func (f *Fleet) ReplaceNode(i int, location Location) error {
+	f.cancels[i]()
+	<-f.stopped[i]
+	if err := f.startNode(location); err != nil {
 		return errors.Trace(err)
 	}
 	last := len(f.Daemons) - 1
-	f.Daemons[i], f.stops[i], f.ended[i] = f.Daemons[last], f.stops[last], f.ended[last]
-	f.Daemons, f.stops, f.ended = f.Daemons[:last], f.stops[:last], f.ended[:last]
+	f.Daemons[i], f.cancels[i], f.stopped[i] = f.Daemons[last], f.cancels[last], f.stopped[last]
+	f.Daemons, f.cancels, f.stopped = f.Daemons[:last], f.cancels[:last], f.stopped[:last]
 	return f.awaitServing()
 }
--- a/devfleet/rolling_test.go
+++ b/devfleet/rolling_test.go
@@ -17,67 +17,67 @@
 	"lavenderpin.dev/lavenderpin/node"
 )
 
-const rollingLifetime = 500 * time.Millisecond
+const testAddressLifetime = 500 * time.Millisecond
 
-// keeper is a caller that asks for addresses, keeps them for their lifetime and
-// uses them over connections it keeps open.
-type keeper struct {
-	client  *http.Client
-	list    []string
-	expires time.Time
-	turn    int
+// cachingClient is a caller that caches the advertised addresses for their lifetime and
+// reuses its connections to them.
+type cachingClient struct {
+	client    *http.Client
+	addresses []string
+	expires   time.Time
+	next      int
 }
 
-// address returns an address within its lifetime; it asks again at half of it.
-func (k *keeper) address() (string, error) {
-	if time.Until(k.expires) > rollingLifetime/2 {
-		k.turn++
-		return k.list[k.turn%len(k.list)], nil
+// pickAddress returns an unexpired address; it refreshes the list after half its lifetime.
+func (c *cachingClient) pickAddress() (string, error) {
+	if time.Until(c.expires) > testAddressLifetime/2 {
+		c.next++
+		return c.addresses[c.next%len(c.addresses)], nil
 	}
-	if err := k.ask(); err != nil {
+	if err := c.refresh(); err != nil {
 		return "", err
 	}
-	return k.list[0], nil
+	return c.addresses[0], nil
 }
 
-// ask takes new addresses from the first node that answers. A list that is still good
-// must be answered by its first node. One that ran out while a long answer was read may
-// name nodes that have left since; such a node may refuse, and the next one is asked.
-func (k *keeper) ask() error {
+// refresh fetches new addresses from the first node that responds. While the list is
+// unexpired, its first node must respond. A list that expired while a long response was read
+// may contain nodes that have left since; if such a node refuses, the next one is tried.
+func (c *cachingClient) refresh() error {
 	var err error
-	for _, address := range k.list {
-		asked := time.Now()
-		if err = k.askAt(address); err == nil || asked.Before(k.expires) {
+	for _, address := range c.addresses {
+		requestedAt := time.Now()
+		if err = c.refreshFrom(address); err == nil || requestedAt.Before(c.expires) {
 			return err
 		}
 	}
 	return err
 }
 
-func (k *keeper) askAt(address string) error {
-	asked := time.Now()
-	response, err := k.client.Get("http://" + address + "/v1/addresses")
+func (c *cachingClient) refreshFrom(address string) error {
+	requestedAt := time.Now()
+	response, err := c.client.Get("http://" + address + "/v1/addresses")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer struct {
+	var result struct {
 		Addresses []struct{ Address string }
 		TTL       float64 `json:"ttl_seconds"`
 	}
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(&result); err != nil {
 		return err
 	}
-	k.list = nil
-	for _, a := range answer.Addresses {
-		k.list = append(k.list, a.Address)
+	c.addresses = nil
+	for _, a := range result.Addresses {
+		c.addresses = append(c.addresses, a.Address)
 	}
-	k.expires = asked.Add(time.Duration(answer.TTL * float64(time.Second)))
+	c.expires = requestedAt.Add(time.Duration(result.TTL * float64(time.Second)))
 	return nil
 }
 
-func (k *keeper) post(path, body string) (string, error) {
-	address, err := k.address()
+func (c *cachingClient) post(path, body string) (string, error) {
+	address, err := c.pickAddress()
 	if err != nil {
 		return "", err
 	}
@@ -85,67 +85,67 @@
 	if err != nil {
 		return "", err
 	}
-	request.Header.Set("Authorization", "Bearer "+AccountKey)
-	response, err := k.client.Do(request)
+	request.Header.Set("Authorization", "Bearer "+SampleAccountKey)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	return string(answer), err
+	responseBody, err := io.ReadAll(response.Body)
+	return string(responseBody), err
 }
 
-// Every instance of a fleet is replaced, one after the other, while callers stream
-// answers and file work orders. They keep each address for its lifetime and can't know
-// which node leaves. None may see a refused connection or a cut answer.
-func TestRollingReplacementCutsNothing(t *testing.T) {
+// All instances of a fleet are replaced one by one while callers stream responses and submit
+// orders. Callers cache each address for its lifetime and don't know which node leaves. None
+// may see a refused connection or a truncated response.
+func TestRollingReplacementInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
-	here, there := Place{"gulf-maine", "casco"}, Place{"southern-new-england", "buzzards"}
-	places := []Place{here, here, here, here, there, there, there}
+	here, there := Location{"gulf-maine", "casco"}, Location{"southern-new-england", "buzzards"}
+	locations := []Location{here, here, here, here, there, there, there}
 	fleet, err := Start(Options{
-		Nodes: places, Engines: []Place{here, there}, Plain: []Place{here},
-		Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond},
-		Adjust: func(s *node.Settings) { s.AddressLifetime = rollingLifetime },
+		Nodes: locations, Engines: []Location{here, there}, PlainServices: []Location{here},
+		Engine:         standin.EngineOptions{TokenTime: 5 * time.Millisecond},
+		AdjustSettings: func(s *node.Settings) { s.AddressLifetime = testAddressLifetime },
 	})
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	is.NoErr(fleet.Apply(context.Background(), fleet.Sample()))
+	is.NoErr(fleet.Apply(context.Background(), fleet.SampleConfig()))
 	awaitConfig(t, fleet)
 
-	chat := `{"model":"` + Model + `","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"` + strings.Repeat("worn bridle ", 30) + `"}]}`
+	chat := `{"model":"` + SampleModel + `","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"` + strings.Repeat("worn bridle ", 30) + `"}]}`
 	first := fleet.Daemons[0].Node().Settings().HTTPAddress
-	var stop atomic.Bool
-	var whole atomic.Int64
+	var stopped atomic.Bool
+	var completed atomic.Int64
 	var callers sync.WaitGroup
 	t.Cleanup(callers.Wait)
-	t.Cleanup(func() { stop.Store(true) })
+	t.Cleanup(func() { stopped.Store(true) })
 	for range 4 {
 		callers.Go(func() {
-			k := &keeper{client: &http.Client{Transport: &http.Transport{}}, list: []string{first}}
-			for !stop.Load() {
-				answer, err := k.post(chatPath, chat)
-				if err != nil || !strings.HasSuffix(strings.TrimSpace(answer), "data: [DONE]") {
-					t.Errorf("stream cut: %v, %d bytes: %s", err, len(answer), answer[max(0, len(answer)-200):])
+			c := &cachingClient{client: &http.Client{Transport: &http.Transport{}}, addresses: []string{first}}
+			for !stopped.Load() {
+				responseBody, err := c.post(chatPath, chat)
+				if err != nil || !strings.HasSuffix(strings.TrimSpace(responseBody), "data: [DONE]") {
+					t.Errorf("stream truncated: %v, %d bytes: %s", err, len(responseBody), responseBody[max(0, len(responseBody)-200):])
 				}
-				whole.Add(1)
+				completed.Add(1)
 			}
 		})
 		callers.Go(func() {
-			k := &keeper{client: &http.Client{Transport: &http.Transport{}}, list: []string{first}}
-			for !stop.Load() {
-				answer, err := k.post("/s/orders/work", "bridle")
-				if err != nil || answer != "bridle" {
-					t.Errorf("order cut: %v: %s", err, answer)
+			c := &cachingClient{client: &http.Client{Transport: &http.Transport{}}, addresses: []string{first}}
+			for !stopped.Load() {
+				responseBody, err := c.post("/s/orders/work", "bridle")
+				if err != nil || responseBody != "bridle" {
+					t.Errorf("order call failed: %v: %s", err, responseBody)
 				}
-				whole.Add(1)
+				completed.Add(1)
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
 	}
-	for i, place := range places {
-		is.NoErr(fleet.Replace(i, place))
+	for i, location := range locations {
+		is.NoErr(fleet.ReplaceNode(i, location))
 	}
-	stop.Store(true)
+	stopped.Store(true)
 	callers.Wait()
-	t.Logf("%d answers, all whole", whole.Load())
+	t.Logf("%d complete responses", completed.Load())
 }
--- a/devfleet/sockets.go
+++ b/devfleet/sockets.go
@@ -9,22 +9,22 @@
 	"lavenderpin.dev/lavenderpin/node"
 )
 
-const anyPort = "127.0.0.1:0"
+const loopbackAnyPort = "127.0.0.1:0"
 
 // openSockets opens a node's sockets on loopback ports that the system chooses, and
-// puts their addresses into the settings. A port that was looked for and closed again
-// could be taken by somebody else before the node opens it, and the node's start
-// would fail once in a while.
+// stores their addresses in the settings. A port that was probed and closed again could be
+// taken by another process before the node opens it, and node starts would fail
+// intermittently.
 func openSockets(settings *node.Settings) (daemon.Sockets, error) {
 	var s daemon.Sockets
 	var err error
-	if s.Callers, err = net.Listen("tcp", anyPort); err != nil {
+	if s.Callers, err = net.Listen("tcp", loopbackAnyPort); err != nil {
 		return s, errors.Trace(err)
 	}
-	if s.Operators, err = net.Listen("tcp", anyPort); err != nil {
+	if s.Operators, err = net.Listen("tcp", loopbackAnyPort); err != nil {
 		return s, errors.Trace(err)
 	}
-	if s.Peers, err = net.ListenPacket("udp", anyPort); err != nil {
+	if s.Peers, err = net.ListenPacket("udp", loopbackAnyPort); err != nil {
 		return s, errors.Trace(err)
 	}
 	settings.HTTPAddress = s.Callers.Addr().String()
--- a/httpapi/chunkcost_test.go
+++ b/httpapi/chunkcost_test.go
@@ -55,9 +55,9 @@
 func newStamps() *stamps { return &stamps{chunks: hdrhistogram.New(1, int64(time.Minute), 3)} }
 
 func (s *stamps) request(client *http.Client, url string) {
-	body := `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":10,"messages":[{"role":"user","content":"x"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"max_tokens":10,"messages":[{"role":"user","content":"x"}]}`
 	r, _ := http.NewRequest("POST", url+chatPath, strings.NewReader(body))
-	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	r.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	response, err := client.Do(r)
 	if err != nil {
 		s.fail()
@@ -131,7 +131,7 @@
 	go func() { _ = engine.Serve(listener) }()
 	t.Cleanup(func() { _ = engine.Close() })
 	fleet := startFleet(t, devfleet.Options{})
-	sample := fleet.Sample()
+	sample := fleet.SampleConfig()
 	sample.TopUps[0] = &operatorv1.TopUp{Id: "measure", Budget: "dev-budget", Tokens: 100_000_000}
 	sample.Upstreams = []*operatorv1.Upstream{{Name: "engine-0", Service: "chat", Address: listener.Addr().String(), Region: "gulf-maine", DataCentre: "casco", Slots: 1000}}
 	is.NoErr(fleet.Apply(context.Background(), sample))
--- a/internal/bench/meter.go
+++ b/internal/bench/meter.go
@@ -24,11 +24,11 @@
 
 func newMeter(home string) *meter { return &meter{home: home, regions: map[string]string{}} }
 
-func (m *meter) wrapLog(place devfleet.Place, log ports.Log) ports.Log {
+func (m *meter) wrapLog(place devfleet.Location, log ports.Log) ports.Log {
 	return &meteredLog{Log: log, meter: m, away: place.Region != m.home}
 }
 
-func (m *meter) wrapSocket(place devfleet.Place, socket net.PacketConn) net.PacketConn {
+func (m *meter) wrapSocket(place devfleet.Location, socket net.PacketConn) net.PacketConn {
 	m.mu.Lock()
 	m.regions[socket.LocalAddr().String()] = place.Region
 	m.mu.Unlock()
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -19,10 +19,10 @@
 func startFleet(t *testing.T) (*devfleet.Fleet, operatorv1.OperatorServiceClient) {
 	t.Helper()
 	is := is.New(t)
-	fleet, err := devfleet.Start(devfleet.Options{Nodes: []devfleet.Place{{Region: "r", DataCentre: "d"}}})
+	fleet, err := devfleet.Start(devfleet.Options{Nodes: []devfleet.Location{{Region: "r", DataCentre: "d"}}})
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	conn, err := fleet.Operator(0)
+	conn, err := fleet.DialOperator(0)
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	return fleet, operatorv1.NewOperatorServiceClient(conn)
