--- a/ports/remote/client.go
+++ b/ports/remote/client.go
@@ -49,7 +49,7 @@
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	response, err := c.log.Append(ctx, &platformv1.AppendRequest{Stream: stream, Data: data})
 	if err != nil {
-		return 0, errors.Annotate(err, "append to the log")
+		return 0, errors.Annotate(err, "append")
 	}
 	return response.GetOffset(), nil
 }
@@ -63,7 +63,7 @@
 		return ports.ReadResult{}, errors.Annotatef(ports.ErrAgedOut, "offset %d", from)
 	}
 	if err != nil {
-		return ports.ReadResult{}, errors.Annotate(err, "read from the log")
+		return ports.ReadResult{}, errors.Annotate(err, "read")
 	}
 	result := ports.ReadResult{Oldest: response.GetOldest(), Next: response.GetNext()}
 	for _, r := range response.GetRecords() {
