--- a/cmd/lavenderbench/matrix.go
+++ b/cmd/lavenderbench/matrix.go
@@ -176,7 +176,7 @@
 			fmt.Println("  " + v)
 		}
 		for _, e := range r.Timeline {
-			fmt.Printf("    %s %s %d %s %v\n", e.Stamp.Time().Format("15:04:05.000"), e.Node, e.Number, e.Number.Kind().Name, e.Fields)
+			fmt.Printf("    %s %s %d %s %v\n", e.Timestamp.Time().Format("15:04:05.000"), e.Node, e.Number, e.Number.Kind().Name, e.Fields)
 		}
 	}
 }
--- a/cmd/lavenderctl/timeline.go
+++ b/cmd/lavenderctl/timeline.go
@@ -76,7 +76,7 @@
 	concerns := func(e *operatorv1.Event) bool { return carries(e, c.Request) || nodeStory(e, node) }
 	return root.printEventsOf(ctx, []string{c.Request, node}, concerns, func(e *operatorv1.Event) string {
 		told := event.Event{Number: event.Number(e.GetNumber()), Fields: e.GetFields()}
-		return told.Sentence() + codeMeaning(e)
+		return told.Describe() + codeMeaning(e)
 	})
 }
 
@@ -137,7 +137,7 @@
 			if !wanted(e) || i > 0 && e.GetHlc() == events[i-1].GetHlc() && e.GetNode() == events[i-1].GetNode() {
 				continue
 			}
-			at := event.Stamp(e.GetHlc()).Time().Format("15:04:05.000")
+			at := event.Timestamp(e.GetHlc()).Time().Format("15:04:05.000")
 			fmt.Printf("%s %s %s\n", at, e.GetNode(), line(e))
 		}
 		if dropped > 0 {
--- a/cmd/lavenderedge/run.go
+++ b/cmd/lavenderedge/run.go
@@ -61,7 +61,7 @@
 	events      *event.Recorder
 	clock       bootclock.System
 	node        *edgenode.Node
-	sender      *platform.Upstreams
+	sender      *platform.UpstreamClient
 	peers       *httpwire.Client
 	frontend    *http.Server
 	open        openRequests
@@ -148,11 +148,11 @@
 	store.OnCall = func(call string, status int) { calls.Add(fmt.Sprintf("%s_%d", call, status), 1) }
 	dials := expvar.NewInt("upstream_connections_made")
 	p.peers = httpwire.NewClient(httpwire.Options{Clock: p.clock, DialTimeout: peerDialTimeout})
-	p.sender = platform.NewUpstreams(p.clock, func() { dials.Add(1) })
+	p.sender = platform.NewUpstreamClient(p.clock, func() { dials.Add(1) })
 	node, err := edgenode.Start(ctx, edgenode.Settings{
 		Node: p.settings.Node, Incarnation: incarnation, Start: start,
 		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacity(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
-		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RepeatRatio, Extra: p.settings.Bounds.RepeatExtra, Window: p.settings.Bounds.RepeatWindow},
+		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RetryBudgetRatio, Extra: p.settings.Bounds.RetryBudgetExtra, Window: p.settings.Bounds.RetryBudgetWindow},
 	}, edgenode.Deps{
 		Clock: p.clock, WallClock: p.clocks().Wall, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{HTTP: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
 		Topics: edgenode.Topics{Operators: store.Operators(), Upstreams: store.Upstreams(), Presence: store.Topic("presence"),
@@ -187,7 +187,7 @@
 
 // capacity is what the instance can carry, in hundredths of a usual one: what it has
 // least of decides.
-func capacity(l platform.MachineLimits) int {
+func capacity(l platform.ResourceLimits) int {
 	return max(1, int(100*min(l.Cores/usualCores, l.LinkMbps/usualLinkMbps)))
 }
 
--- a/cmd/lavenderpin/serve.go
+++ b/cmd/lavenderpin/serve.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	settings.Policy = policy
+	settings.BudgetPolicy = policy
 	settings.SpendRight = policy.SpendRight
 	if c.SpendRight > 0 {
 		settings.SpendRight = c.SpendRight
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -77,7 +77,7 @@
 
 // Start starts a fleet and waits until all nodes serve; Stop ends it.
 func Start(options Options) (*Fleet, error) {
-	f := &Fleet{Log: standin.NewLog(), Instances: standin.NewInstances(), secret: make([]byte, signed.MinSecret)}
+	f := &Fleet{Log: standin.NewLog(), Instances: standin.NewInstances(), secret: make([]byte, signed.MinSecretLen)}
 	_, _ = rand.Read(f.secret)
 	if err := f.startUpstreams(options); err != nil {
 		f.Stop()
--- a/httpapi/server_test.go
+++ b/httpapi/server_test.go
@@ -87,7 +87,7 @@
 	return a
 }
 
-func TestNamedCallsOverHTTP(t *testing.T) {
+func TestAtMostOnceCallsOverHTTP(t *testing.T) {
 	// A crew files work orders and sends each one again to every node, by key and by
 	// ticket. All three nodes must give the first answer and bill one call.
 	is := is.New(t)
@@ -117,7 +117,7 @@
 	is.Equal(other.code, result.KeyReused)
 }
 
-func TestBadInputOverHTTP(t *testing.T) {
+func TestInvalidInputOverHTTP(t *testing.T) {
 	// Callers send what no program of theirs should: each gets a numbered error, and
 	// nothing stays reserved or is billed.
 	is := is.New(t)
@@ -161,7 +161,7 @@
 	is.Equal(fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent, uint64(0))
 }
 
-func TestHalfSentBodyAndClosedConnections(t *testing.T) {
+func TestDisconnectsReleaseReservations(t *testing.T) {
 	// Callers on bad lines send half a request and vanish, or hang up within the
 	// answer. The engine must stop, and every reserved token must come back.
 	is := is.New(t)
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestNamedCompletionIsBilledOnce(t *testing.T) {
+func TestKeyedCompletionIsBilledOnce(t *testing.T) {
 	// An analyst's program sends a summary's request, times out and sends it again to
 	// the other nodes, during the first try and after it. Run each time, the account
 	// would pay for the same summary several times.
@@ -260,7 +260,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func TestNamedCompletionOutlivesItsCaller(t *testing.T) {
+func TestKeyedCompletionSurvivesDisconnect(t *testing.T) {
 	// A program on a bad line loses its connection within a summary and asks again at
 	// another node. The summary must have gone on, be whole, and be billed once.
 	is := is.New(t)
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -163,7 +163,7 @@
 		settings.HeartbeatInterval, settings.SpendRight = timing.Heartbeat, timing.SpendRight
 		settings.AddressLifetime, settings.ClaimChunk = timing.Lifetime, timing.ClaimChunk
 		settings.LeaseTerm, settings.TokenSecret = timing.LeaseTerm, []byte(tokenSecret)
-		settings.Snapshots.Records = snapshotRecords
+		settings.SnapshotPolicy.Records = snapshotRecords
 		settings.BootstrapTokenSHA256 = config.HashKey(operatorToken)
 		m := &Member{harness: h, settings: settings, restarting: make(chan struct{}, 1)}
 		h.Members = append(h.Members, m)
@@ -245,7 +245,7 @@
 
 func (h *Harness) allAt(offset uint64) bool {
 	for _, m := range h.Members {
-		if m.Live() && m.Node().Offset() < offset {
+		if m.Live() && m.Node().AppliedOffset() < offset {
 			return false
 		}
 	}
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -33,7 +33,7 @@
 	}
 	for h.isLeaving() {
 		for _, m := range h.Members {
-			if m.Live() && m.Node().Offset() >= version {
+			if m.Live() && m.Node().AppliedOffset() >= version {
 				h.noteLeaving(m.Node().Incarnation())
 			}
 		}
--- a/internal/check/matrix_test.go
+++ b/internal/check/matrix_test.go
@@ -44,7 +44,7 @@
 	}
 	if result.Status == Broken {
 		for _, e := range result.Timeline {
-			t.Log(e.Stamp.Time().Format("15:04:05.000"), e.Node, e.Number.Kind().Name, e.Fields)
+			t.Log(e.Timestamp.Time().Format("15:04:05.000"), e.Node, e.Number.Kind().Name, e.Fields)
 		}
 	}
 	is.True(result.Status != Broken) // the time line above tells what happened
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -78,11 +78,11 @@
 	r.Killed = h.killedNodes()
 	r.Leavings = h.leavingOps()
 	for _, recorder := range h.recorders {
-		events, dropped := recorder.Since("")
+		events, dropped := recorder.Find("")
 		r.Events = append(r.Events, events...)
 		r.Dropped += dropped
 	}
-	sort.SliceStable(r.Events, func(i, j int) bool { return r.Events[i].Stamp < r.Events[j].Stamp })
+	sort.SliceStable(r.Events, func(i, j int) bool { return r.Events[i].Timestamp < r.Events[j].Timestamp })
 	return r
 }
 
@@ -92,7 +92,7 @@
 	for _, m := range h.Members {
 		n := m.Node()
 		final := FinalState{Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil,
-			Offset: n.Offset(), Lines: n.Ledger().Budgets(), Probe: probes[m.Address()]}
+			Offset: n.AppliedOffset(), Lines: n.Ledger().Budgets(), Probe: probes[m.Address()]}
 		if held := underTest(n.Config()); held != nil {
 			final.Version = held.GetVersion()
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -40,7 +40,7 @@
 
 // addedRoute is a route that was added.
 type addedRoute struct {
-	kind standin.RouteKind
+	kind standin.Route
 	at   time.Time
 }
 
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		e.Advertised = way.Address()
+		e.AdvertisedAddress = way.Address()
 		f.upstreams, f.ways = append(f.upstreams, e), append(f.ways, way)
 	}
 	f.beat()
@@ -142,11 +142,11 @@
 	case StopNode:
 		return f.nodes[s.Target].stop()
 	case StoreAway:
-		hold(func() { f.store.SetAway(true) }, func() { f.store.SetAway(false) })
+		hold(func() { f.store.SetUnavailable(true) }, func() { f.store.SetUnavailable(false) })
 	case StoreLoses:
-		hold(func() { f.store.LoseAnswers(true) }, func() { f.store.LoseAnswers(false) })
+		hold(func() { f.store.DropResponses(true) }, func() { f.store.DropResponses(false) })
 	case StoreForgets:
-		f.store.Forget()
+		f.store.Compact()
 	case NodeCut:
 		way(f.nodes[s.Target].store, Silent)
 	case NodeMute:
@@ -197,9 +197,9 @@
 func (f *fleet) addRoute() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	route := standin.Lookups
+	route := standin.LookupRoute
 	route.Name = fmt.Sprintf("added%d", len(f.routes))
-	f.operator.Extra = append(f.operator.Extra, route)
+	f.operator.ExtraRoutes = append(f.operator.ExtraRoutes, route)
 	f.operator.Configure()
 	f.routes = append(f.routes, addedRoute{kind: route, at: time.Now()})
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -92,7 +92,7 @@
 func (s *Server) submit(ctx context.Context, entry *recordv1.Entry) (fold.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	verdict, err := s.currentNode().Journal().Submit(entry).Wait(ctx)
+	verdict, err := s.currentNode().LogWriter().Submit(entry).Wait(ctx)
 	if err != nil {
 		return verdict, err
 	}
@@ -105,7 +105,7 @@
 		return nil, toStatus(err)
 	}
 	n := s.currentNode()
-	response := &operatorv1.ListResponse{Offset: n.Offset()}
+	response := &operatorv1.ListResponse{Offset: n.AppliedOffset()}
 	if key := (config.Key{Kind: config.Kind(r.GetKind()), Name: r.GetName()}); key != (config.Key{}) {
 		if resource := n.Config().Versioned(key); resource != nil {
 			response.Resources = append(response.Resources, resource)
@@ -144,7 +144,7 @@
 		return nil, toStatus(err)
 	}
 	n := s.currentNode()
-	response := &operatorv1.BudgetsResponse{Offset: n.Offset()}
+	response := &operatorv1.BudgetsResponse{Offset: n.AppliedOffset()}
 	if r.GetBudget() != "" {
 		response.Budgets = n.BudgetState(r.GetBudget())
 		return response, nil
@@ -158,7 +158,7 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	return &operatorv1.NodesResponse{Nodes: s.currentNode().Nodes()}, nil
+	return &operatorv1.NodesResponse{Nodes: s.currentNode().NodeStatuses()}, nil
 }
 
 // Events implements operator.v1.OperatorService.
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -66,7 +66,7 @@
 	_, err = client.Apply(withToken("viewer-token"), accountChange("a", 0))
 	is.Equal(status.Code(err), codes.PermissionDenied)
 
-	events, _ := fleet.Daemons[0].Node().Events().Since("Apply")
+	events, _ := fleet.Daemons[0].Node().Events().Find("Apply")
 	outcomes := map[string]int{}
 	for _, e := range events {
 		if e.Number == event.OperatorCalled {
--- a/recordlog/snapshot_test.go
+++ b/recordlog/snapshot_test.go
@@ -94,7 +94,7 @@
 
 // A node was away for longer than the log keeps its records. Without the snapshot
 // between them it could never fold again, and would serve with the budgets of last week.
-func TestRecordsAgedOutWhileAway(t *testing.T) {
+func TestNodeRestoresAfterRecordsAgedOut(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
 	writer := &appender{log: log, name: "w"}
@@ -124,7 +124,7 @@
 // A batch is appended twice because the answer was lost, once before a snapshot and
 // once, late, after it. A node that starts from the snapshot must know that the second
 // is a repetition, or the budget is topped up twice there alone.
-func TestLateDuplicateAfterSnapshot(t *testing.T) {
+func TestLateDuplicateAfterSnapshotIsVoid(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
 	writer, here := &appender{log: log, name: "w"}, newReader(log)
--- a/request/badinput_test.go
+++ b/request/badinput_test.go
@@ -12,7 +12,7 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func TestBodiesThatAreRefused(t *testing.T) {
+func TestInvalidBodiesAreRejected(t *testing.T) {
 	// Callers send bodies that are broken, or that two readers understand in two
 	// ways. Each gets its number, nothing is sent, reserved or billed.
 	is := is.New(t)
@@ -61,7 +61,7 @@
 	is.Equal(len(s.engines[0].Served()), 0)
 }
 
-func TestBodiesThatAreTaken(t *testing.T) {
+func TestValidBodiesAreAccepted(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
 		`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a b"},{"type":"text","text":"c"}]}]}`,
@@ -77,7 +77,7 @@
 
 // An engine that honours max_completion_tokens would answer beyond what is reserved,
 // and the account would spend what it hasn't prepaid.
-func TestEngineGetsOneLimit(t *testing.T) {
+func TestEngineGetsSingleTokenLimit(t *testing.T) {
 	is := is.New(t)
 	parsed, err := parseChat([]byte(`{"model":"m","max_completion_tokens":7,"messages":[{"content":"x"}]}`))
 	is.NoErr(err)
@@ -92,7 +92,7 @@
 	is.True(!left)
 }
 
-func TestPathsThatAreRefused(t *testing.T) {
+func TestInvalidPathsAreRejected(t *testing.T) {
 	// A path that an upstream resolves differently could be matched as a read that may
 	// be repeated and run as an order that may not.
 	is := is.New(t)
@@ -161,7 +161,7 @@
 	f.Add(strings.Replace(good, ".", "..", 1), "account")
 	f.Fuzz(func(t *testing.T, text, account string) {
 		cursor, err := n.openCursor(account, text)
-		if err == nil && (n.Cursors.Seal(cursor) != text || account != cursor.GetAccount()) {
+		if err == nil && (n.Cursors.Sign(cursor) != text || account != cursor.GetAccount()) {
 			t.Fatalf("opened %q for %q: %v", text, account, cursor)
 		}
 	})
--- a/request/call.go
+++ b/request/call.go
@@ -58,7 +58,7 @@
 	if !c.named() {
 		return err
 	}
-	return result.From(err).Doubt()
+	return result.From(err).WithMayHaveRun()
 }
 
 func (s *Server) checkCall(call ServiceCall) (*preparedCall, error) {
--- a/request/call_test.go
+++ b/request/call_test.go
@@ -34,7 +34,7 @@
 	return ServiceCall{Key: testKey, Service: "orders", Method: method, Path: "/work", Body: []byte(body)}
 }
 
-func TestLostAnswerIsNotRunAgain(t *testing.T) {
+func TestLostAnswerIsNotRetried(t *testing.T) {
 	// A service files a work order and its answer is lost. Sent to the next instance,
 	// the order would be filed twice; called "not run", the caller would file it again.
 	is := is.New(t)
@@ -49,7 +49,7 @@
 	is.Equal(n.settled(t), uint64(0)) // no answer, nothing billed
 }
 
-func TestIdempotentCallIsTriedElsewhere(t *testing.T) {
+func TestIdempotentCallIsRetriedOnAnotherInstance(t *testing.T) {
 	// The same loss within a read: the next instance answers, and it is billed once.
 	is := is.New(t)
 	s, services := newPlainSite(t, 2)
@@ -61,7 +61,7 @@
 	is.Equal(n.settled(t), uint64(1))
 }
 
-func TestUnreachedInstanceIsNoRun(t *testing.T) {
+func TestUnreachableInstanceCountsAsNotRun(t *testing.T) {
 	// An instance is gone and its port is closed, which proves that nothing ran there:
 	// the order goes to the next one, or is truly "not run" when there is none.
 	is := is.New(t)
@@ -83,7 +83,7 @@
 	is.Equal(n.settled(t), uint64(5))
 }
 
-func TestClosedConnectionDoesNotRepeatAPut(t *testing.T) {
+func TestClosedConnectionDoesNotRepeatPut(t *testing.T) {
 	// A service takes a PUT over a kept connection, files the order and closes the
 	// connection without an answer. The HTTP library would send the PUT again by
 	// itself, and the order would be filed twice.
@@ -118,7 +118,7 @@
 func (noRetries) FirstAttempt()  {}
 func (noRetries) TryRetry() bool { return false }
 
-func TestSpentRetryBudgetEndsAtTheFirstFailure(t *testing.T) {
+func TestExhaustedRetryBudgetStopsRetries(t *testing.T) {
 	// A service is sick and every request fails. Retried without a bound, its load
 	// would triple just when it can bear least.
 	is := is.New(t)
@@ -132,7 +132,7 @@
 	n.settled(t)
 }
 
-func TestDotSegmentsNeverReachAService(t *testing.T) {
+func TestDotSegmentsAreRejected(t *testing.T) {
 	is := is.New(t)
 	s, services := newPlainSite(t, 1)
 	n := s.newServer("a")
--- a/request/candidates.go
+++ b/request/candidates.go
@@ -8,8 +8,8 @@
 // is resumed goes on at its upstream even while that one leaves.
 func (s *Server) upstreams(service string) []*operatorv1.Upstream {
 	all := s.Config().Upstreams(service)
-	if s.Staying == nil {
+	if s.ExcludeLeaving == nil {
 		return all
 	}
-	return s.Staying(all)
+	return s.ExcludeLeaving(all)
 }
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -23,7 +23,7 @@
 func (s *Server) chatOnce(ctx context.Context, call ChatCall, sink Sink) error {
 	account, err := s.authenticate(s.Config(), call.Key)
 	if err != nil {
-		return result.From(s.refused("", err)).Doubt()
+		return result.From(s.refused("", err)).WithMayHaveRun()
 	}
 	if err := s.checkName(call.named()); err != nil {
 		return s.refused(account.GetName(), err)
@@ -39,7 +39,7 @@
 
 // chatEnd is how a named completion ended.
 type chatEnd struct {
-	answer idempotency.Answer
+	answer idempotency.Response
 	err    error
 }
 
@@ -48,17 +48,17 @@
 	return ServiceCall{Method: chatMethod, Path: chatPath, Body: c.Body, IdempotencyKey: c.IdempotencyKey}
 }
 
-func (s *Server) doChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Answer, error) {
+func (s *Server) doChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Response, error) {
 	named := idempotency.Call{
 		ID:     idempotency.ID{Account: account.GetName(), Key: call.IdempotencyKey},
 		Digest: digestOf(call.named()),
 	}
-	return s.Runner.Do(ctx, named, func(ctx context.Context) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, named, func(ctx context.Context) (idempotency.Response, error) {
 		if err := s.runChat(ctx, account, call.Body, recorded); err != nil {
-			return idempotency.Answer{}, err
+			return idempotency.Response{}, err
 		}
 		body, err := recorded.save()
-		return idempotency.Answer{Status: statusOK, Body: body}, err
+		return idempotency.Response{Status: statusOK, Body: body}, err
 	}, forward)
 }
 
@@ -113,12 +113,12 @@
 	if s.Peers == nil {
 		return nil
 	}
-	return func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return func(ctx context.Context, owner string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", account.GetName(), "key", call.IdempotencyKey, "to", owner)
 		answer, err := s.Peers.Forward(ctx, owner, "", &fleetv1.CallForward{
 			Account: account.GetName(), Method: chatMethod, Path: chatPath, Body: call.Body, Key: call.IdempotencyKey,
 		})
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
 }
 
--- a/request/cursor.go
+++ b/request/cursor.go
@@ -32,7 +32,7 @@
 	m.cursor.Next = chunk.Number + 1
 	m.cursor.Usage = m.cursor.Usage || chunk.Usage != nil
 	m.cursor.ExpiresMs = now.Add(cursorLifetime).UnixMilli()
-	return m.signer.Seal(&m.cursor)
+	return m.signer.Sign(&m.cursor)
 }
 
 // openCursor reads a caller's cursor. One of another account is as invalid as a
@@ -40,7 +40,7 @@
 func (s *Server) openCursor(account, text string) (*fleetv1.StreamCursor, error) {
 	cursor := &fleetv1.StreamCursor{}
 	switch {
-	case s.Cursors == nil || s.Cursors.Open(text, cursor) != nil:
+	case s.Cursors == nil || s.Cursors.Verify(text, cursor) != nil:
 		return nil, result.New(result.InvalidCursor, "the event id was not made by this fleet")
 	case cursor.GetAccount() != account:
 		return nil, result.New(result.InvalidCursor, "the event id is of another account")
--- a/request/manystreams_test.go
+++ b/request/manystreams_test.go
@@ -55,7 +55,7 @@
 	return strings.TrimSpace(sink.text() + " " + rest.text()), err
 }
 
-func TestManyStreamsAtOnce(t *testing.T) {
+func TestConcurrentStreams(t *testing.T) {
 	// Many callers stream at once over engines that cut, double, swap and cross their
 	// answers, and a third of them hang up and read on at another node. Whatever a
 	// caller has at the end must be a part of its own answer, the whole of it when the
--- a/request/priority.go
+++ b/request/priority.go
@@ -33,7 +33,7 @@
 	if b.priority == nil {
 		return int(most)
 	}
-	return int(max(config.LeastPriority, min(*b.priority, most)))
+	return int(max(config.MinPriority, min(*b.priority, most)))
 }
 
 // setPriority writes the priority as the service's engines read it.
--- a/request/priority_test.go
+++ b/request/priority_test.go
@@ -33,7 +33,7 @@
 
 // A caller names a priority above its account's, in the body that goes to the engine.
 // Were it passed on as it came, its bulk work would run before everybody's.
-func TestACallerCantRaiseItsPriority(t *testing.T) {
+func TestCallerCannotRaiseItsPriority(t *testing.T) {
 	is := is.New(t)
 	none, lower, higher := operatorv1.PriorityOrder_PRIORITY_ORDER_UNSPECIFIED,
 		operatorv1.PriorityOrder_PRIORITY_ORDER_LOWER_FIRST, operatorv1.PriorityOrder_PRIORITY_ORDER_HIGHER_FIRST
@@ -46,7 +46,7 @@
 	}{
 		{``, 0, none, 0, ""},
 		{`,"priority":9`, 0, none, 0, ""},
-		{`,"priority":-9999999999`, 0, none, config.LeastPriority, ""},
+		{`,"priority":-9999999999`, 0, none, config.MinPriority, ""},
 		{``, 3, lower, 3, "-3"},
 		{`,"priority":null`, 3, higher, 3, "3"},
 		{`,"priority":9`, 3, lower, 3, "-3"},
@@ -67,7 +67,7 @@
 
 // An account floods an engine with bulk work of low priority. A request of an urgent
 // account that comes last would wait for the whole flood if the engine weren't told.
-func TestALowPriorityFloodDoesNotDelayAnUrgentRequest(t *testing.T) {
+func TestLowPriorityFloodDoesNotDelayUrgentRequest(t *testing.T) {
 	const flood = 20
 	is := is.New(t)
 	s := newSite(t, standin.EngineOptions{Slots: 1, TokenTime: time.Millisecond})
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -22,7 +22,7 @@
 	if known.Request != "" {
 		return known
 	}
-	known = known.Of(s.Events.Node() + refusalMark + strconv.FormatUint(s.refusals.Add(1), 10))
+	known = known.WithRequest(s.Events.Node() + refusalMark + strconv.FormatUint(s.refusals.Add(1), 10))
 	fields := []any{"request", known.Request, "account", account, "code", uint32(known.Code), "why", known.Message}
 	if known.RetryAfter > 0 {
 		fields = append(fields, event.RetryAfterField, known.RetryAfter)
@@ -36,5 +36,5 @@
 	if err == nil {
 		return nil
 	}
-	return result.From(err).Of(request)
+	return result.From(err).WithRequest(request)
 }
--- a/request/retryload_test.go
+++ b/request/retryload_test.go
@@ -25,7 +25,7 @@
 	return upstream.CallResponse{}, result.New(result.UpstreamFailed, "sick")
 }
 
-func TestRetriesAddATenthAtMost(t *testing.T) {
+func TestRetriesAddAtMostTenPercentLoad(t *testing.T) {
 	// All instances of a service fail, and every read could be tried three times. The
 	// sick service would get three times its load just when it can bear least.
 	const calls = 2000
--- a/request/stream_test.go
+++ b/request/stream_test.go
@@ -16,7 +16,7 @@
 
 var errGone = errors.New("connection closed")
 
-func TestStreamBreaksOffAndIsReadOn(t *testing.T) {
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	// The connection to the engine breaks every second word, while the engine goes on.
 	// The caller must see one whole answer and be billed for one.
 	is := is.New(t)
@@ -31,7 +31,7 @@
 	is.Equal(len(s.engines[0].Served()), 1)
 }
 
-func TestChunksTwiceAndOutOfOrder(t *testing.T) {
+func TestDuplicateAndReorderedChunks(t *testing.T) {
 	// An engine sends chunks twice and swapped. Passed on as they come, the summary
 	// would repeat and shuffle words and still look whole.
 	is := is.New(t)
@@ -44,7 +44,7 @@
 	is.Equal(n.settled(t), uint64(40))
 }
 
-func TestEngineLostWithinTheAnswer(t *testing.T) {
+func TestEngineFailsMidAnswer(t *testing.T) {
 	// An engine dies within an answer and its output with it. Another one answers
 	// again; the caller must get the missing words once, not the answer twice.
 	is := is.New(t)
@@ -58,7 +58,7 @@
 	is.Equal(n.settled(t), uint64(20)) // one answer's tokens
 }
 
-func TestEngineGoesSilent(t *testing.T) {
+func TestSilentEngineIsReplaced(t *testing.T) {
 	// An engine hangs within an answer while its connection stays open. It must be
 	// given up on after one silence, and another engine bring the rest.
 	is := is.New(t)
@@ -72,7 +72,7 @@
 	is.Equal(s.engines[0].Resumed(), int64(0)) // not asked for the rest
 }
 
-func TestOtherEngineAnswersDifferently(t *testing.T) {
+func TestDifferingRerunIsRejected(t *testing.T) {
 	// An engine dies within an answer, and the next one words it differently. Joined,
 	// the halves would read as one answer that no engine gave: the stream must end
 	// with a numbered error instead, and is not billed.
@@ -91,7 +91,7 @@
 	is.Equal(whole.text(), "xword0 xword1 xword2 xword3 xword4 xword5 xword6 xword7 xword8 xword9")
 }
 
-func TestCrossedAnswerIsRunElsewhere(t *testing.T) {
+func TestCrossedAnswerIsRetriedOnAnotherEngine(t *testing.T) {
 	// An engine answers for somebody else's request. Nothing of it may reach the caller.
 	is := is.New(t)
 	s := newSite(t, standin.EngineOptions{Cross: 1}, standin.EngineOptions{})
@@ -103,7 +103,7 @@
 	is.Equal(n.settled(t), uint64(10))
 }
 
-func TestCallerResumesAfterItsNodeDied(t *testing.T) {
+func TestResumeAfterNodeFailure(t *testing.T) {
 	// A node dies with a stream open. The caller brings its last event id to another
 	// node and must get exactly the missing chunks and the end, and nobody may bill
 	// it a second time: the dead node's request is settled from the engine's count.
@@ -151,7 +151,7 @@
 	p.moved <- p.to.MoveStream(request)
 }
 
-func TestCallerMovesWhileItsNodeLives(t *testing.T) {
+func TestResumeWhileOriginalNodeIsAlive(t *testing.T) {
 	// A caller's connection stalls, and it reads on at another node before the first
 	// one notices. The first must go on and bill the whole answer once, rather than
 	// cancel the engine under the caller; its own connection must not end as whole.
@@ -184,7 +184,7 @@
 	is.Equal(next.settled(t), uint64(0))
 }
 
-func TestCursorsThatAreRefused(t *testing.T) {
+func TestInvalidCursorsAreRejected(t *testing.T) {
 	// A caller sends an event id that isn't its own, that it has altered, or that is
 	// no cursor at all. Taken, it would read somebody else's answer.
 	is := is.New(t)
@@ -196,7 +196,7 @@
 	good := sink.cursors[0]
 	cursor, err := n.openCursor("account", good)
 	is.NoErr(err)
-	foreign := signed.NewSigner([]byte("of another fleet"), CursorPurpose).Seal(cursor)
+	foreign := signed.NewSigner([]byte("of another fleet"), CursorPurpose).Sign(cursor)
 	for _, call := range []ResumeCall{
 		{Key: otherKey, Cursor: good},
 		{Key: testKey, Cursor: "A" + good[1:]},
@@ -214,7 +214,7 @@
 	is.Equal(result.CodeOf(err), result.InvalidCursor)
 }
 
-func TestEngineForgotTheStream(t *testing.T) {
+func TestResumeAfterEngineDroppedOutput(t *testing.T) {
 	// A caller comes back when the engine has dropped the stream's output. It must
 	// learn that by a number, and not be left with a silent cut.
 	is := is.New(t)
@@ -227,7 +227,7 @@
 	is.Equal(result.CodeOf(err), result.StreamLost)
 }
 
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	// A caller closes its connection within an answer. The engine must stop, and the
 	// account pays for the prompt and what was generated until then, by the engine's
 	// count; a cancelled stream can't be taken for a whole one afterwards.
@@ -250,7 +250,7 @@
 	is.Equal(result.CodeOf(err), result.StreamLost)
 }
 
-func TestDeadlinePasses(t *testing.T) {
+func TestDeadlineExceeded(t *testing.T) {
 	// A caller gives its request a deadline and the engine hangs. The answer must come
 	// at the deadline and not when the engine is given up on.
 	is := is.New(t)
@@ -264,7 +264,7 @@
 	n.settled(t)
 }
 
-func TestPanicInARequestLeavesNothingReserved(t *testing.T) {
+func TestPanicReleasesReservation(t *testing.T) {
 	// A defect hits while an answer is passed on. Its tokens must come back.
 	is := is.New(t)
 	s := newSite(t, standin.EngineOptions{})
@@ -279,7 +279,7 @@
 	is.Equal(n.InFlight(), int64(0))
 }
 
-func TestRefusalIsTrueOfAllAttempts(t *testing.T) {
+func TestErrorReflectsAllAttempts(t *testing.T) {
 	// The first engine takes a request and hangs up, the second can't be reached. Told
 	// "not run" for the second's sake, a caller would think that nobody worked on it.
 	is := is.New(t)
--- a/request/tokenbound.go
+++ b/request/tokenbound.go
@@ -112,7 +112,7 @@
 func (r *chatRun) chargeMore(tokens uint64) (unpaid uint64) {
 	ctx, done := clockwork.WithTimeout(context.Background(), r.server.Clock, chargeTimeout)
 	defer done()
-	name := r.server.Config().Budget(r.account.GetName(), r.service.GetName())
+	name := r.server.Config().BudgetName(r.account.GetName(), r.service.GetName())
 	for part := tokens; part > 0 && ctx.Err() == nil; part = min(part, tokens) {
 		grant, err := r.server.Reserver.Reserve(ctx, name, part)
 		if err != nil {
--- a/request/tokenbound_test.go
+++ b/request/tokenbound_test.go
@@ -71,7 +71,7 @@
 
 // A budget has enough left for a summary, but less than the summary's bytes. Bounded by
 // its bytes alone it would be refused, and sign-off would wait for a top-up.
-func TestADeclaredBoundCoversWhatBytesDoNot(t *testing.T) {
+func TestDeclaredBoundIsTighterThanByteBound(t *testing.T) {
 	is := is.New(t)
 	for _, limits := range []tokenLimits{{perKiB: 300}, {context: 150}, {perKiB: 1024, context: 150}, {perKiB: 300, context: 8192}} {
 		_, n := boundSite(t, limits)
@@ -89,7 +89,7 @@
 // Operators declare fewer tokens per byte than a tokenizer makes of some texts. The
 // first count shows it, while the budget pays in full for what was counted; later, near
 // its end, the declaration must not let the account have more than it paid for.
-func TestAWrongDeclarationIsPaidInFullAndDropped(t *testing.T) {
+func TestContradictedLimitsAreChargedAndDropped(t *testing.T) {
 	is := is.New(t)
 	for _, limits := range []tokenLimits{{perKiB: 100}, {context: 50}} {
 		s, n := boundSite(t, limits)
@@ -110,7 +110,7 @@
 // The first text that contradicts the declaration comes when the budget is nearly
 // spent. The bill must stay within what was prepaid, the operator learn what wasn't
 // paid for, and the second such text be refused.
-func TestAWrongDeclarationCostsOnce(t *testing.T) {
+func TestContradictedLimitsOvershootOnce(t *testing.T) {
 	is := is.New(t)
 	_, n := boundSite(t, tokenLimits{perKiB: 100})
 	n.leave(t, 100)
@@ -125,7 +125,7 @@
 
 // Whatever is declared, the bound must not exceed the sound one, and a count above the
 // bound must be taken as a contradiction: else it would go unseen, again and again.
-func TestBoundsOfAnyDeclaration(t *testing.T) {
+func TestTokenBoundProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.IntRange(1, 500).Draw(t, "words")
 		messages := rapid.IntRange(1, 4).Draw(t, "messages")
--- a/snapshot/finder.go
+++ b/snapshot/finder.go
@@ -19,8 +19,8 @@
 	beyondEnd = math.MaxInt64
 )
 
-// ErrNone tells that the log holds no usable snapshot now.
-var ErrNone = errors.New("the log holds no usable snapshot")
+// ErrNoSnapshot tells that the log holds no usable snapshot now.
+var ErrNoSnapshot = errors.New("the log holds no usable snapshot")
 
 // Reader reads records; recordlog.Source is one.
 type Reader interface {
@@ -55,7 +55,7 @@
 		}
 		from = slice.Records[len(slice.Records)-1].Offset + 1
 	}
-	return nil, errors.Trace(ErrNone)
+	return nil, errors.Trace(ErrNoSnapshot)
 }
 
 func scan(collector *Collector, slice ports.ReadResult, ahead uint64) *recordv1.FoldState {
