--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"lavenderpin.dev/lavenderpin/internal/standin"
 )
 
-func startSample(t *testing.T) *Fleet {
+func startSampleFleet(t *testing.T) *Fleet {
 	t.Helper()
 	is := is.New(t)
 	here := Location{"gulf-maine", "casco"}
@@ -50,20 +50,20 @@
 	response, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	is.NoErr(err)
-	return response.StatusCode, answer
+	return response.StatusCode, responseBody
 }
 
 const chatPath = "/v1/chat/completions"
 
 func TestRequestsEndToEnd(t *testing.T) {
 	is := is.New(t)
-	fleet := startSample(t)
+	fleet := startSampleFleet(t)
 	body := `{"model":"` + SampleModel + `","max_tokens":10,"messages":[{"role":"user","content":"worn bridle on pen four"}]}`
 
 	for i := range fleet.Daemons {
-		status, answer := fleet.post(t, i, chatPath, SampleAccountKey, body)
+		status, responseBody := fleet.post(t, i, chatPath, SampleAccountKey, body)
 		is.Equal(status, 200)
 		var parsed struct {
 			Choices []struct{ Message struct{ Content string } }
@@ -71,22 +71,22 @@
 				Total int `json:"total_tokens"`
 			}
 		}
-		is.NoErr(json.Unmarshal(answer, &parsed))
+		is.NoErr(json.Unmarshal(responseBody, &parsed))
 		is.Equal(parsed.Choices[0].Message.Content, "worn bridle on pen four ")
 		is.Equal(parsed.Usage.Total, 10)
 	}
-	status, answer := fleet.post(t, 0, chatPath, SampleAccountKey, strings.Replace(body, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
+	status, responseBody := fleet.post(t, 0, chatPath, SampleAccountKey, strings.Replace(body, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
 	is.Equal(status, 200)
-	is.True(strings.HasSuffix(strings.TrimSpace(string(answer)), "data: [DONE]")) // whole streams end with the marker
+	is.True(strings.HasSuffix(strings.TrimSpace(string(responseBody)), "data: [DONE]")) // complete streams end with [DONE]
 
-	status, answer = fleet.post(t, 1, "/s/orders/work", SampleAccountKey, "order-1")
+	status, responseBody = fleet.post(t, 1, "/s/orders/work", SampleAccountKey, "order-1")
 	is.Equal(status, 200)
-	is.Equal(string(answer), "order-1")
+	is.Equal(string(responseBody), "order-1")
 
 	awaitSpent(t, fleet, 4*10+5)
 }
 
-// awaitSpent waits until every node has folded the settlements.
+// awaitSpent waits until every node has applied the settlements.
 func awaitSpent(t *testing.T, fleet *Fleet, tokens uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -99,7 +99,7 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	fleet := startSample(t)
+	fleet := startSampleFleet(t)
 	message := `"messages":[{"role":"user","content":"x"}]`
 	for name, c := range map[string]struct {
 		path, key, body string
@@ -116,11 +116,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			status, answer := fleet.post(t, 0, c.path, c.key, c.body)
+			status, responseBody := fleet.post(t, 0, c.path, c.key, c.body)
 			is.Equal(status, c.status)
-			is.True(strings.Contains(string(answer), `"code":`+c.code))
+			is.True(strings.Contains(string(responseBody), `"code":`+c.code))
 		})
 	}
 	is := is.New(t)
-	is.Equal(fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent, uint64(0)) // nothing billed
+	is.Equal(fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent, uint64(0)) // rejected requests are not billed
 }
--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// SampleAccountKey authenticates the sample's client account.
+	// SampleAccountKey is the API key of the sample client account.
 	SampleAccountKey = "dev-key"
-	// SampleModel is served by the sample's engines.
+	// SampleModel is the model that the sample engines serve.
 	SampleModel = "lavender-small"
-	// SampleTokens is what the sample's budget is topped up with.
+	// SampleTokens is the top-up of the sample budget.
 	SampleTokens = 1_000_000
 )
 
 // SampleConfig returns the configuration of a development fleet: one client account with
-// one budget, a service "chat" on the engines and a plain service "orders".
+// one budget, an engine service "chat" and a plain service "orders".
 func (f *Fleet) SampleConfig() *operatorv1.Fleet {
 	fleet := &operatorv1.Fleet{
 		Accounts: []*operatorv1.Account{{Name: "dev", Team: "dev", KeySha256: []string{config.HashKey(SampleAccountKey)}}},
@@ -40,7 +40,7 @@
 	return fleet
 }
 
-// Apply declares a configuration through the operator API of the first node.
+// Apply applies a configuration through the operator API of the first node.
 func (f *Fleet) Apply(ctx context.Context, fleet *operatorv1.Fleet) error {
 	conn, err := f.DialOperator(0)
 	if err != nil {
--- a/ports/instances.go
+++ b/ports/instances.go
@@ -6,7 +6,7 @@
 	platformv1 "lavenderpin.dev/lavenderpin/api/platform/v1"
 )
 
-// InstanceList is the platform's list of live and leaving instances. It lags.
+// InstanceList is the platform's list of live and leaving instances. It may be stale.
 type InstanceList interface {
 	List(ctx context.Context) ([]*platformv1.Instance, error)
 }
--- a/tlskeys/authority.go
+++ b/tlskeys/authority.go
@@ -13,19 +13,19 @@
 	"github.com/juju/errors"
 )
 
-// ServerName is the name in every node's certificate. Nodes are reached by IP
-// numbers that change; what is checked is the fleet's authority, not the address.
+// ServerName is the DNS name in every node's certificate. Nodes are dialed by IP
+// addresses that change, so verification relies on the fleet's authority, not the address.
 const ServerName = "node.lavenderpin.internal"
 
 const serialBits = 120
 
-// KeyPair is a certificate and its key, both PEM.
+// KeyPair is a certificate and its private key, both PEM-encoded.
 type KeyPair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// NewAuthority makes a fleet's authority, valid from an hour before now.
+// NewAuthority creates a fleet's certificate authority, valid from an hour before now.
 func NewAuthority(now time.Time, validity time.Duration) (KeyPair, error) {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "lavenderpin fleet authority"},
@@ -39,10 +39,10 @@
 	if err != nil {
 		return KeyPair{}, errors.Trace(err)
 	}
-	return sign(template, template, key, key)
+	return signCertificate(template, template, key, key)
 }
 
-// Issue makes a node's certificate, valid from an hour before now.
+// Issue creates a node certificate signed by p, valid from an hour before now.
 func (p KeyPair) Issue(now time.Time, validity time.Duration) (KeyPair, error) {
 	parent, parentKey, err := p.parse()
 	if err != nil {
@@ -60,10 +60,10 @@
 	if err != nil {
 		return KeyPair{}, errors.Trace(err)
 	}
-	return sign(template, parent, key, parentKey)
+	return signCertificate(template, parent, key, parentKey)
 }
 
-func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (KeyPair, error) {
+func signCertificate(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (KeyPair, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return KeyPair{}, errors.Trace(err)
@@ -87,7 +87,7 @@
 	certBlock, _ := pem.Decode(p.Cert)
 	keyBlock, _ := pem.Decode(p.Key)
 	if certBlock == nil || keyBlock == nil {
-		return nil, nil, errors.New("no PEM data")
+		return nil, nil, errors.New("no PEM block in the certificate or key")
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("the key isn't an ECDSA key")
+		return nil, nil, errors.New("private key is not an ECDSA key")
 	}
 	return cert, ecKey, nil
 }
