--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -18,21 +18,21 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// callerPatience is how long a caller waits for a whole answer.
-const callerPatience = 20 * time.Second
+// callerTimeout is how long a caller waits for a complete response.
+const callerTimeout = 20 * time.Second
 
-// sampleInterval is how often the configuration in force is looked at.
+// sampleInterval is how often the configuration in force is sampled.
 const sampleInterval = 250 * time.Millisecond
 
-// sink is the caller's end of an answer.
+// sink is the caller's end of a response.
 type sink struct {
 	mu   sync.Mutex
 	ctx  context.Context
 	gate *fake.Gate
 	id   string
-	// streams tells whether the caller reads the answer as it comes.
+	// streams reports whether the caller reads the response as a stream.
 	streams bool
-	// cursor is the event id of the last chunk that arrived.
+	// cursor is the event ID of the last chunk that arrived.
 	cursor string
 	text   strings.Builder
 	usage  upstream.Usage
@@ -45,7 +45,7 @@
 	s.id = id.String()
 }
 
-// Chunk implements request.Sink. What a paused or dead node writes doesn't arrive.
+// Chunk implements request.Sink. Writes of a paused or dead node do not arrive.
 func (s *sink) Chunk(cursor string, chunk upstream.Chunk) error {
 	if err := s.gate.Enter(s.ctx); err != nil {
 		return err
@@ -77,21 +77,21 @@
 	return Outcome{Code: result.CodeOf(err), Message: err.Error()}
 }
 
-// ask runs a caller's request on a node as a connection would: when the node dies
-// or the caller's patience ends, no answer comes.
-func (h *Harness) ask(m *Member, gate *fake.Gate, do func(context.Context) error) (Outcome, Span) {
+// invoke runs a caller's request on a node like a connection would: if the node dies or the
+// caller times out, no response comes.
+func (h *Harness) invoke(m *Member, gate *fake.Gate, call func(context.Context) error) (Outcome, Span) {
 	span := Span{Call: h.since()}
-	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, callerPatience)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, callerTimeout)
 	defer cancel()
 	answer := make(chan error, 1)
 	h.Go(func() {
-		h.probe(fake.StepReserve, m.Address())
+		h.onStep(fake.StepReserve, m.Address())
 		err := gate.Enter(ctx)
 		if err == nil {
 			err = m.Node().Serving()
 		}
 		if err == nil {
-			err = do(ctx)
+			err = call(ctx)
 		}
 		if gate.Enter(context.Background()) == nil {
 			answer <- err
@@ -102,7 +102,7 @@
 	case err := <-answer:
 		outcome = outcomeOf(err)
 	case <-gate.Dead():
-		outcome.Message = diedMessage
+		outcome.Message = nodeDiedMessage
 	case <-ctx.Done():
 		outcome.Message = "the caller gave up"
 	}
@@ -110,7 +110,7 @@
 	return outcome, span
 }
 
-// Chat asks a node for a completion whose whole answer is the prompt.
+// Chat requests a completion from a node; a complete response repeats the prompt.
 func (h *Harness) Chat(m *Member, account, model, prompt string) ChatOp {
 	gate := m.Gate()
 	words := strings.Fields(prompt)
@@ -118,17 +118,17 @@
 		"model": model, "stream": true, "max_tokens": len(words),
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
-	into := &sink{gate: gate, streams: h.draw(2) == 0}
+	response := &sink{gate: gate, streams: h.intN(2) == 0}
 	finished := make(chan struct{})
-	outcome, span := h.ask(m, gate, func(ctx context.Context) error {
+	outcome, span := h.invoke(m, gate, func(ctx context.Context) error {
 		defer close(finished)
-		into.ctx = ctx
-		return m.Node().Requests().Chat(ctx, request.ChatCall{Key: accountKey + account, Body: body}, into)
+		response.ctx = ctx
+		return m.Node().Requests().Chat(ctx, request.ChatCall{Key: accountKey + account, Body: body}, response)
 	})
 	op := ChatOp{Span: span, Outcome: outcome, Node: m.Address(), Budget: budgetOf(account), Prompt: prompt,
 		Want: strings.Join(words, " ") + " "}
-	if h.readsOn && outcome.died() && into.streams {
-		h.readOn(&op, account, into)
+	if h.resumesStreams && outcome.nodeDied() && response.streams {
+		h.resumeChat(&op, account, response)
 	}
 	if op.Lost || op.Resumed {
 		h.History.addChat(op)
@@ -136,22 +136,22 @@
 	}
 	select {
 	case <-finished:
-		op.Request, op.Text, op.Tokens = into.id, into.text.String(), into.usage.Total()
+		op.Request, op.Text, op.Tokens = response.id, response.text.String(), response.usage.Total()
 	default: // refused before the request began
 	}
 	h.History.addChat(op)
 	return op
 }
 
-// Call asks a node for a call of the plain service.
+// Call calls the plain service through a node.
 func (h *Harness) Call(m *Member, account, method, body, key string) CallOp {
 	gate := m.Gate()
 	answers := make(chan upstream.CallResponse, 1)
-	outcome, span := h.ask(m, gate, func(ctx context.Context) error {
-		got, err := m.Node().Requests().Call(ctx, request.ServiceCall{
+	outcome, span := h.invoke(m, gate, func(ctx context.Context) error {
+		response, err := m.Node().Requests().Call(ctx, request.ServiceCall{
 			Key: accountKey + account, Service: plainService, Method: method, Path: "/", Body: []byte(body), IdempotencyKey: key,
 		})
-		answers <- got
+		answers <- response
 		return err
 	})
 	op := CallOp{Span: span, Outcome: outcome, Node: m.Address(), Budget: budgetOf(account), Body: body, Key: key, Idempotent: method == "GET"}
@@ -165,7 +165,7 @@
 
 // TopUp adds prepaid tokens through a node.
 func (h *Harness) TopUp(m *Member, id, budget string, tokens uint64) TopUpOp {
-	outcome, span := h.ask(m, m.Gate(), func(ctx context.Context) error {
+	outcome, span := h.invoke(m, m.Gate(), func(ctx context.Context) error {
 		_, err := m.operator.TopUp(operatorContext(ctx), &operatorv1.TopUpRequest{
 			TopUp: &operatorv1.TopUp{Id: id, Budget: budget, Tokens: tokens}})
 		return err
@@ -175,20 +175,20 @@
 	return op
 }
 
-// Change sets the value of the resource under test through a node, against the
-// version that the node has in force.
+// Change sets the value of the resource under test through a node, against the version that
+// the node has in force.
 func (h *Harness) Change(m *Member, changeID string, value uint32) ConfigOp {
-	held := underTest(m.Node().Config())
+	current := resourceUnderTest(m.Node().Config())
 	next := &operatorv1.Upstream{Name: spareUpstream, Service: plainService, Address: "127.0.0.1:1", Region: RegionHome,
 		DataCentre: RegionHome + "-a", Draining: true, Slots: value}
 	versions := make(chan uint64, 1)
-	outcome, span := h.ask(m, m.Gate(), func(ctx context.Context) error {
+	outcome, span := h.invoke(m, m.Gate(), func(ctx context.Context) error {
 		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: changeID, Changes: []*operatorv1.Change{{
-			BaseVersion: held.GetVersion(), Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Upstream{Upstream: next}}}}})
+			BaseVersion: current.GetVersion(), Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Upstream{Upstream: next}}}}})
 		versions <- answer.GetVersion()
 		return err
 	})
-	op := ConfigOp{Span: span, Outcome: outcome, Node: m.Address(), ChangeID: changeID, Base: held.GetVersion(), Value: value}
+	op := ConfigOp{Span: span, Outcome: outcome, Node: m.Address(), ChangeID: changeID, Base: current.GetVersion(), Value: value}
 	if !outcome.Lost {
 		select {
 		case op.Version = <-versions:
@@ -199,13 +199,13 @@
 	return op
 }
 
-// underTest returns the resource whose changes are watched, nil when it is absent.
-func underTest(view *config.View) *operatorv1.VersionedResource {
+// resourceUnderTest returns the resource whose changes are checked, or nil if it is absent.
+func resourceUnderTest(view *config.View) *operatorv1.VersionedResource {
 	return view.Versioned(config.Key{Kind: config.KindUpstream, Name: spareUpstream})
 }
 
-// sample records what each live node has in force, until done is closed.
-func (h *Harness) sample(done <-chan struct{}) {
+// sampleConfig records what each live node has in force until done is closed.
+func (h *Harness) sampleConfig(done <-chan struct{}) {
 	last := map[string]ConfigRead{}
 	for {
 		select {
@@ -217,20 +217,20 @@
 			if !m.Live() {
 				continue
 			}
-			read := h.read(m)
-			if held, ok := last[read.Incarnation]; !ok || held.Version != read.Version || held.Serving != read.Serving {
+			read := h.readConfig(m)
+			if previous, ok := last[read.Incarnation]; !ok || previous.Version != read.Version || previous.Serving != read.Serving {
 				last[read.Incarnation] = read
-				h.History.addRead(read)
+				h.History.addConfigRead(read)
 			}
 		}
 	}
 }
 
-func (h *Harness) read(m *Member) ConfigRead {
+func (h *Harness) readConfig(m *Member) ConfigRead {
 	n := m.Node()
 	read := ConfigRead{At: h.since(), Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil, Offset: n.AppliedOffset()}
-	if held := underTest(n.Config()); held != nil {
-		read.Version, read.Value = held.GetVersion(), held.GetResource().GetUpstream().GetSlots()
+	if current := resourceUnderTest(n.Config()); current != nil {
+		read.Version, read.Value = current.GetVersion(), current.GetResource().GetUpstream().GetSlots()
 	}
 	return read
 }
--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	armAfter   = 2 * time.Second
-	drainAfter = 5 * time.Second
-	// settleTime lets a closed incarnation's shares be recovered.
+	armDelay   = 2 * time.Second
+	drainDelay = 5 * time.Second
+	// settleTime is enough to recover a closed incarnation's shares.
 	settleTime = time.Minute
-	// recoverLimit is how long after the last fault the fleet may take to serve.
-	recoverLimit = 5 * time.Minute
-	drainLimit   = 2 * time.Minute
-	healPoll     = time.Second
+	// recoveryTimeout is how long after the last fault the fleet may take to serve.
+	recoveryTimeout  = 5 * time.Minute
+	drainTimeout     = 2 * time.Minute
+	healPollInterval = time.Second
 )
 
 // Steps lists the steps of the matrix.
@@ -32,8 +32,8 @@
 	}
 }
 
-// Strike is a fault at the nth time that a step is taken.
-type Strike struct {
+// Injection is a fault injected at the nth time that a step is taken.
+type Injection struct {
 	Fault Fault
 	Step  fake.Step
 	Nth   int
@@ -41,18 +41,19 @@
 
 // Cell is one history of the matrix.
 type Cell struct {
-	Strikes []Strike
-	Seed    uint64
-	// ReadOn lets callers whose node died bring their last event id to another one.
-	ReadOn bool
-	// AnyStep tells that the steps were drawn from all, whether reached or not.
+	Injections []Injection
+	Seed       uint64
+	// ResumeStreams lets callers whose node died resume at another node with their last
+	// event ID.
+	ResumeStreams bool
+	// AnyStep reports that the steps were drawn from all steps, reached or not.
 	AnyStep bool
 }
 
 // String names the faults and steps.
 func (c Cell) String() string {
 	text := ""
-	for i, s := range c.Strikes {
+	for i, s := range c.Injections {
 		if i > 0 {
 			text += " + "
 		}
@@ -61,27 +62,28 @@
 	return text
 }
 
-// Run plays the cell and returns its record and whether every fault could strike.
-func (c Cell) Run(clock clockwork.Clock) (*Record, Reach) { return c.run(clock, nil) }
+// Run runs the cell and returns its record and whether every fault could be injected.
+func (c Cell) Run(clock clockwork.Clock) (*Record, Coverage) { return c.run(clock, nil) }
 
-// run is Run with a defect that a test plants before any node starts.
-func (c Cell) run(clock clockwork.Clock, plant func(*Harness)) (*Record, Reach) {
+// run is Run with a setup function, in which a test may install a defect before any node
+// starts.
+func (c Cell) run(clock clockwork.Clock, setup func(*Harness)) (*Record, Coverage) {
 	h := NewHarness(clock, c.Seed)
-	if plant != nil {
-		plant(h)
+	if setup != nil {
+		setup(h)
 	}
 	run := &cellRun{harness: h, cell: c}
-	record, err := run.play()
+	record, err := run.execute()
 	if err != nil {
 		record = &Record{Began: h.began, Stuck: []string{err.Error()}}
 	}
-	return record, run.reach()
+	return record, run.coverage()
 }
 
-// Reach tells whether a cell's faults struck, and met a mechanism to try.
-type Reach struct {
-	Struck bool
-	// Missing names the step or mechanism that no node has yet.
+// Coverage tells whether a cell's faults were injected and met a mechanism to test.
+type Coverage struct {
+	Injected bool
+	// Missing names a step or mechanism that no node exercised.
 	Missing string
 }
 
@@ -89,48 +91,48 @@
 	harness *Harness
 	cell    Cell
 
-	mu     sync.Mutex
-	counts map[int]int
-	struck map[int]bool
-	// lasting counts faults that aren't healed yet.
-	lasting int
+	mu       sync.Mutex
+	counts   map[int]int
+	injected map[int]bool
+	// unhealed counts the injected faults that are not healed yet.
+	unhealed int
 }
 
-// begin brings up the fleet with its configuration and its first top-ups.
-func (r *cellRun) begin() error {
+// startFleet starts the nodes and applies the configuration and the first top-ups.
+func (r *cellRun) startFleet() error {
 	h := r.harness
-	r.counts, r.struck = map[int]int{}, map[int]bool{}
-	h.sharedPrompts = r.sharesPrompts()
-	h.readsOn = r.readsOn()
+	r.counts, r.injected = map[int]int{}, map[int]bool{}
+	h.sharedPrefixes = r.sharesPrefixes()
+	h.resumesStreams = r.resumesStreams()
 	if err := h.Start(DefaultTiming(), RegionHome, RegionHome, RegionAway); err != nil {
 		return err
 	}
-	if err := h.Declare(scene()...); err != nil {
+	if err := h.ApplyConfig(fixtureResources()...); err != nil {
 		return err
 	}
-	for _, account := range sceneAccounts {
-		h.TopUp(h.Members[0], "first-"+account, budgetOf(account), sceneTopUps[account])
+	for _, account := range fixtureAccounts {
+		h.TopUp(h.Members[0], "first-"+account, budgetOf(account), fixtureTopUps[account])
 	}
 	return nil
 }
 
-func (r *cellRun) play() (*Record, error) {
+func (r *cellRun) execute() (*Record, error) {
 	h := r.harness
 	defer h.Stop()
-	if err := r.begin(); err != nil {
+	if err := r.startFleet(); err != nil {
 		return nil, err
 	}
 	done := make(chan struct{})
-	h.Go(func() { h.sample(done) })
-	h.After(armAfter, func() { h.Arm(r.probe) })
-	if r.takes(fake.StepRecovery) {
-		h.After(armAfter, r.killAnother)
+	h.Go(func() { h.sampleConfig(done) })
+	h.After(armDelay, func() { h.Arm(r.onStep) })
+	if r.injectsAt(fake.StepRecovery) {
+		h.After(armDelay, r.restartSecondMember)
 	}
-	if r.takes(fake.StepDrain) {
-		h.After(drainAfter, r.drain)
+	if r.injectsAt(fake.StepDrain) {
+		h.After(drainDelay, r.drainSecondMember)
 	}
 	h.workload("first")
-	if !r.allStruck() {
+	if !r.allInjected() {
 		close(done)
 		return &Record{Began: h.began}, nil
 	}
@@ -146,61 +148,61 @@
 	return record, nil
 }
 
-// allStruck tells whether every fault met its step. A history whose faults found
-// nothing to strike proves nothing and ends early.
-func (r *cellRun) allStruck() bool {
+// allInjected reports whether every fault met its step. A history in which one did not
+// proves nothing and ends early.
+func (r *cellRun) allInjected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.struck) == len(r.cell.Strikes)
+	return len(r.injected) == len(r.cell.Injections)
 }
 
 func (r *cellRun) healed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lasting == 0
+	return r.unhealed == 0
 }
 
 func (r *cellRun) awaitHealed() {
 	for !r.healed() {
-		r.harness.clock.Sleep(healPoll)
+		r.harness.clock.Sleep(healPollInterval)
 	}
 }
 
-// cutsAnswers tells whether one of the faults cuts answers by itself.
-func (r *cellRun) cutsAnswers() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.CutsAnswers {
+// interruptsAnswers reports whether one of the faults itself interrupts responses.
+func (r *cellRun) interruptsAnswers() bool {
+	for _, s := range r.cell.Injections {
+		if s.Fault.InterruptsAnswers {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *cellRun) sharesPrompts() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.SharedPrompts {
+func (r *cellRun) sharesPrefixes() bool {
+	for _, s := range r.cell.Injections {
+		if s.Fault.SharedPrefixes {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *cellRun) readsOn() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.ReadsOn {
+func (r *cellRun) resumesStreams() bool {
+	for _, s := range r.cell.Injections {
+		if s.Fault.ResumesStreams {
 			return true
 		}
 	}
-	return r.cell.ReadOn
+	return r.cell.ResumeStreams
 }
 
-// killsEngineAlone tells that nothing but an engine's death goes wrong.
+// killsEngineAlone reports whether the death of an engine is the only fault.
 func (r *cellRun) killsEngineAlone() bool {
-	return len(r.cell.Strikes) == 1 && r.cell.Strikes[0].Fault.KillsEngine
+	return len(r.cell.Injections) == 1 && r.cell.Injections[0].Fault.KillsEngine
 }
 
-func (r *cellRun) takes(step fake.Step) bool {
-	for _, s := range r.cell.Strikes {
+func (r *cellRun) injectsAt(step fake.Step) bool {
+	for _, s := range r.cell.Injections {
 		if s.Step == step {
 			return true
 		}
@@ -208,63 +210,64 @@
 	return false
 }
 
-// probe lets each fault strike at its step, once. It runs within the step, so the
-// step goes on only under the fault.
-func (r *cellRun) probe(step fake.Step, address string) {
-	for i, s := range r.cell.Strikes {
-		if s.Step == step && r.due(i, s.Nth) {
-			r.strike(s.Fault, r.harness.member(address))
+// onStep injects each fault once, at its step. It runs within the step, which therefore
+// continues under the fault.
+func (r *cellRun) onStep(step fake.Step, address string) {
+	for i, injection := range r.cell.Injections {
+		if injection.Step == step && r.due(i, injection.Nth) {
+			r.inject(injection.Fault, r.harness.memberAt(address))
 		}
 	}
 }
 
-func (r *cellRun) due(i, nth int) bool {
+func (r *cellRun) due(i, n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[i]++
-	if r.struck[i] || r.counts[i] < max(1, nth) {
+	if r.injected[i] || r.counts[i] < max(1, n) {
 		return false
 	}
-	r.struck[i] = true
-	r.lasting++
+	r.injected[i] = true
+	r.unhealed++
 	return true
 }
 
-func (r *cellRun) strike(f Fault, m *Member) {
+func (r *cellRun) inject(f Fault, m *Member) {
 	h := r.harness
-	f.strike(h, m)
+	f.inject(h, m)
 	h.Go(func() {
-		h.clock.Sleep(f.Lasts)
+		h.clock.Sleep(f.Duration)
 		if f.heal != nil {
 			f.heal(h, m)
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.lasting--
+		r.unhealed--
 	})
 }
 
-// killAnother gives the fleet something to recover.
-func (r *cellRun) killAnother() {
+// restartSecondMember kills and restarts the second member, so that the fleet has something
+// to recover.
+func (r *cellRun) restartSecondMember() {
 	m := r.harness.Members[1]
 	m.Kill()
-	r.harness.clock.Sleep(restart)
+	r.harness.clock.Sleep(restartDelay)
 	m.Restart()
 }
 
-// drain stops the second member gracefully and replaces it.
-func (r *cellRun) drain() {
+// drainSecondMember stops the second member gracefully and replaces it.
+func (r *cellRun) drainSecondMember() {
 	h := r.harness
 	m := h.Members[1]
 	op := DrainOp{Node: m.Address(), Span: Span{Call: h.since()}}
-	h.probe(fake.StepDrain, m.Address())
+	h.onStep(fake.StepDrain, m.Address())
 	gate, n := m.Gate(), m.Node()
-	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, drainLimit)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, drainTimeout)
 	defer cancel()
 	n.Drain(ctx)
 	op.Return = h.since()
 	op.Ended = ctx.Err() == nil && m.Gate() == gate && m.Live()
-	op.Alone = !r.cutsAnswers()
+	op.Alone = !r.interruptsAnswers()
 	h.History.addDrain(op)
 	if m.Gate() == gate {
 		m.Kill()
@@ -276,17 +279,17 @@
 func (r *cellRun) finish() *Record {
 	h := r.harness
 	h.clock.Sleep(settleTime)
-	h.Await(recoverLimit, h.allServe)
+	h.Await(recoveryTimeout, h.allServing)
 	var stuck []string
 	probes := map[string]Outcome{}
 	for i, m := range h.Members {
-		if h.read(m).Serving {
-			probes[m.Address()] = h.Chat(m, sceneAccounts[0], sceneModel, promptOf(fmt.Sprintf("last-%d", i), minWords)).Outcome
+		if h.readConfig(m).Serving {
+			probes[m.Address()] = h.Chat(m, fixtureAccounts[0], fixtureModel, promptOf(fmt.Sprintf("last-%d", i), minWords)).Outcome
 			continue
 		}
 		stuck = append(stuck, fmt.Sprintf("%s (%s)", m.Address(), m.Node().State()))
 	}
-	h.clock.Sleep(armAfter)
+	h.clock.Sleep(armDelay)
 	record := h.collect()
 	record.Finals = h.finals(probes)
 	record.Stuck = stuck
@@ -294,27 +297,27 @@
 	return record
 }
 
-func (r *cellRun) reach() Reach {
+func (r *cellRun) coverage() Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reach := Reach{Struck: len(r.struck) == len(r.cell.Strikes)}
-	for i, s := range r.cell.Strikes {
-		if !r.struck[i] {
+	reach := Coverage{Injected: len(r.injected) == len(r.cell.Injections)}
+	for i, s := range r.cell.Injections {
+		if !r.injected[i] {
 			reach.Missing = string(s.Step)
 		}
 		for _, need := range s.Fault.Needs {
-			if r.harness.Seen(need) == 0 {
+			if r.harness.StepCount(need) == 0 {
 				reach.Missing = string(need)
 			}
 		}
-		if s.Fault.NeedsList && !r.harness.listAsked() {
+		if s.Fault.NeedsInstanceList && !r.harness.instanceListQueried() {
 			reach.Missing = "instance list"
 		}
 	}
 	return reach
 }
 
-func (h *Harness) member(address string) *Member {
+func (h *Harness) memberAt(address string) *Member {
 	for _, m := range h.Members {
 		if m.Address() == address {
 			return m
@@ -323,7 +326,7 @@
 	return nil
 }
 
-func (h *Harness) listAsked() bool {
+func (h *Harness) instanceListQueried() bool {
 	for _, m := range h.Members {
 		if m.instances.Asked() > 0 {
 			return true
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -10,38 +10,38 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// An engine dies, and the events that would take back what it was thought to hold never
-// come. A node that goes on sending requests with that beginning there makes their
-// callers wait for a retry each time, or loses them.
+// Guards against a node that keeps sending requests to a dead engine because the events that
+// would revoke its view of the engine's cache never come: callers with a cached prefix would
+// each wait for a retry, or lose their requests.
 func TestFindsWorkForADeadEngine(t *testing.T) {
 	is := is.New(t)
 	died := time.Unix(1000, 0)
 	record := func(after time.Duration) *Record {
 		r := &Record{EngineDiedAlone: true, EngineDeaths: []fake.EngineDeath{{Upstream: "engine", From: died}}}
-		for range deadProbes + 1 {
+		for range maxDeadEngineProbes + 1 {
 			r.Attempts = append(r.Attempts, fake.Attempt{Upstream: "engine", Node: "node", At: died.Add(after)})
 		}
 		return r
 	}
-	is.True(broke(Check(record(deathNoticed+1)), DeadEngine))
-	is.True(!broke(Check(record(deathNoticed)), DeadEngine))
+	is.True(violates(Check(record(engineDeathDetectionLimit+1)), NoWorkForDeadEngine))
+	is.True(!violates(Check(record(engineDeathDetectionLimit)), NoWorkForDeadEngine))
 }
 
-// An engine dies within an answer and the caller gets an error, though another engine
-// could have answered.
+// Guards against a caller that gets an error when an engine dies during a response, though
+// another engine could have answered.
 func TestFindsAnAnswerLostWithAnEngine(t *testing.T) {
 	is := is.New(t)
 	lost := ChatOp{Outcome: Outcome{Code: result.AnswerCut}}
-	is.True(broke(Check(&Record{EngineDiedAlone: true, Chats: []ChatOp{lost}}), WholeAnswer))
+	is.True(violates(Check(&Record{EngineDiedAlone: true, Chats: []ChatOp{lost}}), WholeAnswer))
 	refused := ChatOp{Outcome: Outcome{Code: result.NoUpstream}}
-	is.True(!broke(Check(&Record{EngineDiedAlone: true, Chats: []ChatOp{refused}}), WholeAnswer))
+	is.True(!violates(Check(&Record{EngineDiedAlone: true, Chats: []ChatOp{refused}}), WholeAnswer))
 }
 
-// The engines of the harness publish cache events, late and with gaps when told so: a
-// matrix row over events that never come would prove nothing.
+// The harness's engines publish cache events, late and with gaps when configured so: a
+// matrix row over events that never come would test nothing.
 func TestEnginesPublishCacheEvents(t *testing.T) {
 	is := is.New(t)
 	fault, _ := FaultNamed("cache events with gaps")
-	_, reach := play(t, Cell{Strikes: []Strike{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
+	_, reach := runCell(t, Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
 	is.Equal(reach.Missing, "")
 }
--- a/internal/check/doc.go
+++ b/internal/check/doc.go
@@ -1,8 +1,9 @@
-// Package check proves what the fleet promises: it drives real nodes over the
-// fakes, records what callers, upstreams and the log saw, and judges the record.
+// Package check tests the fleet's guarantees under faults: it runs real nodes over the
+// fakes, records what callers, upstreams and the log observe, and checks the record.
 //
-// Harness runs the nodes, History holds the record, Check judges it, and Matrix
-// runs one short history for each fault at each step. The judgement never asks a
-// node what it believes, except for what it has in force: money is counted from
-// the log's records and from what engines produced.
+// Harness runs the nodes, History and Record hold the observations, Check finds the violated
+// invariants, and Singles and Pairs list the cells of the fault matrix, each one short
+// history with faults at given steps. The checks never trust a node's own state, except for
+// what it has in force: money is counted from the log's records and from what the engines
+// produced.
 package check
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -23,44 +23,45 @@
 
 const (
 	weightInterval = time.Second
-	poll           = 50 * time.Millisecond
-	// snapshotRecords is how many records pass between two snapshots.
+	pollInterval   = 50 * time.Millisecond
+	// snapshotRecords is how many records are written between two snapshots.
 	snapshotRecords = 30
-	// windDown is longer than anything that outlives a node: messages on their way,
-	// answers being generated.
-	windDown      = 30 * time.Second
-	startLimit    = time.Minute
-	tokenTime     = 20 * time.Millisecond
-	callTime      = 30 * time.Millisecond
+	// stopGrace is longer than anything that outlives a node: messages in transit and
+	// responses being generated.
+	stopGrace     = 30 * time.Second
+	startTimeout  = time.Minute
+	tokenInterval = 20 * time.Millisecond
+	callLatency   = 30 * time.Millisecond
 	operatorToken = "check-operator"
 	accountKey    = "check-key-"
 	tokenSecret   = "a secret of the harness, 32 bytes"
 )
 
-// Regions of the harness. The log stands in RegionHome.
+// Regions of the harness. The log is in RegionHome.
 const (
 	RegionHome = "gulf-maine"
 	RegionAway = "southern-new-england"
 )
 
-// Timing is the nodes' timing in the harness, small so that a lapse is cheap.
+// Timing is the nodes' timing in the harness. It is short so that waiting for a lapse is
+// cheap.
 type Timing struct {
-	Heartbeat  time.Duration
-	SpendRight time.Duration
-	Lifetime   time.Duration
-	ClaimChunk uint64
-	LeaseTerm  time.Duration
-	// LongCut is how long a region stays cut off.
-	LongCut time.Duration
+	Heartbeat       time.Duration
+	SpendRight      time.Duration
+	AddressLifetime time.Duration
+	ClaimChunk      uint64
+	LeaseTerm       time.Duration
+	// RegionCutDuration is how long a region stays cut off.
+	RegionCutDuration time.Duration
 }
 
-// DefaultTiming is what the matrix runs with.
+// DefaultTiming is the timing of the matrix.
 func DefaultTiming() Timing {
-	return Timing{Heartbeat: time.Second, SpendRight: 15 * time.Second, Lifetime: 2 * time.Second, ClaimChunk: 400, LeaseTerm: 6 * time.Second, LongCut: 2 * time.Hour}
+	return Timing{Heartbeat: time.Second, SpendRight: 15 * time.Second, AddressLifetime: 2 * time.Second, ClaimChunk: 400, LeaseTerm: 6 * time.Second, RegionCutDuration: 2 * time.Hour}
 }
 
-// Harness runs real nodes in one process over the fakes. It uses nothing of
-// package testing; inside a synctest bubble its real clock is virtual.
+// Harness runs real nodes in one process over the fakes. It does not depend on package
+// testing; inside a synctest bubble its real clock is virtual.
 type Harness struct {
 	Store     *standin.Log
 	Archive   *fake.Archive
@@ -76,23 +77,23 @@
 	rand    *rand.Rand
 	randMu  sync.Mutex
 	onStart func(*Member)
-	// nodeClock plants a defective clock; nil otherwise.
+	// nodeClock replaces a node's clock by a defective one; nil otherwise.
 	nodeClock func(address string) clockwork.Clock
-	// readsOn lets callers whose node died read on at another one.
-	readsOn bool
-	// sharedPrompts gives prompts common beginnings.
-	sharedPrompts bool
-	strike        atomic.Pointer[fake.Probe]
+	// resumesStreams lets callers whose node died resume their stream at another node.
+	resumesStreams bool
+	// sharedPrefixes gives prompts common prefixes.
+	sharedPrefixes bool
+	injector       atomic.Pointer[fake.Probe]
 
-	mu        sync.Mutex
-	recorders []*event.Recorder
-	seen      map[fake.Step]int
-	names     int
-	killed    map[string]string
-	changes   int
-	stayed    bool
-	leavings  []LeavingOp
-	work      sync.WaitGroup
+	mu              sync.Mutex
+	recorders       []*event.Recorder
+	stepCounts      map[fake.Step]int
+	incarnations    int
+	killed          map[string]string
+	changes         int
+	leavingCanceled bool
+	leavings        []LeavingPeriod
+	tasks           sync.WaitGroup
 }
 
 // NewHarness returns a harness without nodes.
@@ -102,10 +103,10 @@
 	store := standin.NewLog()
 	h := &Harness{
 		Store: store, Archive: fake.NewArchive(store, clock), Instances: standin.NewInstances(), Network: network,
-		Upstreams: fake.NewUpstreams(clock, network, tokenTime, callTime),
+		Upstreams: fake.NewUpstreams(clock, network, tokenInterval, callLatency),
 		weights:   standin.NewWeights(clock, weightInterval),
 		History:   &History{}, clock: clock, began: clock.Now(),
-		rand: rand.New(rand.NewPCG(seed, seed)), seen: map[fake.Step]int{}, killed: map[string]string{},
+		rand: rand.New(rand.NewPCG(seed, seed)), stepCounts: map[fake.Step]int{}, killed: map[string]string{},
 	}
 	return h
 }
@@ -113,7 +114,7 @@
 // since returns the time since the harness began.
 func (h *Harness) since() time.Duration { return h.clock.Since(h.began) }
 
-func (h *Harness) draw(n int) int {
+func (h *Harness) intN(n int) int {
 	h.randMu.Lock()
 	defer h.randMu.Unlock()
 	return h.rand.IntN(n)
@@ -122,8 +123,8 @@
 func (h *Harness) newIncarnation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.names++
-	return fmt.Sprintf("inc-%d", h.names)
+	h.incarnations++
+	return fmt.Sprintf("inc-%d", h.incarnations)
 }
 
 func (h *Harness) addRecorder(r *event.Recorder) {
@@ -132,27 +133,27 @@
 	h.recorders = append(h.recorders, r)
 }
 
-// probe counts the steps taken and lets the armed fault strike.
-func (h *Harness) probe(step fake.Step, at string) {
+// onStep counts a step and runs the armed fault injector.
+func (h *Harness) onStep(step fake.Step, at string) {
 	h.mu.Lock()
-	h.seen[step]++
+	h.stepCounts[step]++
 	h.mu.Unlock()
-	if strike := h.strike.Load(); strike != nil {
-		(*strike)(step, at)
+	if injector := h.injector.Load(); injector != nil {
+		(*injector)(step, at)
 	}
 }
 
-// Seen returns how often a step was taken.
-func (h *Harness) Seen(step fake.Step) int {
+// StepCount returns how often a step was taken.
+func (h *Harness) StepCount(step fake.Step) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.seen[step]
+	return h.stepCounts[step]
 }
 
-// Arm lets a fault look at each step from now on.
-func (h *Harness) Arm(probe fake.Probe) { h.strike.Store(&probe) }
+// Arm installs a fault injector that is called at each step from now on.
+func (h *Harness) Arm(injector fake.Probe) { h.injector.Store(&injector) }
 
-// Start brings up nodes in the given regions and waits until all serve.
+// Start starts one node in each of the given regions and waits until all serve.
 func (h *Harness) Start(timing Timing, regions ...string) error {
 	for i, region := range regions {
 		settings := node.DefaultSettings()
@@ -161,7 +162,7 @@
 		settings.HTTPAddress = fmt.Sprintf("127.0.0.1:%d", 8000+i)
 		settings.OperatorAddress = fmt.Sprintf("127.0.0.1:%d", 7000+i)
 		settings.HeartbeatInterval, settings.SpendRight = timing.Heartbeat, timing.SpendRight
-		settings.AddressLifetime, settings.ClaimChunk = timing.Lifetime, timing.ClaimChunk
+		settings.AddressLifetime, settings.ClaimChunk = timing.AddressLifetime, timing.ClaimChunk
 		settings.LeaseTerm, settings.TokenSecret = timing.LeaseTerm, []byte(tokenSecret)
 		settings.SnapshotPolicy.Records = snapshotRecords
 		settings.BootstrapTokenSHA256 = config.HashKey(operatorToken)
@@ -171,25 +172,26 @@
 			return errors.Trace(err)
 		}
 	}
-	if !h.Await(startLimit, h.allServe) {
-		return errors.New("the nodes don't serve")
+	if !h.Await(startTimeout, h.allServing) {
+		return errors.New("the nodes do not serve within the start timeout")
 	}
 	return nil
 }
 
-// Await polls until done or until limit has passed, and tells which.
-func (h *Harness) Await(limit time.Duration, done func() bool) bool {
-	until := h.clock.Now().Add(limit)
-	for !done() {
-		if h.clock.Now().After(until) {
+// Await polls until the condition holds or the limit has passed, and reports whether it
+// holds.
+func (h *Harness) Await(limit time.Duration, condition func() bool) bool {
+	deadline := h.clock.Now().Add(limit)
+	for !condition() {
+		if h.clock.Now().After(deadline) {
 			return false
 		}
-		h.clock.Sleep(poll)
+		h.clock.Sleep(pollInterval)
 	}
 	return true
 }
 
-func (h *Harness) allServe() bool {
+func (h *Harness) allServing() bool {
 	for _, m := range h.Members {
 		if m.Live() && m.Node().State() != node.StateServing {
 			return false
@@ -198,34 +200,35 @@
 	return true
 }
 
-// Go runs work that Stop waits for.
-func (h *Harness) Go(work func()) { h.work.Go(work) }
+// Go runs a task that Stop waits for.
+func (h *Harness) Go(task func()) { h.tasks.Go(task) }
 
-// After runs work later.
-func (h *Harness) After(d time.Duration, work func()) {
+// After runs a task after d.
+func (h *Harness) After(d time.Duration, task func()) {
 	h.Go(func() {
 		h.clock.Sleep(d)
-		work()
+		task()
 	})
 }
 
-// Stop kills every node and waits for all that runs.
+// Stop waits for all tasks, kills every node and waits until nothing runs any more.
 func (h *Harness) Stop() {
-	h.work.Wait()
+	h.tasks.Wait()
 	for _, m := range h.Members {
 		m.Kill()
 		<-m.done
 	}
-	h.clock.Sleep(windDown)
+	h.clock.Sleep(stopGrace)
 }
 
-// operatorContext carries the operator's token as gRPC would.
+// operatorContext carries the operator's token like an incoming gRPC call.
 func operatorContext(ctx context.Context) context.Context {
 	return metadata.NewIncomingContext(ctx, metadata.Pairs("authorization", "Bearer "+operatorToken))
 }
 
-// Declare applies the whole configuration through the first node.
-func (h *Harness) Declare(resources ...*operatorv1.Resource) error {
+// ApplyConfig applies the whole configuration through the first node and waits until all
+// live nodes have it.
+func (h *Harness) ApplyConfig(resources ...*operatorv1.Resource) error {
 	request := &operatorv1.ApplyRequest{ChangeId: "declare"}
 	for _, r := range resources {
 		request.Changes = append(request.Changes, &operatorv1.Change{Resource: r})
@@ -237,13 +240,13 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if !h.Await(startLimit, func() bool { return h.allAt(answer.GetVersion()) }) {
-		return errors.New("the configuration isn't in force everywhere")
+	if !h.Await(startTimeout, func() bool { return h.allApplied(answer.GetVersion()) }) {
+		return errors.New("the configuration is not in force on all nodes within the start timeout")
 	}
 	return nil
 }
 
-func (h *Harness) allAt(offset uint64) bool {
+func (h *Harness) allApplied(offset uint64) bool {
 	for _, m := range h.Members {
 		if m.Live() && m.Node().AppliedOffset() < offset {
 			return false
@@ -252,14 +255,14 @@
 	return true
 }
 
-func (h *Harness) noteKilled(m *Member) {
+func (h *Harness) recordKill(m *Member) {
 	incarnation, address := m.Node().Incarnation(), m.Address()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.killed[incarnation] = address
 }
 
-func (h *Harness) killedNodes() map[string]string {
+func (h *Harness) killedIncarnations() map[string]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return maps.Clone(h.killed)
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -7,27 +7,27 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Outcome is how an operation looked to whoever asked for it.
+// Outcome is the result of an operation as its caller saw it.
 type Outcome struct {
 	Code result.Code
-	// Lost tells that no answer came: the node died or the caller gave up.
+	// Lost reports that no response came: the node died or the caller gave up.
 	Lost    bool
 	Message string
 }
 
-// OK tells whether the operation succeeded.
+// OK reports whether the operation succeeded.
 func (o Outcome) OK() bool { return !o.Lost && o.Code == result.OK }
 
-// NotRun tells whether the answer promised that nothing ran.
+// NotRun reports whether the response guaranteed that nothing ran.
 func (o Outcome) NotRun() bool { return !o.Lost && o.Code != result.OK && o.Code.Info().NotRun }
 
-// Span is when an operation ran, since the harness started.
+// Span is when an operation was called and returned, relative to the start of the harness.
 type Span struct{ Call, Return time.Duration }
 
-const diedMessage = "the node died"
+const nodeDiedMessage = "the node died"
 
-// died tells that the process that served the operation ended.
-func (o Outcome) died() bool { return o.Lost && o.Message == diedMessage }
+// nodeDied reports whether the process that served the operation ended.
+func (o Outcome) nodeDied() bool { return o.Lost && o.Message == nodeDiedMessage }
 
 // ChatOp is one completion as its caller saw it.
 type ChatOp struct {
@@ -37,12 +37,12 @@
 	Budget  string
 	Prompt  string
 	Request string
-	// Text is what reached the caller; Tokens is what the answer reported.
+	// Text is what reached the caller; Tokens is the usage that the response reported.
 	Text   string
 	Tokens uint64
-	// Resumed tells that the node died and the caller read the rest at another one.
+	// Resumed reports that the node died and the caller read the rest at another node.
 	Resumed bool
-	// Want is the text of a whole answer.
+	// Want is the text of a complete response.
 	Want string
 }
 
@@ -52,7 +52,7 @@
 	Outcome
 	Node   string
 	Budget string
-	// Body identifies the observation or work order; a retry has the same.
+	// Body identifies the observation or work order; retries have the same body.
 	Body       string
 	Key        string
 	Idempotent bool
@@ -65,7 +65,7 @@
 	Outcome
 	Node     string
 	ChangeID string
-	// Base is the version it was made against, Version what the answer named.
+	// Base is the version the change was made against, Version the one in the response.
 	Base, Version uint64
 	Value         uint32
 }
@@ -79,7 +79,7 @@
 	Tokens uint64
 }
 
-// ConfigRead is what a node had in force at a moment.
+// ConfigRead is what a node had in force at one moment.
 type ConfigRead struct {
 	At          time.Duration
 	Node        string
@@ -90,15 +90,15 @@
 	Value       uint32
 }
 
-// History is everything that was seen from outside. It is safe for concurrent use.
+// History is everything observed from outside the nodes. It is safe for concurrent use.
 type History struct {
-	mu      sync.Mutex
-	Chats   []ChatOp
-	Calls   []CallOp
-	Configs []ConfigOp
-	TopUps  []TopUpOp
-	Reads   []ConfigRead
-	Drained []DrainOp
+	mu          sync.Mutex
+	Chats       []ChatOp
+	Calls       []CallOp
+	Configs     []ConfigOp
+	TopUps      []TopUpOp
+	ConfigReads []ConfigRead
+	Drains      []DrainOp
 }
 
 func (h *History) addChat(op ChatOp) {
@@ -125,14 +125,14 @@
 	h.TopUps = append(h.TopUps, op)
 }
 
-func (h *History) addRead(r ConfigRead) {
+func (h *History) addConfigRead(r ConfigRead) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Reads = append(h.Reads, r)
+	h.ConfigReads = append(h.ConfigReads, r)
 }
 
 func (h *History) addDrain(op DrainOp) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Drained = append(h.Drained, op)
+	h.Drains = append(h.Drains, op)
 }
--- a/internal/check/latecall_test.go
+++ b/internal/check/latecall_test.go
@@ -13,36 +13,37 @@
 )
 
 // Guards against a late call that costs an account more than it prepaid, is billed wrongly
-// or runs twice where upstreams don't check how late it is. That it arrives late remains.
+// or runs twice at upstreams that do not check the deadline. The late arrival itself
+// (SpendRight) remains.
 func TestLateCallAtUpstreamsThatDoNotCheck(t *testing.T) {
 	for _, seed := range []uint64{5060, 5061, 5062, 5063} {
-		cell := lateCall(seed)
-		violations := withDefect(t, cell, ignoreNotAfter)
+		cell := lateCallCell(seed)
+		violations := checkWithDefect(t, cell, ignoreDeadlines)
 		for _, v := range violations {
-			if v.Promise != SpendRight {
+			if v.Invariant != SpendRight {
 				t.Errorf("seed %d: %s", seed, v)
 			}
 		}
 	}
 }
 
-// ignoreNotAfter plants upstreams that run whatever arrives, however late.
-func ignoreNotAfter(h *Harness) { h.Upstreams.SetFaults(fake.UpstreamFaults{IgnoreNotAfter: true}) }
+// ignoreDeadlines makes the upstreams run whatever arrives, however late.
+func ignoreDeadlines(h *Harness) { h.Upstreams.SetFaults(fake.UpstreamFaults{IgnoreNotAfter: true}) }
 
-// Guards against a checker that doesn't see a late call.
+// Guards against a checker that does not detect a late call.
 func TestFindsALateCall(t *testing.T) {
 	is := is.New(t)
-	violations := withDefect(t, lateCall(5060), ignoreNotAfter)
-	is.True(broke(violations, SpendRight))
+	violations := checkWithDefect(t, lateCallCell(5060), ignoreDeadlines)
+	is.True(violates(violations, SpendRight))
 }
 
-// lateCall stops a node as it is about to send a keyed call, which goes on without its
-// caller, until its right has ended.
-func lateCall(seed uint64) Cell {
+// lateCallCell pauses a node just before it sends a keyed call, which continues without its
+// caller, until the node's spend right has ended.
+func lateCallCell(seed uint64) Cell {
 	pause, _ := FaultNamed("pause past the right")
-	pause.strike = func(h *Harness, m *Member) {
-		body := h.nextChange()
-		h.Go(func() { h.Call(m, sceneAccounts[0], "POST", body, body) })
+	pause.inject = func(h *Harness, m *Member) {
+		body := h.nextChangeID()
+		h.Go(func() { h.Call(m, fixtureAccounts[0], "POST", body, body) })
 		gate := m.Gate()
 		var sends atomic.Int64
 		h.Arm(func(step fake.Step, at string) {
@@ -54,29 +55,30 @@
 			}
 		})
 	}
-	return Cell{Strikes: []Strike{{Fault: pause, Step: fake.StepReserve, Nth: 1}}, Seed: seed}
+	return Cell{Injections: []Injection{{Fault: pause, Step: fake.StepReserve, Nth: 1}}, Seed: seed}
 }
 
-// Guards against a node whose clock stands still sending work that its right no longer
-// covers: what it believes is wrong, and upstreams refuse what it sends.
+// Guards against a node with a stopped clock sending work that its spend right no longer
+// covers: the node believes the right still holds, and upstreams refuse what it sends.
 func TestStoppedClockSendsNothingLate(t *testing.T) {
 	is := is.New(t)
 	var record *Record
 	synctest.Test(t, func(*testing.T) {
-		record, _ = cutWithAStoppedClock().run(fake.NewClock(), stopClock)
+		record, _ = stoppedClockCell().run(fake.NewClock(), stopFirstMemberClock)
 	})
-	is.True(!broke(Check(record), SpendRight))
+	is.True(!violates(Check(record), SpendRight))
 }
 
-// cutWithAStoppedClock cuts the log off while one node doesn't notice that time passes.
-func cutWithAStoppedClock() Cell {
+// stoppedClockCell cuts the log off from every node while the clock of one node stands
+// still.
+func stoppedClockCell() Cell {
 	cut, _ := FaultNamed("two-way cut")
-	cut.strike = func(h *Harness, _ *Member) { h.Network.Isolate(fake.LogEndpoint, true, true) }
-	cut.Lasts = 2 * time.Minute
-	return Cell{Strikes: []Strike{{Fault: cut, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
+	cut.inject = func(h *Harness, _ *Member) { h.Network.Isolate(fake.LogEndpoint, true, true) }
+	cut.Duration = 2 * time.Minute
+	return Cell{Injections: []Injection{{Fault: cut, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
 }
 
-func stopClock(h *Harness) {
+func stopFirstMemberClock(h *Harness) {
 	began := h.clock.Now()
 	h.nodeClock = func(at string) clockwork.Clock {
 		if at == "127.0.0.1:9000" {
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// leavingGrace is how long after the change is in force on a node it may still send
-	// new work to an upstream that leaves.
-	leavingGrace = 2 * time.Second
-	leavingLasts = 20 * time.Second
+	// leavingGrace is how long after applying the change a node may still send new work to a
+	// leaving upstream.
+	leavingGrace    = 2 * time.Second
+	leavingDuration = 20 * time.Second
 )
 
-// LeavingOp is the span within which one incarnation had it in force that an upstream
-// leaves: from when it had folded the change, not from when it says that it heeds it.
-type LeavingOp struct {
+// LeavingPeriod is the period in which one incarnation had an upstream's leaving in force.
+// It starts when the node has folded the change, not when the node reports that it acts on
+// it.
+type LeavingPeriod struct {
 	Upstream    string
 	Incarnation string
 	From        time.Time
-	// Until is when operators asked to take it back; zero before.
+	// Until is when operators asked to cancel the leaving; zero before that.
 	Until time.Time
 }
 
-// leave declares that the first engine leaves, and notes when each node folds it.
-func (h *Harness) leave() {
+// startLeaving declares that the first engine leaves and records when each node folds the
+// change.
+func (h *Harness) startLeaving() {
 	version := h.setLeaving(true)
 	if version == 0 {
 		return
@@ -34,20 +36,20 @@
 	for h.isLeaving() {
 		for _, m := range h.Members {
 			if m.Live() && m.Node().AppliedOffset() >= version {
-				h.noteLeaving(m.Node().Incarnation())
+				h.recordLeaving(m.Node().Incarnation())
 			}
 		}
-		h.clock.Sleep(poll)
+		h.clock.Sleep(pollInterval)
 	}
 }
 
 func (h *Harness) isLeaving() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.stayed
+	return !h.leavingCanceled
 }
 
-func (h *Harness) noteLeaving(incarnation string) {
+func (h *Harness) recordLeaving(incarnation string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, op := range h.leavings {
@@ -55,19 +57,19 @@
 			return
 		}
 	}
-	h.leavings = append(h.leavings, LeavingOp{Upstream: engineName(0, 0), Incarnation: incarnation, From: h.clock.Now()})
+	h.leavings = append(h.leavings, LeavingPeriod{Upstream: engineName(0, 0), Incarnation: incarnation, From: h.clock.Now()})
 }
 
-func (h *Harness) leavingOps() []LeavingOp {
+func (h *Harness) leavingPeriods() []LeavingPeriod {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]LeavingOp(nil), h.leavings...)
+	return append([]LeavingPeriod(nil), h.leavings...)
 }
 
-// stay takes the leaving back.
-func (h *Harness) stay() {
+// cancelLeaving declares that the engine stays.
+func (h *Harness) cancelLeaving() {
 	h.mu.Lock()
-	h.stayed = true
+	h.leavingCanceled = true
 	for i := range h.leavings {
 		h.leavings[i].Until = h.clock.Now()
 	}
@@ -75,14 +77,14 @@
 	h.setLeaving(false)
 }
 
-// setLeaving returns the change's version; 0 when it wasn't accepted.
+// setLeaving returns the version of the change, or 0 if it was not accepted.
 func (h *Harness) setLeaving(leaving bool) uint64 {
 	m := h.Members[0]
 	version := make(chan uint64, 1)
-	engine := upstreamIn(RegionHome, engineName(0, 0), engineService, leaving)
+	engine := upstreamResource(RegionHome, engineName(0, 0), engineService, leaving)
 	engine.GetUpstream().ChecksFencing = true
-	outcome, _ := h.ask(m, m.Gate(), func(ctx context.Context) error {
-		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChange(),
+	outcome, _ := h.invoke(m, m.Gate(), func(ctx context.Context) error {
+		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChangeID(),
 			Changes: []*operatorv1.Change{{AnyVersion: true, Resource: engine}}})
 		version <- answer.GetVersion()
 		return err
@@ -93,15 +95,15 @@
 	return <-version
 }
 
-// leavings checks that no new work reaches an upstream that leaves: it would be cut when
+// checkLeavings checks that no new work reaches a leaving upstream: it would be cut off when
 // the upstream goes, or keep it from going.
-func (j *judge) leavings() {
-	for _, op := range j.record.Leavings {
-		for _, run := range j.record.EngineRuns {
+func (c *checker) checkLeavings() {
+	for _, op := range c.record.Leavings {
+		for _, run := range c.record.EngineRuns {
 			id, ok := budget.ParseRequestID(run.Request)
 			late := run.Start.After(op.From.Add(leavingGrace)) && (op.Until.IsZero() || run.Start.Before(op.Until))
 			if ok && id.Incarnation == op.Incarnation && run.Upstream == op.Upstream && late {
-				j.fault(LeavingStays, []string{run.Request}, "%s was sent to %s %s after %s had it in force that it leaves",
+				c.report(NoWorkForLeaving, []string{run.Request}, "request %s was sent to leaving upstream %s %s after %s applied the change",
 					run.Request, run.Upstream, run.Start.Sub(op.From), op.Incarnation)
 			}
 		}
--- a/internal/check/leaving_test.go
+++ b/internal/check/leaving_test.go
@@ -11,26 +11,26 @@
 
 func leavingCell() Cell {
 	fault, _ := FaultNamed("upstream leaves")
-	return Cell{Strikes: []Strike{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
+	return Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
 }
 
-// Operators declare that an engine leaves. Every node has it in force, and none sends new
-// work there; a summary begun there would be cut when the engine goes.
+// Operators declare that an engine leaves. Every node applies the change and none sends new
+// work there: a response begun there would be cut off when the engine goes.
 func TestNoNewWorkForALeavingUpstream(t *testing.T) {
 	is := is.New(t)
-	record, reach := play(t, leavingCell())
+	record, reach := runCell(t, leavingCell())
 	is.Equal(reach.Missing, "")
-	is.True(len(record.Leavings) >= 3) // every node folded it
+	is.True(len(record.Leavings) >= 3) // every node folded the change
 	for _, v := range Check(record) {
 		t.Error(v)
 	}
 }
 
-// A node folds the change and doesn't heed it: it goes on sending work to the engine
-// that leaves.
+// A node that folds the change without acting on it keeps sending work to the leaving
+// engine.
 func TestFindsWorkForALeavingUpstream(t *testing.T) {
 	is := is.New(t)
-	violations := withDefect(t, leavingCell(), onEveryLog(nil, func(_ uint64, batch *recordv1.Batch) {
+	violations := checkWithDefect(t, leavingCell(), tamperAllLogs(nil, func(_ uint64, batch *recordv1.Batch) {
 		for _, entry := range batch.GetEntries() {
 			for _, change := range entry.GetConfig().GetChanges() {
 				if u := change.GetResource().GetUpstream(); u.GetName() == engineName(0, 0) {
@@ -39,5 +39,5 @@
 			}
 		}
 	}))
-	is.True(broke(violations, LeavingStays))
+	is.True(violates(violations, NoWorkForLeaving))
 }
--- a/internal/check/linear.go
+++ b/internal/check/linear.go
@@ -10,8 +10,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// linearLimit bounds the search; a history that isn't decided by then is said so.
-const linearLimit = 20 * time.Second
+// linearizabilityTimeout bounds the search; a history not decided by then is reported as a
+// violation.
+const linearizabilityTimeout = 20 * time.Second
 
 // accountInput is one operation on a budget.
 type accountInput struct {
@@ -20,7 +21,7 @@
 	spend  uint64
 }
 
-// accountModel is a prepaid account: what is spent was topped up before.
+// accountModel is a prepaid account: tokens must be topped up before they are spent.
 var accountModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		return partition(history, func(op porcupine.Operation) string { return op.Input.(accountInput).budget })
@@ -38,8 +39,8 @@
 // callInput is one attempt of a call that must not run twice.
 type callInput struct{ body string }
 
-// callModel is an at-most-once register: it turns from idle to ran once, and an
-// attempt that promises "not run" leaves it as it was.
+// callModel is an at-most-once register: it changes from idle to ran once, and an attempt
+// with any other outcome, such as "not run", leaves it unchanged.
 var callModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		return partition(history, func(op porcupine.Operation) string { return op.Input.(callInput).body })
@@ -48,7 +49,7 @@
 	Step: func(state, _, output any) []any {
 		ran := state.(bool)
 		switch output.(callOutput) {
-		case callRan: // an execution, as the service saw it
+		case callRan: // an execution observed by the service
 			if ran {
 				return nil
 			}
@@ -80,8 +81,8 @@
 	accepted bool
 }
 
-// configModel is a register that is changed by compare-and-set: a change wins only
-// against the version in force.
+// configModel is a compare-and-set register: a change succeeds only against the version in
+// force.
 func configModel(initial uint64) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return initial },
@@ -112,19 +113,20 @@
 	return parts
 }
 
-// linearizable searches an order of the concurrent operations that the models allow.
-func (j *judge) linearizable() {
-	j.search(Overspend, "account", accountModel, j.accountHistory())
-	j.search(AtMostOnce, "call register", callModel, j.callHistory())
-	j.search(ConfigStays, "configuration register", configModel(j.replay.firstVersion), j.configHistory())
+// checkLinearizability searches for an order of the concurrent operations that the models
+// allow.
+func (c *checker) checkLinearizability() {
+	c.checkModel(WithinBudget, "account", accountModel, c.accountHistory())
+	c.checkModel(AtMostOnce, "call register", callModel, c.callHistory())
+	c.checkModel(ConfigNeverReverts, "configuration register", configModel(c.replay.firstVersion), c.configHistory())
 }
 
-func (j *judge) search(promise Promise, name string, model porcupine.Model, history []porcupine.Operation) {
-	switch porcupine.CheckOperationsTimeout(model, history, linearLimit) {
+func (c *checker) checkModel(invariant Invariant, name string, model porcupine.Model, history []porcupine.Operation) {
+	switch porcupine.CheckOperationsTimeout(model, history, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		j.fault(promise, nil, "no order of the %d concurrent operations fits the %s", len(history), name)
+		c.report(invariant, nil, "no order of the %d concurrent operations satisfies the %s model", len(history), name)
 	case porcupine.Unknown:
-		j.fault(promise, nil, "the %s was not decided within %s for %d operations", name, linearLimit, len(history))
+		c.report(invariant, nil, "the %s model was not decided within %s for %d operations", name, linearizabilityTimeout, len(history))
 	}
 }
 
@@ -136,19 +138,19 @@
 	return op
 }
 
-func (j *judge) accountHistory() []porcupine.Operation {
+func (c *checker) accountHistory() []porcupine.Operation {
 	var history []porcupine.Operation
-	for _, op := range j.record.TopUps {
-		if op.OK() || j.replay.topUps[op.ID] {
+	for _, op := range c.record.TopUps {
+		if op.OK() || c.replay.topUps[op.ID] {
 			history = append(history, operation(len(history), op.Span, !op.OK(), accountInput{budget: op.Budget, topUp: op.Tokens}, nil))
 		}
 	}
-	for _, op := range j.record.Chats {
+	for _, op := range c.record.Chats {
 		if op.OK() {
 			history = append(history, operation(len(history), op.Span, false, accountInput{budget: op.Budget, spend: op.Tokens}, nil))
 		}
 	}
-	for _, op := range j.record.Calls {
+	for _, op := range c.record.Calls {
 		if op.OK() {
 			history = append(history, operation(len(history), op.Span, false, accountInput{budget: op.Budget, spend: callTokens}, nil))
 		}
@@ -156,10 +158,10 @@
 	return history
 }
 
-func (j *judge) callHistory() []porcupine.Operation {
+func (c *checker) callHistory() []porcupine.Operation {
 	var history []porcupine.Operation
 	seen := map[string]bool{}
-	for _, op := range j.record.Calls {
+	for _, op := range c.record.Calls {
 		if op.Idempotent {
 			continue
 		}
@@ -172,20 +174,20 @@
 			continue
 		}
 		seen[op.Body] = true
-		for _, run := range j.callRuns[op.Body] {
-			at := run.At.Sub(j.record.Began)
+		for _, run := range c.callRuns[op.Body] {
+			at := run.At.Sub(c.record.Began)
 			history = append(history, operation(len(history), Span{at, at}, false, callInput{op.Body}, callRan))
 		}
 	}
 	return history
 }
 
-// configHistory takes an unknown outcome from the log: the change either stands
-// there or never took effect.
-func (j *judge) configHistory() []porcupine.Operation {
+// configHistory resolves unknown outcomes from the log: the change either is there or never
+// took effect.
+func (c *checker) configHistory() []porcupine.Operation {
 	var history []porcupine.Operation
-	for _, op := range j.record.Configs {
-		logged := j.replay.changes[op.ChangeID]
+	for _, op := range c.record.Configs {
+		logged := c.replay.changes[op.ChangeID]
 		switch {
 		case op.OK():
 			history = append(history, operation(len(history), op.Span, false, changeInput{op.Base}, changeOutput{op.Version, true}))
--- a/internal/check/matrix.go
+++ b/internal/check/matrix.go
@@ -9,17 +9,17 @@
 	"lavenderpin.dev/lavenderpin/internal/fake"
 )
 
-// Status is what a cell of the matrix came to.
+// Status is the result of a matrix cell.
 type Status string
 
-// The states of a cell. A cell is held only when every fault struck.
+// The possible results. A cell is held only if every fault was injected.
 const (
 	Held     Status = "held"
 	Broken   Status = "broken"
 	NotBuilt Status = "not built"
 )
 
-// CellResult is one cell's verdict with what reproduces it.
+// CellResult is the result of one cell and how to reproduce it.
 type CellResult struct {
 	Faults     []string
 	Steps      []string
@@ -27,30 +27,32 @@
 	Status     Status
 	Missing    string   `json:",omitempty"`
 	Violations []string `json:",omitempty"`
-	// Command plays the cell again.
+	// Command runs the cell again.
 	Command string
-	// Timeline holds the events that a broken promise names; all when it names none.
+	// Timeline holds the events that mention an ID of the violations, or all events if the
+	// violations name none.
 	Timeline []event.Event `json:"-"`
 }
 
-// Singles returns every fault at every step.
+// Singles returns a cell for every fault at every step.
 func Singles(timing Timing, seed uint64) []Cell {
 	var cells []Cell
 	for _, fault := range AllFaults(timing) {
 		for _, step := range Steps() {
-			cells = append(cells, Cell{Strikes: []Strike{{Fault: fault, Step: step, Nth: 1}}, Seed: seed})
+			cells = append(cells, Cell{Injections: []Injection{{Fault: fault, Step: step, Nth: 1}}, Seed: seed})
 		}
 	}
 	return cells
 }
 
-// Play runs a cell on the clock and judges it. The clock should be virtual.
-func Play(clock clockwork.Clock, cell Cell) (*Record, Reach) { return cell.Run(clock) }
+// RunCell runs a cell on the clock, which should be virtual.
+func RunCell(clock clockwork.Clock, cell Cell) (*Record, Coverage) { return cell.Run(clock) }
 
-// Verdict judges a cell's record. It needs real time and must run outside a bubble.
-func Verdict(cell Cell, record *Record, reach Reach) CellResult {
-	result := CellResult{Seed: cell.Seed, Status: Held, Command: commandOf(cell)}
-	for _, s := range cell.Strikes {
+// Evaluate checks a cell's record. It needs real time and must run outside a synctest
+// bubble.
+func Evaluate(cell Cell, record *Record, reach Coverage) CellResult {
+	result := CellResult{Seed: cell.Seed, Status: Held, Command: reproductionCommand(cell)}
+	for _, s := range cell.Injections {
 		result.Faults = append(result.Faults, s.Fault.Name)
 		result.Steps = append(result.Steps, string(s.Step))
 	}
@@ -63,27 +65,28 @@
 		result.Status, result.Missing = NotBuilt, reach.Missing
 	case len(violations) > 0:
 		result.Status = Broken
-		result.Timeline = timelineOf(record, violations)
+		result.Timeline = relevantEvents(record, violations)
 	}
 	return result
 }
 
-func commandOf(cell Cell) string {
-	if len(cell.Strikes) == 1 {
-		return fmt.Sprintf("lavenderbench matrix --fault %q --step %q --seed %d", cell.Strikes[0].Fault.Name, cell.Strikes[0].Step, cell.Seed)
+func reproductionCommand(cell Cell) string {
+	if len(cell.Injections) == 1 {
+		return fmt.Sprintf("lavenderbench matrix --fault %q --step %q --seed %d", cell.Injections[0].Fault.Name, cell.Injections[0].Step, cell.Seed)
 	}
 	flags := ""
 	if cell.AnyStep {
 		flags = " --any-step"
 	}
-	if cell.ReadOn {
+	if cell.ResumeStreams {
 		flags += " --read-on"
 	}
 	return fmt.Sprintf("lavenderbench matrix --pairs%s --seeds 1 --seed %d", flags, cell.Seed)
 }
 
-// timelineOf returns the events that carry an id of the violations.
-func timelineOf(record *Record, violations []Violation) []event.Event {
+// relevantEvents returns the events that mention an ID of the violations, and the lifecycle
+// events.
+func relevantEvents(record *Record, violations []Violation) []event.Event {
 	ids := map[string]bool{}
 	for _, v := range violations {
 		for _, id := range v.IDs {
@@ -92,14 +95,14 @@
 	}
 	var events []event.Event
 	for _, e := range record.Events {
-		if len(ids) == 0 || carriesAny(e, ids) || isFleetEvent(e.Number) {
+		if len(ids) == 0 || mentionsAny(e, ids) || isLifecycleEvent(e.Number) {
 			events = append(events, e)
 		}
 	}
 	return events
 }
 
-func carriesAny(e event.Event, ids map[string]bool) bool {
+func mentionsAny(e event.Event, ids map[string]bool) bool {
 	for _, value := range e.Fields {
 		if ids[value] {
 			return true
@@ -108,9 +111,9 @@
 	return ids[e.Node] && e.Number != event.AddressesHandedOut
 }
 
-// isFleetEvent tells events that explain any request's story.
-func isFleetEvent(n event.Number) bool {
-	switch n {
+// isLifecycleEvent reports whether an event belongs in every timeline.
+func isLifecycleEvent(number event.Number) bool {
+	switch number {
 	case event.NodeStarting, event.NodeServing, event.NodeDraining, event.NodeStopped, event.NodeClosed,
 		event.IncarnationClosed, event.SpendRightLapsed:
 		return true
@@ -118,7 +121,7 @@
 	return false
 }
 
-// StepNamed returns the step of that name; false when there is none.
+// StepNamed returns the step of that name, or false if there is none.
 func StepNamed(name string) (fake.Step, bool) {
 	for _, step := range Steps() {
 		if string(step) == name {
@@ -128,7 +131,7 @@
 	return "", false
 }
 
-// FaultNamed returns the fault of that name; false when there is none.
+// FaultNamed returns the fault of that name, or false if there is none.
 func FaultNamed(name string) (Fault, bool) {
 	for _, fault := range AllFaults(DefaultTiming()) {
 		if fault.Name == name {
--- a/internal/check/matrix_test.go
+++ b/internal/check/matrix_test.go
@@ -16,28 +16,28 @@
 	singleSeed = 1
 	pairSeed   = 1000
 	pairCount  = 40
-	// reachedSeed begins the pairs whose steps are drawn among those reached.
+	// reachedSeed is the first seed of the pairs whose steps are drawn from those reached.
 	reachedSeed  = 5000
 	reachedCount = 25
 )
 
-// testTiming cuts a region off for five minutes, twenty times the right to spend. The
-// race detector's clock of a goroutine overflows in the two virtual hours that
-// "lavenderbench matrix" plays.
+// testTiming cuts a region off for five minutes, twenty times the spend right. The race
+// detector's per-goroutine clock overflows in the two virtual hours of "lavenderbench
+// matrix".
 func testTiming() Timing {
 	timing := DefaultTiming()
-	timing.LongCut = 5 * time.Minute
+	timing.RegionCutDuration = 5 * time.Minute
 	return timing
 }
 
-func judgeCell(t *testing.T, cell Cell) {
-	record, reach := play(t, cell)
-	judgePlayed(t, cell, record, reach)
+func runAndEvaluate(t *testing.T, cell Cell) {
+	record, reach := runCell(t, cell)
+	evaluate(t, cell, record, reach)
 }
 
-func judgePlayed(t *testing.T, cell Cell, record *Record, reach Reach) {
+func evaluate(t *testing.T, cell Cell, record *Record, reach Coverage) {
 	is := is.New(t)
-	result := Verdict(cell, record, reach)
+	result := Evaluate(cell, record, reach)
 	t.Logf("%s: %s %s", cell, result.Status, result.Missing)
 	for _, v := range result.Violations {
 		t.Log(v)
@@ -47,13 +47,13 @@
 			t.Log(e.Timestamp.Time().Format("15:04:05.000"), e.Node, e.Number.Kind().Name, e.Fields)
 		}
 	}
-	is.True(result.Status != Broken) // the time line above tells what happened
+	is.True(result.Status != Broken) // the timeline logged above shows what happened
 }
 
-// cutsRegion tells the fault that has tests of its own: it lasts longest, and what it
-// still breaks must not hide what others break.
-func cutsRegion(cell Cell) bool {
-	for _, s := range cell.Strikes {
+// hasRegionCut selects the fault that has its own tests: it lasts longest, and the
+// violations that it still causes must not hide those of other faults.
+func hasRegionCut(cell Cell) bool {
+	for _, s := range cell.Injections {
 		if s.Fault.Name == "region cut for hours" {
 			return true
 		}
@@ -61,23 +61,23 @@
 	return false
 }
 
-func playAll(t *testing.T, cells []Cell, wanted func(Cell) bool) {
+func runAll(t *testing.T, cells []Cell, wanted func(Cell) bool) {
 	for _, cell := range cells {
 		if !wanted(cell) {
 			continue
 		}
 		t.Run(cell.String(), func(t *testing.T) {
 			t.Parallel()
-			judgeCell(t, cell)
+			runAndEvaluate(t, cell)
 		})
 	}
 }
 
-// killsTwo tells pairs of deaths, which can take a node and its only witness within
+// hasTwoKills selects pairs of kills, which can take down a node and its only witness within
 // one flush.
-func killsTwo(cell Cell) bool {
+func hasTwoKills(cell Cell) bool {
 	kills := 0
-	for _, s := range cell.Strikes {
+	for _, s := range cell.Injections {
 		if strings.HasPrefix(s.Fault.Name, "kill") {
 			kills++
 		}
@@ -85,74 +85,74 @@
 	return kills > 1
 }
 
-func others(cell Cell) bool { return !cutsRegion(cell) && !killsTwo(cell) }
+func isOrdinary(cell Cell) bool { return !hasRegionCut(cell) && !hasTwoKills(cell) }
 
-// Every fault of the brief but the region cut strikes once at every step. A user would
-// notice a broken cell as money spent twice, an answer cut, or a node that needs a
-// person.
-func TestMatrixSingles(t *testing.T) { playAll(t, Singles(testTiming(), singleSeed), others) }
+// Every fault of the specification except the region cut is injected once at every step. A
+// broken cell means money spent twice, an interrupted response, or a node that needs manual
+// repair.
+func TestMatrixSingles(t *testing.T) { runAll(t, Singles(testTiming(), singleSeed), isOrdinary) }
 
-// Two faults strike one history, at steps that the seed chooses.
-func TestMatrixPairs(t *testing.T) { playAll(t, Pairs(testTiming(), pairSeed, pairCount), others) }
+// Two faults are injected in one history, at steps drawn from the seed.
+func TestMatrixPairs(t *testing.T) { runAll(t, Pairs(testTiming(), pairSeed, pairCount), isOrdinary) }
 
-// A region is cut off for long, at every step. Its callers go on asking the node there,
-// which has nobody in reach and no log; afterwards everything that they were answered
+// A region is cut off for a long time, at every step. Its callers keep sending requests to
+// the node there, which reaches no other node and no log; afterwards every answer they got
 // must be billed.
-func TestMatrixRegionCut(t *testing.T) { playAll(t, Singles(testTiming(), singleSeed), cutsRegion) }
+func TestMatrixRegionCut(t *testing.T) { runAll(t, Singles(testTiming(), singleSeed), hasRegionCut) }
 
-// The same beside a second fault.
+// A region cut is combined with a second fault.
 func TestMatrixPairsWithRegionCut(t *testing.T) {
-	playAll(t, Pairs(testTiming(), pairSeed, pairCount), cutsRegion)
+	runAll(t, Pairs(testTiming(), pairSeed, pairCount), hasRegionCut)
 }
 
-// Two nodes die in one history. When one of them was the other's witness, what the
-// caller was answered must be billed all the same.
+// Two nodes die in one history. Even if one was the witness of the other, every answer that
+// callers received must be billed.
 func TestMatrixTwoDeaths(t *testing.T) {
-	playAll(t, Pairs(testTiming(), pairSeed, pairCount), killsTwo)
+	runAll(t, Pairs(testTiming(), pairSeed, pairCount), hasTwoKills)
 }
 
-// Two faults strike one history, at steps that the history of the seed reaches, so that
-// nearly every pair says something.
+// Two faults are injected in one history, at steps that the history of the seed reaches, so
+// that nearly every pair is meaningful.
 func TestMatrixReachedPairs(t *testing.T) {
 	for seed := uint64(reachedSeed); seed < reachedSeed+reachedCount; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			var cell Cell
 			var record *Record
-			var reach Reach
+			var reach Coverage
 			synctest.Test(t, func(*testing.T) {
-				cell, record, reach = PlayReachedPair(fake.NewClock(), testTiming(), seed)
+				cell, record, reach = RunReachedPair(fake.NewClock(), testTiming(), seed)
 			})
-			judgePlayed(t, cell, record, reach)
+			evaluate(t, cell, record, reach)
 		})
 	}
 }
 
-// A seed stands for the same pair however often the steps are reached beyond the first
-// few times, and never for a step that isn't reached.
-func TestReachedPairsStandStill(t *testing.T) {
+// A seed stands for the same pair however often the steps are reached beyond the first few
+// times, and never selects a step that is not reached.
+func TestReachedPairsAreStable(t *testing.T) {
 	is := is.New(t)
 	few, many := map[fake.Step]int{}, map[fake.Step]int{}
 	for _, step := range Steps() {
-		few[step], many[step] = latestNth*spareReaches, 1000
+		few[step], many[step] = maxNth*reachesPerNth, 1000
 	}
 	delete(few, fake.StepShareMove)
 	for seed := uint64(1); seed < 300; seed++ {
-		cell, again := pairAmong(testTiming(), seed, few), pairAmong(testTiming(), seed, many)
-		for i, s := range cell.Strikes {
+		cell, again := pairAtReachedSteps(testTiming(), seed, few), pairAtReachedSteps(testTiming(), seed, many)
+		for i, s := range cell.Injections {
 			is.True(s.Step != fake.StepShareMove)
-			is.True(s.Nth <= latestNth)
-			if again.Strikes[i].Step != fake.StepShareMove {
-				is.Equal(s.Step, again.Strikes[i].Step)
-				is.Equal(s.Nth, again.Strikes[i].Nth)
+			is.True(s.Nth <= maxNth)
+			if again.Injections[i].Step != fake.StepShareMove {
+				is.Equal(s.Step, again.Injections[i].Step)
+				is.Equal(s.Nth, again.Injections[i].Nth)
 			}
 		}
 	}
 }
 
-// Two faults kill the same process, and each has it replaced. One process runs at the
-// address afterwards; two would both claim its shares.
-func TestAProcessIsReplacedOnce(t *testing.T) {
+// Two faults kill the same process and each restarts it. One process runs at the address
+// afterwards; two would both claim its shares.
+func TestProcessIsReplacedOnce(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		h := NewHarness(fake.NewClock(), 1)
@@ -163,8 +163,8 @@
 		m.Kill()
 		h.Go(m.Restart)
 		h.Go(m.Restart)
-		is.True(h.Await(startLimit, func() bool { return m.Live() && h.allServe() }))
-		h.work.Wait()
-		is.Equal(m.process, 2)
+		is.True(h.Await(startTimeout, func() bool { return m.Live() && h.allServing() }))
+		h.tasks.Wait()
+		is.Equal(m.processes, 2)
 	})
 }
--- a/internal/check/member.go
+++ b/internal/check/member.go
@@ -15,14 +15,14 @@
 	"lavenderpin.dev/lavenderpin/operator"
 )
 
-// Member is one address of the fleet and the process that runs there now. A
-// process replaces its node when the fleet closed it, as the daemon does.
+// Member is one address of the fleet and the process that currently runs there. Like the
+// daemon, the process replaces its node after the fleet has closed it.
 type Member struct {
 	harness  *Harness
 	settings node.Settings
 
 	mu        sync.Mutex
-	process   int
+	processes int
 	node      *node.Node
 	gate      *fake.Gate
 	log       *fake.Log
@@ -30,11 +30,11 @@
 	operator  *operator.Server
 	cancel    context.CancelFunc
 	done      chan struct{}
-	// restarting is held by whoever restarts the member.
+	// restarting is held by the goroutine that restarts the member.
 	restarting chan struct{}
 }
 
-// Address returns the peer address, which names the member.
+// Address returns the peer address, which identifies the member.
 func (m *Member) Address() string { return m.settings.PeerAddress }
 
 // Node returns the current node.
@@ -58,7 +58,7 @@
 	return m.log
 }
 
-// Live tells whether the process is neither dead nor paused.
+// Live reports whether the process is neither dead nor paused.
 func (m *Member) Live() bool {
 	gate := m.Gate()
 	select {
@@ -72,12 +72,12 @@
 // start runs a new process at the member's address.
 func (m *Member) start() error {
 	h := m.harness
-	at := fake.Endpoint(m.Address())
+	endpoint := fake.Endpoint(m.Address())
 	m.mu.Lock()
-	m.process++
+	m.processes++
 	m.gate = fake.NewGate()
-	m.log = fake.NewLog(h.Archive, h.Network, at, m.gate, h.clock, h.probe)
-	m.instances = fake.NewInstances(h.Instances, h.Network, at)
+	m.log = fake.NewLog(h.Archive, h.Network, endpoint, m.gate, h.clock, h.onStep)
+	m.instances = fake.NewInstances(h.Instances, h.Network, endpoint)
 	m.done = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
@@ -89,7 +89,7 @@
 	if err := m.newNode(); err != nil {
 		return errors.Trace(err)
 	}
-	h.Network.Attach(at, m.settings.Region, m.Gate(), m.handlePeer)
+	h.Network.Attach(endpoint, m.settings.Region, m.Gate(), m.handlePeer)
 	go m.run(ctx, m.done)
 	return nil
 }
@@ -100,7 +100,7 @@
 
 func (m *Member) newNode() error {
 	h := m.harness
-	at := fake.Endpoint(m.Address())
+	endpoint := fake.Endpoint(m.Address())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var clock clockwork.Clock = h.clock
@@ -109,7 +109,7 @@
 	}
 	n, err := node.New(m.settings, node.Deps{
 		Clock: clock, Log: m.log, Instances: m.instances, Weights: h.weights,
-		Peers: h.Network.Caller(at, m.gate, h.probe), Upstreams: fake.NewClient(h.Upstreams, at, m.gate, h.probe),
+		Peers: h.Network.Caller(endpoint, m.gate, h.onStep), Upstreams: fake.NewClient(h.Upstreams, endpoint, m.gate, h.onStep),
 		Logger: log.NewNopLogger(), NewIncarnation: h.newIncarnation,
 	})
 	if err != nil {
@@ -132,20 +132,20 @@
 	}
 }
 
-// Kill ends the process abruptly. It returns at once, so that it may strike from
-// within the process's own steps.
+// Kill ends the process abruptly. It returns at once, so that a fault may call it from
+// within a step of the process itself.
 func (m *Member) Kill() {
 	m.mu.Lock()
 	gate, cancel := m.gate, m.cancel
 	m.mu.Unlock()
-	m.harness.noteKilled(m)
+	m.harness.recordKill(m)
 	gate.Kill()
 	cancel()
 }
 
-// Restart runs a new process at the address, after the old one's death. Where two
-// faults killed the same process, the second finds a new one at work and leaves it;
-// it would otherwise wait for that one's end, or run two at one address.
+// Restart runs a new process at the address after the old one's death. If two faults killed
+// the same process, the second call finds the new one running and leaves it alone; otherwise
+// it would wait for that process to end, or run two at one address.
 func (m *Member) Restart() {
 	m.restarting <- struct{}{}
 	defer func() { <-m.restarting }()
--- a/internal/check/promises_test.go
+++ b/internal/check/promises_test.go
@@ -15,11 +15,11 @@
 	promisesPage = repository + "/docs/PROMISES.md"
 )
 
-// testName is how the page names a test: the package's folder, a dot, the function.
+// testName matches a test in the page: the package's folder, a dot, the function.
 var testName = regexp.MustCompile("`([a-z0-9_/]+)\\.((?:Test|Fuzz)[A-Za-z0-9_]+)`")
 
-// A page that names tests which were renamed or removed proves nothing, and nobody
-// notices until the proof is needed.
+// Guards against a page that names renamed or removed tests, which would go unnoticed until
+// the evidence is needed.
 func TestPromisesNameTestsThatExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(promisesPage)
@@ -28,7 +28,7 @@
 	is.True(len(named) > 10)
 	for _, name := range named {
 		if !hasTest(t, filepath.Join(repository, name[1]), name[2]) {
-			t.Errorf("docs/PROMISES.md names %s.%s, which no _test.go holds", name[1], name[2])
+			t.Errorf("docs/PROMISES.md names %s.%s, which no _test.go file declares", name[1], name[2])
 		}
 	}
 }
@@ -48,14 +48,14 @@
 	return false
 }
 
-// The page has a section for each promise that the checkers judge.
+// The page has a section for each invariant that Check verifies.
 func TestPromisesPageHasEveryPromise(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(promisesPage)
 	is.NoErr(err)
-	for _, promise := range Promises() {
+	for _, promise := range Invariants() {
 		if !strings.Contains(string(page), "`"+string(promise)+"`") {
-			t.Errorf("docs/PROMISES.md lacks %q", promise)
+			t.Errorf("docs/PROMISES.md does not mention %q", promise)
 		}
 	}
 }
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -17,42 +17,42 @@
 	Offset      uint64
 	Lines       []budget.Line
 	Version     uint64
-	// Probe is the answer to a last request of the rich account.
+	// Probe is the outcome of a final request by the rich account.
 	Probe Outcome
 }
 
-// Record is everything that Check judges. It is complete once a history has ended.
+// Record is everything that Check verifies. It is complete once a history has ended.
 type Record struct {
-	// Began is when the history began; spans count from it.
-	Began   time.Time
-	Chats   []ChatOp
-	Calls   []CallOp
-	Configs []ConfigOp
-	TopUps  []TopUpOp
-	Reads   []ConfigRead
+	// Began is when the history began; spans are relative to it.
+	Began       time.Time
+	Chats       []ChatOp
+	Calls       []CallOp
+	Configs     []ConfigOp
+	TopUps      []TopUpOp
+	ConfigReads []ConfigRead
 
 	Log         []fake.ArchivedRecord
 	EngineRuns  []fake.EngineRun
 	ServiceRuns []fake.ServiceRun
 	Orders      []fake.EngineOrder
-	// EngineDeaths are spans in which engines were gone, Attempts the completions that
-	// nodes tried to send to any engine.
+	// EngineDeaths holds the periods in which engines were dead, Attempts the completions
+	// that nodes tried to send to any engine.
 	EngineDeaths []fake.EngineDeath
 	Attempts     []fake.Attempt
-	// Leavings are spans in which nodes had it in force that an upstream leaves.
-	Leavings []LeavingOp
-	// EngineDiedAlone tells that nothing went wrong but an engine's death.
+	// Leavings holds the periods in which nodes had the leaving of an upstream in force.
+	Leavings []LeavingPeriod
+	// EngineDiedAlone reports that the only fault was the death of an engine.
 	EngineDiedAlone bool
 	// Parts links requests to what peers reserved for them.
 	Parts  []fake.Part
 	Finals []FinalState
-	// Killed holds incarnations whose process was killed, and their addresses.
+	// Killed maps incarnations whose process was killed to their addresses.
 	Killed map[string]string
-	// Drained holds the addresses of members that were drained, with when.
-	Drained []DrainOp
+	// Drains holds the addresses of drained members and when they were drained.
+	Drains  []DrainOp
 	Events  []event.Event
 	Dropped uint64
-	// Stuck holds members that could not be brought back to serving.
+	// Stuck holds members that did not resume serving.
 	Stuck []string
 }
 
@@ -60,23 +60,23 @@
 type DrainOp struct {
 	Span
 	Node string
-	// Ended tells that the stop ran to its end, without a kill or its time limit.
+	// Ended reports that the stop ran to completion, without a kill or a timeout.
 	Ended bool
-	// Alone tells that nothing else could cut an answer meanwhile.
+	// Alone reports that nothing else could interrupt a response meanwhile.
 	Alone bool
 }
 
-// collect takes the record of a history that has ended.
+// collect builds the record of a history that has ended.
 func (h *Harness) collect() *Record {
 	r := &Record{Began: h.began, Log: h.Archive.Records(), EngineRuns: h.Upstreams.Runs(), ServiceRuns: h.Upstreams.Calls(),
 		Parts: h.Network.Parts(), Orders: h.Upstreams.Orders(),
 		EngineDeaths: h.Upstreams.Deaths(), Attempts: h.Upstreams.Attempts()}
 	h.History.mu.Lock()
 	r.Chats, r.Calls, r.Configs = h.History.Chats, h.History.Calls, h.History.Configs
-	r.TopUps, r.Reads, r.Drained = h.History.TopUps, h.History.Reads, h.History.Drained
+	r.TopUps, r.ConfigReads, r.Drains = h.History.TopUps, h.History.ConfigReads, h.History.Drains
 	h.History.mu.Unlock()
-	r.Killed = h.killedNodes()
-	r.Leavings = h.leavingOps()
+	r.Killed = h.killedIncarnations()
+	r.Leavings = h.leavingPeriods()
 	for _, recorder := range h.recorders {
 		events, dropped := recorder.Find("")
 		r.Events = append(r.Events, events...)
@@ -93,8 +93,8 @@
 		n := m.Node()
 		final := FinalState{Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil,
 			Offset: n.AppliedOffset(), Lines: n.Ledger().Budgets(), Probe: probes[m.Address()]}
-		if held := underTest(n.Config()); held != nil {
-			final.Version = held.GetVersion()
+		if current := resourceUnderTest(n.Config()); current != nil {
+			final.Version = current.GetVersion()
 		}
 		finals = append(finals, final)
 	}
--- a/internal/check/replay.go
+++ b/internal/check/replay.go
@@ -12,8 +12,9 @@
 	"lavenderpin.dev/lavenderpin/record"
 )
 
-// onItsWay is how long a request that was checked and sent may take to arrive.
-const onItsWay = 50 * time.Millisecond
+// deliveryAllowance is how long a request may be in transit after its node checked and sent
+// it.
+const deliveryAllowance = 50 * time.Millisecond
 
 // bill is what the log charges for one request.
 type bill struct {
@@ -21,8 +22,8 @@
 	tokens uint64
 }
 
-// replay is the log's own account of a history. Money is added up here by request
-// id, apart from the ledger, so that a ledger that counts twice is found out.
+// replay is the state of a history computed from the log alone. It sums money by request ID,
+// independently of the ledger, to detect a ledger that counts twice.
 type replay struct {
 	ledger *budget.Ledger
 	config *config.State
@@ -32,41 +33,42 @@
 	billed  map[string]uint64
 	topUps  map[string]bool
 	lines   map[uint64][]budget.Line
-	// changes holds the version that each accepted change made, by change id.
+	// changes holds the version created by each accepted change, by change ID.
 	changes map[string]uint64
-	// rights holds each incarnation's heartbeats as they reached the log.
-	rights map[string][]right
-	offset uint64
-	// firstVersion is what the resource under test was declared at.
+	// spendRights holds the spend rights that each incarnation's heartbeats granted as they
+	// reached the log.
+	spendRights map[string][]spendRight
+	offset      uint64
+	// firstVersion is the version at which the resource under test was declared.
 	firstVersion uint64
-	faults       []Violation
+	violations   []Violation
 }
 
-// replayLog folds the records of a history; keep names the offsets whose lines
-// are wanted afterwards.
+// replayLog folds the records of a history; keep names the offsets whose ledger lines are
+// kept.
 func replayLog(records []fake.ArchivedRecord, keep map[uint64]bool) *replay {
 	r := &replay{
 		ledger: budget.NewLedger(), config: config.NewState(nil), bills: map[string]bill{},
 		prepaid: map[string]uint64{}, billed: map[string]uint64{}, topUps: map[string]bool{}, lines: map[uint64][]budget.Line{},
-		changes: map[string]uint64{}, rights: map[string][]right{},
+		changes: map[string]uint64{}, spendRights: map[string][]spendRight{},
 	}
 	engine := fold.NewEngine(r.config, r.ledger)
-	for _, held := range records {
-		batches, err := record.Decode(held.Data)
+	for _, archived := range records {
+		batches, err := record.Decode(archived.Data)
 		if err != nil {
 			continue
 		}
-		verdicts := engine.ApplyRecord(held.Offset, batches)
-		r.offset = held.Offset
+		verdicts := engine.ApplyRecord(archived.Offset, batches)
+		r.offset = archived.Offset
 		for i, batch := range batches {
-			r.countBatch(held.At, batch, verdicts[i])
+			r.countBatch(archived.At, batch, verdicts[i])
 		}
 		if r.firstVersion == 0 {
-			r.firstVersion = underTest(r.config.View()).GetVersion()
+			r.firstVersion = resourceUnderTest(r.config.View()).GetVersion()
 		}
-		r.checkLines(held.Offset)
-		if keep[held.Offset] {
-			r.lines[held.Offset] = r.ledger.Budgets()
+		r.checkLedger(archived.Offset)
+		if keep[archived.Offset] {
+			r.lines[archived.Offset] = r.ledger.Budgets()
 		}
 	}
 	return r
@@ -76,7 +78,7 @@
 	for i, verdict := range verdicts {
 		if verdict.OK() {
 			r.count(batch.GetEntries()[i], verdict)
-			r.countRight(at, batch.GetWriter(), batch.GetEntries()[i])
+			r.recordSpendRight(at, batch.GetWriter(), batch.GetEntries()[i])
 		}
 	}
 }
@@ -97,46 +99,47 @@
 	}
 }
 
-// right is a span within which an incarnation may spend.
-type right struct{ from, until time.Time }
+// spendRight is an interval in which an incarnation may spend.
+type spendRight struct{ from, until time.Time }
 
-func (r *replay) countRight(at time.Time, writer string, entry *recordv1.Entry) {
-	if beat := entry.GetHeartbeat(); beat != nil {
-		term := time.Duration(beat.GetRightMs()) * time.Millisecond
-		r.rights[writer] = append(r.rights[writer], right{at, at.Add(term)})
+func (r *replay) recordSpendRight(at time.Time, writer string, entry *recordv1.Entry) {
+	if heartbeat := entry.GetHeartbeat(); heartbeat != nil {
+		term := time.Duration(heartbeat.GetRightMs()) * time.Millisecond
+		r.spendRights[writer] = append(r.spendRights[writer], spendRight{at, at.Add(term)})
 	}
 }
 
-// mayHaveSpent tells whether a request could rightly reach an upstream at a moment.
-func (r *replay) mayHaveSpent(incarnation string, at time.Time) bool {
-	for _, held := range r.rights[incarnation] {
-		if !at.Before(held.from) && !at.After(held.until.Add(onItsWay)) {
+// heldSpendRight reports whether a request of the incarnation could legitimately reach an
+// upstream at the given time.
+func (r *replay) heldSpendRight(incarnation string, at time.Time) bool {
+	for _, right := range r.spendRights[incarnation] {
+		if !at.Before(right.from) && !at.After(right.until.Add(deliveryAllowance)) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkLines holds the ledger against the count after each record.
-func (r *replay) checkLines(offset uint64) {
+// checkLedger compares the ledger with the independent totals after each record.
+func (r *replay) checkLedger(offset uint64) {
 	for _, line := range r.ledger.Budgets() {
-		held := line.Pool + line.Spent
+		total := line.Pool + line.Spent
 		for _, share := range line.Shares {
-			held += share.Remaining()
+			total += share.Remaining()
 		}
 		switch {
 		case line.Spent > r.prepaid[line.Budget]:
-			r.fault(Overspend, "offset %d: budget %s has spent %d of %d", offset, line.Budget, line.Spent, r.prepaid[line.Budget])
-		case held != r.prepaid[line.Budget]:
-			r.fault(Overspend, "offset %d: budget %s holds %d of %d prepaid", offset, line.Budget, held, r.prepaid[line.Budget])
+			r.report(WithinBudget, "offset %d: budget %s has spent %d of %d prepaid tokens", offset, line.Budget, line.Spent, r.prepaid[line.Budget])
+		case total != r.prepaid[line.Budget]:
+			r.report(WithinBudget, "offset %d: budget %s accounts for %d of %d prepaid tokens", offset, line.Budget, total, r.prepaid[line.Budget])
 		case line.Spent != r.billed[line.Budget]:
-			r.fault(BilledOnce, "offset %d: budget %s was billed %d, its requests come to %d", offset, line.Budget, line.Spent, r.billed[line.Budget])
+			r.report(BilledOnce, "offset %d: budget %s was billed %d tokens, but its requests add up to %d", offset, line.Budget, line.Spent, r.billed[line.Budget])
 		default:
 			continue
 		}
 	}
 }
 
-func (r *replay) fault(promise Promise, format string, args ...any) {
-	r.faults = append(r.faults, Violation{Promise: promise, Text: fmt.Sprintf(format, args...)})
+func (r *replay) report(invariant Invariant, format string, args ...any) {
+	r.violations = append(r.violations, Violation{Invariant: invariant, Text: fmt.Sprintf(format, args...)})
 }
--- a/internal/check/resume_test.go
+++ b/internal/check/resume_test.go
@@ -8,14 +8,14 @@
 	"lavenderpin.dev/lavenderpin/internal/fake"
 )
 
-// A node dies with streams open. Callers take the last event id that they got to
-// another node, and each gets every word once; the account is billed for one answer.
+// A node dies with open streams. Callers bring their last event ID to another node and each
+// receives every word once; the account is billed for one answer.
 func TestCallersResumeAtAnotherNode(t *testing.T) {
 	is := is.New(t)
 	kill, _ := FaultNamed("kill, callers read on")
 	resumed := 0
 	for seed := uint64(1); seed <= 4; seed++ {
-		record, reach := play(t, Cell{Strikes: []Strike{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
+		record, reach := runCell(t, Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
 		is.Equal(reach.Missing, "")
 		for _, v := range Check(record) {
 			t.Errorf("seed %d: %s", seed, v)
@@ -27,19 +27,19 @@
 			}
 		}
 	}
-	t.Logf("%d answers were read on", resumed)
+	t.Logf("%d answers were resumed", resumed)
 	is.True(resumed > 0)
 }
 
-// An engine that leaves out a word of what it is asked for again would give a caller an
-// answer with a hole that ends as whole.
-func TestFindsAHoleInAResumedAnswer(t *testing.T) {
+// An engine that skips a word when a response is resumed gives the caller an answer with a
+// gap that is marked complete.
+func TestFindsGapInResumedAnswer(t *testing.T) {
 	is := is.New(t)
 	kill, _ := FaultNamed("kill, callers read on")
 	found := false
 	for seed := uint64(1); seed <= 4; seed++ {
-		cell := Cell{Strikes: []Strike{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed}
-		found = found || broke(withDefect(t, cell, func(h *Harness) {
+		cell := Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed}
+		found = found || violates(checkWithDefect(t, cell, func(h *Harness) {
 			h.Upstreams.SetFaults(fake.UpstreamFaults{SkipOnResume: 1})
 		}), WholeAnswer)
 	}
--- a/internal/check/timeline_test.go
+++ b/internal/check/timeline_test.go
@@ -12,17 +12,17 @@
 	"lavenderpin.dev/lavenderpin/internal/fake"
 )
 
-// A node serves a request and dies, and its memory with it. Somebody asks in the
-// morning what became of the request: the other nodes still tell.
-func TestTimelineTellsOfADeadNodesRequest(t *testing.T) {
+// A node serves a request and dies with the events in its memory. The other nodes can still
+// show the timeline of that request.
+func TestTimelineShowsRequestOfDeadNode(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		h := NewHarness(fake.NewClock(), 1)
 		is.NoErr(h.Start(DefaultTiming(), RegionHome, RegionHome, RegionAway))
 		defer h.Stop()
-		is.NoErr(h.Declare(scene()...))
+		is.NoErr(h.ApplyConfig(fixtureResources()...))
 		h.TopUp(h.Members[0], "first", budgetOf("rich"), 10_000)
-		op := h.Chat(h.Members[1], "rich", sceneModel, promptOf("told", minWords))
+		op := h.Chat(h.Members[1], "rich", fixtureModel, promptOf("told", minWords))
 		is.True(op.OK())
 		h.clock.Sleep(10 * time.Second)
 		h.Members[1].Kill()
--- a/internal/check/workload.go
+++ b/internal/check/workload.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	workSpan     = 12 * time.Second
-	workInterval = 120 * time.Millisecond
-	minWords     = 6
-	moreWords    = 20
-	topUpTokens  = 1_000
-	preambles    = 3
-	// preambleRepeats makes a preamble longer than two blocks of 256 bytes.
-	preambleRepeats = 70
+	workloadDuration    = 12 * time.Second
+	meanRequestInterval = 120 * time.Millisecond
+	minWords            = 6
+	maxExtraWords       = 20
+	topUpTokens         = 1_000
+	promptPrefixes      = 3
+	// prefixRepeats makes a prompt prefix longer than two cache blocks of 256 bytes.
+	prefixRepeats = 70
 )
 
-// workload runs callers and operators for a while, each at its own pace; it
-// returns when the last was started. name keeps prompts of several runs apart.
+// workload starts requests and operator changes for a while, each running independently, and
+// returns after starting the last one. name keeps the prompts of several workloads apart.
 func (h *Harness) workload(name string) {
 	began := h.clock.Now()
-	for i := 0; h.clock.Since(began) < workSpan; i++ {
-		h.request(fmt.Sprintf("%s-%d", name, i))
+	for i := 0; h.clock.Since(began) < workloadDuration; i++ {
+		h.startRequest(fmt.Sprintf("%s-%d", name, i))
 		switch i {
 		case 20, 60:
 			id := fmt.Sprintf("%s-top-up-%d", name, i)
-			h.Go(func() { h.TopUp(h.anyMember(), id, budgetOf("poor"), topUpTokens) })
+			h.Go(func() { h.TopUp(h.randomMember(), id, budgetOf("poor"), topUpTokens) })
 		case 30:
-			h.wantVersion(name)
+			h.declareModelVersion(name)
 		case 25, 45, 65, 85:
-			h.changeOnce(fmt.Sprintf("%s-change-%d", name, i), uint32(i))
+			h.startChange(fmt.Sprintf("%s-change-%d", name, i), uint32(i))
 		}
-		h.clock.Sleep(workInterval/2 + time.Duration(h.draw(int(workInterval))))
+		h.clock.Sleep(meanRequestInterval/2 + time.Duration(h.intN(int(meanRequestInterval))))
 	}
 }
 
-func (h *Harness) anyMember() *Member { return h.Members[h.draw(len(h.Members))] }
+func (h *Harness) randomMember() *Member { return h.Members[h.intN(len(h.Members))] }
 
-// request starts one caller's request at some node.
-func (h *Harness) request(id string) {
-	m := h.anyMember()
-	account := sceneAccounts[0]
-	if h.draw(4) == 0 {
-		account = sceneAccounts[1]
+// startRequest starts one caller's request at a random node.
+func (h *Harness) startRequest(name string) {
+	m := h.randomMember()
+	account := fixtureAccounts[0]
+	if h.intN(4) == 0 {
+		account = fixtureAccounts[1]
 	}
-	switch kind := h.draw(10); {
+	switch kind := h.intN(10); {
 	case kind < 6:
-		prompt := h.preamble(account, id) + promptOf(id, minWords+h.draw(moreWords))
-		h.Go(func() { h.Chat(m, account, sceneModel, prompt) })
+		prompt := h.promptPrefix(account, name) + promptOf(name, minWords+h.intN(maxExtraWords))
+		h.Go(func() { h.Chat(m, account, fixtureModel, prompt) })
 	case kind < 8:
-		h.Go(func() { h.Call(m, account, "POST", "order "+id, "") })
+		h.Go(func() { h.Call(m, account, "POST", "order "+name, "") })
 	case kind < 9:
-		h.Go(func() { h.Call(m, account, "POST", "keyed "+id, "key-"+id) })
+		h.Go(func() { h.Call(m, account, "POST", "keyed "+name, "key-"+name) })
 	default:
-		h.Go(func() { h.Call(m, account, "GET", "look "+id, "") })
+		h.Go(func() { h.Call(m, account, "GET", "look "+name, "") })
 	}
 }
 
-// preamble returns one of a few long beginnings of prompts; empty unless the history
-// needs them, and for the account whose budget has to run out as slowly as ever. Each
-// is one word of two whole cache blocks.
-func (h *Harness) preamble(account, id string) string {
-	if !h.sharedPrompts || account != sceneAccounts[0] {
+// promptPrefix returns one of a few long prompt prefixes, each one word that spans two whole
+// cache blocks. It is empty unless the history needs prefixes, and for the account whose
+// budget runs out, so that the budget lasts as long as in other histories.
+func (h *Harness) promptPrefix(account, id string) string {
+	if !h.sharedPrefixes || account != fixtureAccounts[0] {
 		return ""
 	}
 	number := 0
 	for _, c := range []byte(id) {
 		number += int(c)
 	}
-	return strings.Repeat(fmt.Sprintf("guide-%d-", number%preambles), preambleRepeats) + " "
+	return strings.Repeat(fmt.Sprintf("guide-%d-", number%promptPrefixes), prefixRepeats) + " "
 }
 
 func promptOf(id string, words int) string {
@@ -83,18 +83,18 @@
 	return strings.Join(parts, " ")
 }
 
-func (h *Harness) changeOnce(id string, value uint32) {
-	m := h.anyMember()
+func (h *Harness) startChange(id string, value uint32) {
+	m := h.randomMember()
 	h.Go(func() { h.Change(m, id, value) })
 }
 
-// wantVersion declares another version of the model, so that engines get orders.
-func (h *Harness) wantVersion(version string) {
-	m := h.anyMember()
+// declareModelVersion declares another version of the model, so that engines get orders.
+func (h *Harness) declareModelVersion(version string) {
+	m := h.randomMember()
 	h.Go(func() {
-		_, _ = h.ask(m, m.Gate(), func(ctx context.Context) error {
+		_, _ = h.invoke(m, m.Gate(), func(ctx context.Context) error {
 			_, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "version-" + version,
-				Changes: []*operatorv1.Change{{AnyVersion: true, Resource: engineServiceAt(version)}}})
+				Changes: []*operatorv1.Change{{AnyVersion: true, Resource: engineServiceWithVersion(version)}}})
 			return err
 		})
 	})
