--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -300,21 +300,21 @@
 func (r *cellRun) coverage() Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reach := Coverage{Injected: len(r.injected) == len(r.cell.Injections)}
+	coverage := Coverage{Injected: len(r.injected) == len(r.cell.Injections)}
 	for i, s := range r.cell.Injections {
 		if !r.injected[i] {
-			reach.Missing = string(s.Step)
+			coverage.Missing = string(s.Step)
 		}
 		for _, need := range s.Fault.Needs {
 			if r.harness.StepCount(need) == 0 {
-				reach.Missing = string(need)
+				coverage.Missing = string(need)
 			}
 		}
 		if s.Fault.NeedsInstanceList && !r.harness.instanceListQueried() {
-			reach.Missing = "instance list"
+			coverage.Missing = "instance list"
 		}
 	}
-	return reach
+	return coverage
 }
 
 func (h *Harness) memberAt(address string) *Member {
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -42,6 +42,6 @@
 func TestEnginesPublishCacheEvents(t *testing.T) {
 	is := is.New(t)
 	fault, _ := FaultNamed("cache events with gaps")
-	_, reach := runCell(t, Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
-	is.Equal(reach.Missing, "")
+	_, coverage := runCell(t, Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
+	is.Equal(coverage.Missing, "")
 }
--- a/internal/check/harness_test.go
+++ b/internal/check/harness_test.go
@@ -13,9 +13,9 @@
 func runCell(t *testing.T, cell Cell) (*Record, Coverage) {
 	t.Helper()
 	var record *Record
-	var reach Coverage
-	synctest.Test(t, func(*testing.T) { record, reach = cell.Run(fake.NewClock()) })
-	return record, reach
+	var coverage Coverage
+	synctest.Test(t, func(*testing.T) { record, coverage = cell.Run(fake.NewClock()) })
+	return record, coverage
 }
 
 // Without faults every invariant holds, and every request is answered or correctly refused.
--- a/internal/check/leaving_test.go
+++ b/internal/check/leaving_test.go
@@ -18,8 +18,8 @@
 // work there: a response begun there would be cut off when the engine goes.
 func TestNoNewWorkForALeavingUpstream(t *testing.T) {
 	is := is.New(t)
-	record, reach := runCell(t, leavingCell())
-	is.Equal(reach.Missing, "")
+	record, coverage := runCell(t, leavingCell())
+	is.Equal(coverage.Missing, "")
 	is.True(len(record.Leavings) >= 3) // every node folded the change
 	for _, v := range Check(record) {
 		t.Error(v)
--- a/internal/check/matrix.go
+++ b/internal/check/matrix.go
@@ -50,7 +50,7 @@
 
 // Evaluate checks a cell's record. It needs real time and must run outside a synctest
 // bubble.
-func Evaluate(cell Cell, record *Record, reach Coverage) CellResult {
+func Evaluate(cell Cell, record *Record, coverage Coverage) CellResult {
 	result := CellResult{Seed: cell.Seed, Status: Held, Command: reproductionCommand(cell)}
 	for _, s := range cell.Injections {
 		result.Faults = append(result.Faults, s.Fault.Name)
@@ -61,8 +61,8 @@
 		result.Violations = append(result.Violations, v.String())
 	}
 	switch {
-	case reach.Missing != "":
-		result.Status, result.Missing = NotBuilt, reach.Missing
+	case coverage.Missing != "":
+		result.Status, result.Missing = NotBuilt, coverage.Missing
 	case len(violations) > 0:
 		result.Status = Broken
 		result.Timeline = relevantEvents(record, violations)
--- a/internal/check/matrix_test.go
+++ b/internal/check/matrix_test.go
@@ -31,13 +31,13 @@
 }
 
 func runAndEvaluate(t *testing.T, cell Cell) {
-	record, reach := runCell(t, cell)
-	evaluate(t, cell, record, reach)
+	record, coverage := runCell(t, cell)
+	evaluate(t, cell, record, coverage)
 }
 
-func evaluate(t *testing.T, cell Cell, record *Record, reach Coverage) {
+func evaluate(t *testing.T, cell Cell, record *Record, coverage Coverage) {
 	is := is.New(t)
-	result := Evaluate(cell, record, reach)
+	result := Evaluate(cell, record, coverage)
 	t.Logf("%s: %s %s", cell, result.Status, result.Missing)
 	for _, v := range result.Violations {
 		t.Log(v)
@@ -119,11 +119,11 @@
 			t.Parallel()
 			var cell Cell
 			var record *Record
-			var reach Coverage
+			var coverage Coverage
 			synctest.Test(t, func(*testing.T) {
-				cell, record, reach = RunReachedPair(fake.NewClock(), testTiming(), seed)
+				cell, record, coverage = RunReachedPair(fake.NewClock(), testTiming(), seed)
 			})
-			evaluate(t, cell, record, reach)
+			evaluate(t, cell, record, coverage)
 		})
 	}
 }
--- a/internal/check/pairs.go
+++ b/internal/check/pairs.go
@@ -99,6 +99,6 @@
 	if err != nil {
 		return Cell{Seed: seed}, &Record{Stuck: []string{err.Error()}}, Coverage{}
 	}
-	record, reach := RunCell(clock, cell)
-	return cell, record, reach
+	record, coverage := RunCell(clock, cell)
+	return cell, record, coverage
 }
--- a/internal/check/regression_test.go
+++ b/internal/check/regression_test.go
@@ -12,11 +12,11 @@
 	t.Helper()
 	var cell Cell
 	var record *Record
-	var reach Coverage
+	var coverage Coverage
 	synctest.Test(t, func(*testing.T) {
-		cell, record, reach = RunReachedPair(fake.NewClock(), testTiming(), seed)
+		cell, record, coverage = RunReachedPair(fake.NewClock(), testTiming(), seed)
 	})
-	evaluate(t, cell, record, reach)
+	evaluate(t, cell, record, coverage)
 }
 
 // All three nodes of a fleet die within six seconds: two nodes, and then the one that
--- a/internal/check/resume_test.go
+++ b/internal/check/resume_test.go
@@ -15,8 +15,8 @@
 	kill, _ := FaultNamed("kill, callers read on")
 	resumed := 0
 	for seed := uint64(1); seed <= 4; seed++ {
-		record, reach := runCell(t, Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
-		is.Equal(reach.Missing, "")
+		record, coverage := runCell(t, Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
+		is.Equal(coverage.Missing, "")
 		for _, v := range Check(record) {
 			t.Errorf("seed %d: %s", seed, v)
 		}
