--- a/cmd/lavenderpin/survive_test.go
+++ b/cmd/lavenderpin/survive_test.go
@@ -22,7 +22,7 @@
 
 func (f *processFleet) declare(ctx context.Context) {
 	is := is.New(f.t)
-	file, err := fleetfile.FromMessage(&operatorv1.Fleet{
+	file, err := fleetfile.FromProto(&operatorv1.Fleet{
 		Accounts: []*operatorv1.Account{{Name: "crew", KeySha256: []string{config.HashKey("crew-key")}}},
 		Services: []*operatorv1.Service{
 			{Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"m"}},
--- a/internal/bench/run_test.go
+++ b/internal/bench/run_test.go
@@ -32,11 +32,11 @@
 // the load generator would see it.
 func TestClientSeesCutAndCrossedAnswers(t *testing.T) {
 	is := is.New(t)
-	fleet, err := devfleet.Start(devfleet.Options{Engines: []devfleet.Place{{Region: homeRegion, DataCentre: "casco"}},
+	fleet, err := devfleet.Start(devfleet.Options{Engines: []devfleet.Location{{Region: homeRegion, DataCentre: "casco"}},
 		Engine: standin.EngineOptions{CutAfter: 3}})
 	is.NoErr(err)
 	defer fleet.Stop()
-	c := newClient(Options{Model: devfleet.Model})
+	c := newClient(Options{Model: devfleet.SampleModel})
 	o := c.chat(context.Background(), kindDirect, fleet.EngineUpstreams[0].GetAddress(), "a", promptOf("a", minWords))
 	is.Equal(o.status, 200)
 	is.True(!o.ok())
--- a/internal/fake/instances.go
+++ b/internal/fake/instances.go
@@ -17,7 +17,7 @@
 	asked   atomic.Uint64
 }
 
-var _ ports.Instances = (*Instances)(nil)
+var _ ports.InstanceList = (*Instances)(nil)
 
 // NewInstances returns a node's view of a list.
 func NewInstances(inner *standin.Instances, network *Network, node Endpoint) *Instances {
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -125,22 +125,22 @@
 }
 
 // Read implements ports.Log.
-func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if err := l.reach(ctx); err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	slice, err := l.readInner(ctx, stream, from, max, wait)
 	if lost := l.pass(ctx, LogEndpoint, l.node); lost != nil {
-		return ports.Slice{}, lost
+		return ports.ReadResult{}, lost
 	}
 	if err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	return l.tamperedSlice(slice), nil
 }
 
 // readInner waits here and not in the log, on this node's clock.
-func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	grown := l.inner.Grown()
 	slice, err := l.inner.Read(ctx, stream, from, max, 0)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
@@ -150,12 +150,12 @@
 	case <-grown:
 	case <-l.clock.After(wait):
 	case <-ctx.Done():
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	return l.inner.Read(ctx, stream, from, max, 0)
 }
 
-func (l *Log) tamperedSlice(slice ports.Slice) ports.Slice {
+func (l *Log) tamperedSlice(slice ports.ReadResult) ports.ReadResult {
 	_, _, tamper := l.hooks()
 	if tamper == nil {
 		return slice
