--- a/internal/check/violation.go
+++ b/internal/check/violation.go
@@ -1,9 +1,9 @@
 package check
 
-// Invariant is one of the things that must always hold.
+// Invariant is a property that must hold in every history.
 type Invariant string
 
-// The promises, in the brief's order.
+// The invariants, in the order of the specification.
 const (
 	WithinBudget        Invariant = "spend within budget"
 	SpendRight          Invariant = "spends only while it has the right"
@@ -19,18 +19,18 @@
 	Recovers            Invariant = "fleet serves again by itself"
 )
 
-// Invariants lists all promises that Check judges.
+// Invariants lists all invariants that Check verifies.
 func Invariants() []Invariant {
 	return []Invariant{WithinBudget, SpendRight, BilledOnce, WholeAnswer, NotRun, AtMostOnce, OneHolder, GracefulStop, NoWorkForLeaving, NoWorkForDeadEngine, ConfigNeverReverts, Recovers}
 }
 
-// Violation is one promise broken in a history.
+// Violation is one invariant that a history violates.
 type Violation struct {
 	Invariant Invariant
 	Text      string
-	// IDs are what to look for in the time line.
+	// IDs are the identifiers to look for in the timeline.
 	IDs []string
 }
 
-// String returns promise and text.
+// String returns the invariant and the text.
 func (v Violation) String() string { return string(v.Invariant) + ": " + v.Text }
