--- a/internal/enginemodel/faults.go
+++ b/internal/enginemodel/faults.go
@@ -2,25 +2,25 @@
 
 import "github.com/juju/errors"
 
-// Faults are an engine's fault switches.
+// Faults selects the faults injected into an engine.
 type Faults struct {
-	// SlowBy multiplies the time of every step; 0 counts as 1.
-	SlowBy float64
+	// SlowFactor multiplies the duration of every step; 0 means 1.
+	SlowFactor float64
 	// Hang stops all work without an error.
 	Hang bool
-	// Dead fails everything in progress, and refuses new requests.
+	// Dead fails all requests in progress and refuses new ones.
 	Dead bool
-	// ErrorShare of requests fail before their first token.
-	ErrorShare float64
-	// CrossShare of requests are answered under another id.
-	CrossShare float64
+	// ErrorRate is the fraction of requests that fail before their first token.
+	ErrorRate float64
+	// CrossRate is the fraction of requests answered under another request's id.
+	CrossRate float64
 }
 
-// How requests fail.
+// Errors passed to Request.OnEnd.
 var (
-	ErrDead      = errors.New("the engine can't be reached")
-	ErrCut       = errors.New("the engine died within the answer")
-	ErrFailed    = errors.New("the engine failed the request")
-	ErrCrossed   = errors.New("the engine answered another request")
-	ErrCancelled = errors.New("the request was cancelled")
+	ErrUnreachable = errors.New("engine is unreachable")
+	ErrInterrupted = errors.New("engine failed while sending the answer")
+	ErrFailed      = errors.New("engine returned an error for the request")
+	ErrCrossed     = errors.New("engine returned the answer to another request")
+	ErrCancelled   = errors.New("request was cancelled")
 )
--- a/internal/enginemodel/prefixcache.go
+++ b/internal/enginemodel/prefixcache.go
@@ -2,28 +2,28 @@
 
 import "container/list"
 
-// prefixCache holds KV blocks by the chained hash of the prompt up to their end.
-// Blocks that no sequence uses stay until memory is needed, the least recently used
-// going first.
+// prefixCache indexes KV blocks by the chained hash of the prompt up to the end of
+// the block. Unreferenced blocks stay cached until memory is needed and are evicted
+// in least-recently-used order.
 type prefixCache struct {
-	blocks  map[uint64]*cachedBlock
-	unused  *list.List // of *cachedBlock, the least recently used in front
-	private int
-	total   int
-	changed func(hash uint64, stored bool)
+	blocks        map[uint64]*cachedBlock
+	lru           *list.List // unreferenced *cachedBlock, least recently used at the front
+	privateBlocks int
+	capacity      int
+	onChange      func(hash uint64, stored bool)
 }
 
 type cachedBlock struct {
 	hash    uint64
-	users   int
+	refs    int
 	element *list.Element
 }
 
-func newPrefixCache(total int, changed func(hash uint64, stored bool)) *prefixCache {
-	return &prefixCache{blocks: map[uint64]*cachedBlock{}, unused: list.New(), total: total, changed: changed}
+func newPrefixCache(capacity int, onChange func(hash uint64, stored bool)) *prefixCache {
+	return &prefixCache{blocks: map[uint64]*cachedBlock{}, lru: list.New(), capacity: capacity, onChange: onChange}
 }
 
-// match returns how many leading blocks of the prefix are held.
+// match returns how many leading blocks of the prefix are cached.
 func (c *prefixCache) match(prefix []uint64) int {
 	for i, hash := range prefix {
 		if c.blocks[hash] == nil {
@@ -33,69 +33,70 @@
 	return len(prefix)
 }
 
-// take shares the leading held blocks and adds private ones; false if memory lacks.
-func (c *prefixCache) take(prefix []uint64, held, private int) bool {
-	for _, hash := range prefix[:held] {
-		c.use(c.blocks[hash])
+// allocate references the first hits blocks of the prefix and reserves private blocks. It
+// returns false if memory is insufficient.
+func (c *prefixCache) allocate(prefix []uint64, hits, privateBlocks int) bool {
+	for _, hash := range prefix[:hits] {
+		c.retain(c.blocks[hash])
 	}
-	if c.total-c.private-len(c.blocks)+c.unused.Len() < private {
-		c.release(prefix, held, 0)
+	if c.capacity-c.privateBlocks-len(c.blocks)+c.lru.Len() < privateBlocks {
+		c.release(prefix, hits, 0)
 		return false
 	}
-	for c.total-c.private-len(c.blocks) < private {
+	for c.capacity-c.privateBlocks-len(c.blocks) < privateBlocks {
 		c.evict()
 	}
-	c.private += private
+	c.privateBlocks += privateBlocks
 	return true
 }
 
-func (c *prefixCache) use(b *cachedBlock) {
+func (c *prefixCache) retain(b *cachedBlock) {
 	if b.element != nil {
-		c.unused.Remove(b.element)
+		c.lru.Remove(b.element)
 		b.element = nil
 	}
-	b.users++
+	b.refs++
 }
 
 func (c *prefixCache) evict() {
-	oldest := c.unused.Remove(c.unused.Front()).(*cachedBlock)
+	oldest := c.lru.Remove(c.lru.Front()).(*cachedBlock)
 	delete(c.blocks, oldest.hash)
-	c.changed(oldest.hash, false)
+	c.onChange(oldest.hash, false)
 }
 
-// store turns private blocks from index held on into shared ones and returns how
-// many leading blocks the sequence shares now.
-func (c *prefixCache) store(prefix []uint64, held int) (shared int) {
-	for _, hash := range prefix[held:] {
-		c.private--
+// share converts the private blocks from index sharedBefore on into shared ones and
+// returns how many leading blocks the sequence shares now.
+func (c *prefixCache) share(prefix []uint64, sharedBefore int) (shared int) {
+	for _, hash := range prefix[sharedBefore:] {
+		c.privateBlocks--
 		b := c.blocks[hash]
 		if b == nil {
 			b = &cachedBlock{hash: hash}
 			c.blocks[hash] = b
-			c.changed(hash, true)
+			c.onChange(hash, true)
 		}
-		c.use(b)
+		c.retain(b)
 	}
 	return len(prefix)
 }
 
-// release gives back a sequence's blocks. The last blocks become the least recently
-// used, as a prefix is worth more than what follows it.
-func (c *prefixCache) release(prefix []uint64, held, private int) {
-	c.private -= private
-	for i := held - 1; i >= 0; i-- {
+// release frees a sequence's blocks. The last blocks become the least recently used: a
+// prefix is worth more than the blocks after it, which can't be matched without it.
+func (c *prefixCache) release(prefix []uint64, sharedBlocks, privateBlocks int) {
+	c.privateBlocks -= privateBlocks
+	for i := sharedBlocks - 1; i >= 0; i-- {
 		b := c.blocks[prefix[i]]
-		b.users--
-		if b.users == 0 {
-			b.element = c.unused.PushBack(b)
+		b.refs--
+		if b.refs == 0 {
+			b.element = c.lru.PushBack(b)
 		}
 	}
 }
 
-func (c *prefixCache) clear() {
+func (c *prefixCache) reset() {
 	c.blocks = map[uint64]*cachedBlock{}
-	c.unused.Init()
-	c.private = 0
+	c.lru.Init()
+	c.privateBlocks = 0
 }
 
-func (c *prefixCache) used() int { return c.private + len(c.blocks) - c.unused.Len() }
+func (c *prefixCache) usedBlocks() int { return c.privateBlocks + len(c.blocks) - c.lru.Len() }
--- a/internal/enginemodel/report.go
+++ b/internal/enginemodel/report.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Report is what an engine says of its load.
-type Report struct {
-	// Age of the sample when the report arrives.
+// LoadReport is an engine's report of its load.
+type LoadReport struct {
+	// Age is the age of the sample when the report arrives.
 	Age     time.Duration
 	Running int
 	Waiting int
-	// PendingTokens are prompt tokens accepted and not yet prefilled.
+	// PendingTokens counts prompt tokens that are accepted and not yet prefilled.
 	PendingTokens int
-	// MemoryUsed is the share of KV memory that running sequences use.
+	// MemoryUsed is the fraction of KV memory in use by running sequences.
 	MemoryUsed float64
 }
 
-// CacheEvent tells that a block was stored in or dropped from the prefix cache.
+// CacheEvent reports that a block was stored in or evicted from the prefix cache.
 type CacheEvent struct {
 	Sequence uint64
 	Hash     uint64
 	Stored   bool
 }
 
-// Listener is told of an engine's reports and cache events.
+// Listener receives an engine's load reports and cache events.
 type Listener interface {
-	Load(engine string, report Report)
-	CacheEvents(engine string, events []CacheEvent)
+	OnLoadReport(engine string, report LoadReport)
+	OnCacheEvents(engine string, events []CacheEvent)
 }
 
-// publish starts the engine's periodic reports to the listeners.
-func (e *Engine) publish() {
-	e.sim.After(e.params.ReportEvery, e.reportLoad)
-	e.sim.After(e.params.EventEvery, e.reportEvents)
+// startReporting schedules the periodic reports to the listeners.
+func (e *Engine) startReporting() {
+	e.sim.After(e.params.ReportInterval, e.reportLoad)
+	e.sim.After(e.params.EventInterval, e.reportCacheEvents)
 }
 
 func (e *Engine) reportLoad() {
-	e.sim.After(e.params.ReportEvery, e.reportLoad)
+	e.sim.After(e.params.ReportInterval, e.reportLoad)
 	if e.faults.Dead || e.faults.Hang {
 		return
 	}
 	report := e.Load()
 	for _, l := range e.listeners {
-		lag := e.lag(e.params.ReportLag)
-		e.sim.After(lag, func() {
-			late := report
-			late.Age = lag
-			l.Load(e.Name, late)
+		delay := e.randomDelay(e.params.MaxReportDelay)
+		e.sim.After(delay, func() {
+			delayed := report
+			delayed.Age = delay
+			l.OnLoadReport(e.Name, delayed)
 		})
 	}
 }
 
-func (e *Engine) reportEvents() {
-	e.sim.After(e.params.EventEvery, e.reportEvents)
-	events := e.events
-	e.events = nil
+func (e *Engine) reportCacheEvents() {
+	e.sim.After(e.params.EventInterval, e.reportCacheEvents)
+	events := e.pendingEvents
+	e.pendingEvents = nil
 	if len(events) == 0 {
 		return
 	}
 	for _, l := range e.listeners {
-		if e.random.Float64() < e.params.EventLoss {
+		if e.rng.Float64() < e.params.EventLossRate {
 			continue
 		}
-		e.sim.After(e.lag(e.params.EventLag), func() { l.CacheEvents(e.Name, events) })
+		e.sim.After(e.randomDelay(e.params.MaxEventDelay), func() { l.OnCacheEvents(e.Name, events) })
 	}
 }
 
-func (e *Engine) lag(bound time.Duration) time.Duration {
-	return bound/2 + time.Duration(e.random.Int64N(int64(bound/2)+1))
+func (e *Engine) randomDelay(limit time.Duration) time.Duration {
+	return limit/2 + time.Duration(e.rng.Int64N(int64(limit/2)+1))
 }
--- a/internal/enginemodel/simulator.go
+++ b/internal/enginemodel/simulator.go
@@ -5,56 +5,57 @@
 	"time"
 )
 
-// Simulator runs functions in the order of model time.
+// Simulator is a discrete-event scheduler: it runs functions in order of simulated time.
 type Simulator struct {
-	now   time.Time
-	queue eventQueue
-	next  uint64
-	// Moved, when set, is told of each step of time before functions run at it.
-	Moved func(by time.Duration)
+	now       time.Time
+	queue     eventQueue
+	lastOrder uint64
+	// OnAdvance, if set, is called each time the clock advances, before the functions due
+	// at the new time run.
+	OnAdvance func(by time.Duration)
 }
 
-// NewSimulator returns a simulator whose time starts at start.
+// NewSimulator returns a simulator whose clock starts at start.
 func NewSimulator(start time.Time) *Simulator { return &Simulator{now: start} }
 
-// Now returns the model time.
+// Now returns the simulated time.
 func (s *Simulator) Now() time.Time { return s.now }
 
-// After runs do once d of model time has passed. Functions due at the same time run
-// in the order in which they were added.
-func (s *Simulator) After(d time.Duration, do func()) {
-	s.next++
-	heap.Push(&s.queue, scheduled{at: s.now.Add(max(d, 0)), order: s.next, do: do})
+// After schedules fn to run once d of simulated time has passed. Functions due at the same
+// time run in the order in which they were scheduled.
+func (s *Simulator) After(d time.Duration, fn func()) {
+	s.lastOrder++
+	heap.Push(&s.queue, scheduledEvent{at: s.now.Add(max(d, 0)), order: s.lastOrder, fn: fn})
 }
 
-// RunUntil runs everything that is due up to end.
+// RunUntil runs all functions due up to and including end and advances the clock to it.
 func (s *Simulator) RunUntil(end time.Time) {
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
-		due := heap.Pop(&s.queue).(scheduled)
-		s.moveTo(due.at)
-		due.do()
+		event := heap.Pop(&s.queue).(scheduledEvent)
+		s.advanceTo(event.at)
+		event.fn()
 	}
-	s.moveTo(end)
+	s.advanceTo(end)
 }
 
-func (s *Simulator) moveTo(at time.Time) {
+func (s *Simulator) advanceTo(at time.Time) {
 	by := at.Sub(s.now)
 	if by <= 0 {
 		return
 	}
 	s.now = at
-	if s.Moved != nil {
-		s.Moved(by)
+	if s.OnAdvance != nil {
+		s.OnAdvance(by)
 	}
 }
 
-type scheduled struct {
+type scheduledEvent struct {
 	at    time.Time
 	order uint64
-	do    func()
+	fn    func()
 }
 
-type eventQueue []scheduled
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 
@@ -67,7 +68,7 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 func (q *eventQueue) Pop() any {
 	old := *q
