--- a/internal/ci/gate/main.go
+++ b/internal/ci/gate/main.go
@@ -1,5 +1,5 @@
 // Command gate reads the output of "go test -json" and decides whether CI passes:
-// a failing test is allowed only when KNOWN-RED.txt names it, and those are printed.
+// a test may fail only if KNOWN-RED.txt names it, and those entries are printed.
 package main
 
 import (
@@ -10,31 +10,31 @@
 	"os"
 )
 
-const maxLine = 16 << 20
+const maxLineBytes = 16 << 20
 
 func main() {
-	known, err := readKnownRed(knownRedFile)
+	known, err := readKnownFailures(knownFailuresFile)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	if !read(os.Stdin).judge(os.Stdout, known) {
+	if !readEvents(os.Stdin).report(os.Stdout, known) {
 		os.Exit(1)
 	}
 }
 
-// read counts the events of a test run. Lines that aren't events are printed.
-func read(run io.Reader) *tally {
-	t := newTally()
-	scanner := bufio.NewScanner(run)
-	scanner.Buffer(nil, maxLine)
+// readEvents summarizes the events of a test run. It prints lines that aren't JSON events.
+func readEvents(r io.Reader) *runSummary {
+	summary := newRunSummary()
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		var e testEvent
 		if json.Unmarshal(scanner.Bytes(), &e) != nil {
 			fmt.Println(scanner.Text())
 			continue
 		}
-		t.add(e)
+		summary.addEvent(e)
 	}
-	return t
+	return summary
 }
--- /dev/null
+++ b/internal/ci/gate/summary.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"sort"
+	"strings"
+)
+
+// testEvent is one event, that is one line, of "go test -json".
+type testEvent struct {
+	Action  string
+	Package string
+	Test    string
+	Output  string
+}
+
+// testID identifies a test, or a whole package if Test is empty.
+type testID struct{ Package, Test string }
+
+// runSummary is the summary of one test run.
+type runSummary struct {
+	passed, skipped int
+	failed          []testID
+	// failedPackages counts the failed tests of each failed package; 0 means that the
+	// package didn't build, panicked or timed out.
+	failedPackages map[string]int
+	output         map[testID][]string
+}
+
+func newRunSummary() *runSummary {
+	return &runSummary{failedPackages: map[string]int{}, output: map[testID][]string{}}
+}
+
+func (s *runSummary) addEvent(e testEvent) {
+	id := testID{e.Package, e.Test}
+	switch e.Action {
+	case "output", "build-output":
+		s.output[id] = append(s.output[id], e.Output)
+	case "pass":
+		delete(s.output, id)
+		if e.Test == "" {
+			fmt.Printf("ok   %s\n", e.Package)
+		} else {
+			s.passed++
+		}
+	case "skip":
+		if e.Test != "" {
+			s.skipped++
+		}
+	case "fail", "build-fail":
+		if e.Test == "" {
+			s.failedPackages[e.Package] += 0
+			return
+		}
+		s.failedPackages[e.Package]++
+		s.failed = append(s.failed, id)
+	}
+}
+
+// report prints the result and returns whether CI passes. Known failures come first, one
+// line each. Unexpected failures come last with their full output, because readers see
+// the end of a long log first.
+func (s *runSummary) report(w io.Writer, known knownFailures) bool {
+	var unexpected []testID
+	failedByEntry := map[string]int{}
+	for _, id := range s.failed {
+		if entry := known.entryFor(id.Test); entry != "" {
+			failedByEntry[entry]++
+		} else {
+			unexpected = append(unexpected, id)
+		}
+	}
+	for _, entry := range known {
+		_, _ = fmt.Fprintf(w, "KNOWN RED (%d failed): %s\n", failedByEntry[entry], entry)
+	}
+	broken := s.brokenPackages()
+	for _, id := range append(unexpected, broken...) {
+		_, _ = fmt.Fprint(w, strings.Join(s.output[id], ""))
+	}
+	for _, id := range unexpected {
+		_, _ = fmt.Fprintf(w, "FAILED: %s\n", id.Test)
+	}
+	for _, name := range broken {
+		_, _ = fmt.Fprintf(w, "FAILED: %s without a failing test (build, panic or time limit)\n", name.Package)
+	}
+	_, _ = fmt.Fprintf(w, "%d passed, %d failed, %d skipped\n", s.passed, len(s.failed), s.skipped)
+	return len(unexpected)+len(broken) == 0 && s.passed > 0
+}
+
+// brokenPackages returns the packages that failed without a failing test, sorted by name.
+func (s *runSummary) brokenPackages() []testID {
+	var broken []testID
+	for name, tests := range s.failedPackages {
+		if tests == 0 {
+			broken = append(broken, testID{Package: name})
+		}
+	}
+	sort.Slice(broken, func(i, j int) bool { return broken[i].Package < broken[j].Package })
+	return broken
+}
--- a/internal/ci/layout/doc.go
+++ b/internal/ci/layout/doc.go
@@ -1,2 +1,2 @@
-// Package layout holds the test that keeps docs/LAYOUT.md, the list of packages, true.
+// Package layout contains the test that keeps docs/LAYOUT.md, the list of packages, up to date.
 package layout
--- a/internal/ci/layout/layout_test.go
+++ b/internal/ci/layout/layout_test.go
@@ -19,17 +19,17 @@
 	docsPath = root + "/docs/LAYOUT.md"
 )
 
-// The page must list every package with the first sentence of its own documentation.
-// UPDATE_DOCS=1 writes it anew.
+// docs/LAYOUT.md must list every package with the first sentence of its package comment.
+// UPDATE_DOCS=1 regenerates the page.
 func TestDocsListAllPackages(t *testing.T) {
 	is := is.New(t)
 	want := render(t)
 	if os.Getenv("UPDATE_DOCS") != "" {
 		is.NoErr(os.WriteFile(docsPath, []byte(want), 0o644))
 	}
-	held, err := os.ReadFile(docsPath)
+	got, err := os.ReadFile(docsPath)
 	is.NoErr(err)
-	is.Equal(string(held), want)
+	is.Equal(string(got), want)
 }
 
 func render(t *testing.T) string {
@@ -37,14 +37,14 @@
 	text.WriteString("# Layout\n\nThe packages, each with the first sentence of its documentation (`go doc` has the rest).\n\n" +
 		"This page is written by `UPDATE_DOCS=1 go test ./internal/ci/layout`; a test compares it with the code.\n\n" +
 		"| Package | What it is |\n|---|---|\n")
-	for _, dir := range packages(t) {
+	for _, dir := range packageDirs(t) {
 		fmt.Fprintf(&text, "| `%s` | %s |\n", dir, synopsis(t, dir))
 	}
 	return text.String()
 }
 
-// packages lists the folders that hold Go files, sorted.
-func packages(t *testing.T) []string {
+// packageDirs returns the folders that contain Go files, sorted.
+func packageDirs(t *testing.T) []string {
 	is := is.New(t)
 	var dirs []string
 	is.NoErr(filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -64,8 +64,8 @@
 	return dirs
 }
 
-// synopsis returns the first sentence of a package's documentation. A package without
-// any fails the test: a newcomer would have to read its code to learn what it is for.
+// synopsis returns the first sentence of a package's comment. A package without one fails
+// the test: a newcomer would have to read its code to learn what it is for.
 func synopsis(t *testing.T, dir string) string {
 	is := is.New(t)
 	files, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
@@ -77,6 +77,6 @@
 			return new(doc.Package).Synopsis(parsed.Doc.Text())
 		}
 	}
-	t.Errorf("package %s has no documentation", dir)
+	t.Errorf("package %s has no package comment", dir)
 	return ""
 }
