--- a/internal/bench/capacity/doc.go
+++ b/internal/bench/capacity/doc.go
@@ -1,5 +1,5 @@
-// Package capacity measures, on small stand-ins, what one more of each thing costs a
-// node, and computes from these slopes what the roles of the fleet cost at a larger
-// size. docs/CAPACITY.md holds the result; a figure there is measured when it is one
-// of the slopes and computed when it is a product of them.
+// Package capacity measures on small samples what one more item or operation of each kind
+// costs a node, and computes from these slopes what the roles cost in a larger fleet.
+// docs/CAPACITY.md holds the results: figures that are slopes are measured, and products of
+// slopes are computed.
 package capacity
--- a/internal/bench/capacity/entries.go
+++ b/internal/bench/capacity/entries.go
@@ -12,12 +12,12 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// Names as long as real ones: an incarnation is a UUID.
+// Names have realistic lengths: an incarnation is a UUID.
 func incarnationName(i int) string { return fmt.Sprintf("3f2b8c1e-5a77-4d0e-9a6c-%012d", i) }
 func budgetName(i int) string      { return fmt.Sprintf("account-%05d-summaries-%02d", i/5, i%5) }
 func accountName(i int) string     { return fmt.Sprintf("account-%05d", i) }
 
-func info(i int) *recordv1.NodeInfo {
+func nodeInfo(i int) *recordv1.NodeInfo {
 	return &recordv1.NodeInfo{
 		Incarnation: incarnationName(i), PeerAddress: fmt.Sprintf("10.%d.%d.20:7004", i/250, i%250),
 		HttpAddress: fmt.Sprintf("10.%d.%d.20:7001", i/250, i%250), OperatorAddress: fmt.Sprintf("10.%d.%d.20:7003", i/250, i%250),
@@ -26,7 +26,7 @@
 }
 
 func heartbeat(i int, number uint64) *recordv1.Entry {
-	return &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{Node: info(i), Number: number, RightMs: 1_800_000}}}
+	return &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{Node: nodeInfo(i), Number: number, RightMs: 1_800_000}}}
 }
 
 func topUp(i int) *recordv1.Entry {
@@ -34,11 +34,11 @@
 		Id: fmt.Sprintf("invoice-2028-%08d", i), Budget: budgetName(i), Tokens: 1 << 40}}}}
 }
 
-func claim(i int) *recordv1.Entry {
+func shareClaim(i int) *recordv1.Entry {
 	return &recordv1.Entry{Body: &recordv1.Entry_ShareClaim{ShareClaim: &recordv1.ShareClaim{Budget: budgetName(i), Tokens: 20_000_000}}}
 }
 
-// settlements returns one batch of n settlements of an incarnation, from a counter on.
+// settlements returns an entry with n settlements of an incarnation, counted from first.
 func settlements(incarnation, first, n int) *recordv1.Entry {
 	batch := &recordv1.SettlementBatch{Incarnation: incarnationName(incarnation), OldestOpen: uint64(first)}
 	for i := range n {
@@ -48,11 +48,11 @@
 	return &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}}
 }
 
-func batchOf(writer int, seq uint64, entries ...*recordv1.Entry) *recordv1.Batch {
+func newBatch(writer int, seq uint64, entries ...*recordv1.Entry) *recordv1.Batch {
 	return &recordv1.Batch{Writer: incarnationName(writer), Seq: seq, Hlc: 1 << 57, Entries: entries}
 }
 
-func encoded(batch *recordv1.Batch) []byte {
+func marshalBatch(batch *recordv1.Batch) []byte {
 	data, err := proto.Marshal(batch)
 	if err != nil {
 		panic(err) // generated messages always marshal
@@ -60,56 +60,57 @@
 	return data
 }
 
-// folder folds batches as a node does: decode, then apply.
-type folder struct {
+// batchApplier folds batches as a node does: it decodes and then applies them.
+type batchApplier struct {
 	ledger *budget.Ledger
 	config *config.State
 	engine *fold.Engine
 	offset uint64
 }
 
-func newFolder() *folder {
-	f := &folder{ledger: budget.NewLedger(), config: config.NewState(nil)}
-	f.engine = fold.NewEngine(f.config, f.ledger)
-	return f
+func newBatchApplier() *batchApplier {
+	a := &batchApplier{ledger: budget.NewLedger(), config: config.NewState(nil)}
+	a.engine = fold.NewEngine(a.config, a.ledger)
+	return a
 }
 
-func (f *folder) fold(data []byte) {
+func (a *batchApplier) apply(data []byte) {
 	batch := &recordv1.Batch{}
 	if err := proto.Unmarshal(data, batch); err != nil {
 		panic(err)
 	}
-	f.offset++
-	f.engine.Apply(f.offset, batch)
+	a.offset++
+	a.engine.Apply(a.offset, batch)
 }
 
-// account, budgetOf and upstream are resources as long as real ones.
-func account(i int) *operatorv1.Resource {
+// The resources returned by accountResource, budgetResource, upstreamResource and
+// serviceResource have realistic lengths.
+func accountResource(i int) *operatorv1.Resource {
 	return &operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{
 		Name: accountName(i), Team: fmt.Sprintf("team-%02d", i%40), KeySha256: []string{config.HashKey(accountName(i))}}}}
 }
 
-func budgetOf(i int) *operatorv1.Resource {
+func budgetResource(i int) *operatorv1.Resource {
 	return &operatorv1.Resource{Kind: &operatorv1.Resource_Budget{Budget: &operatorv1.Budget{
 		Name: budgetName(i), Account: accountName(i / 5), Services: []string{fmt.Sprintf("service-%02d", i%38)}}}}
 }
 
-func upstreamOf(i int) *operatorv1.Resource {
+func upstreamResource(i int) *operatorv1.Resource {
 	return &operatorv1.Resource{Kind: &operatorv1.Resource_Upstream{Upstream: &operatorv1.Upstream{
 		Name: fmt.Sprintf("engine-%05d", i), Service: fmt.Sprintf("service-%02d", i%38), Address: fmt.Sprintf("10.200.%d.%d:8000", i/250, i%250),
 		Region: "southern-new-england", DataCentre: fmt.Sprintf("buzzards-%02d", i%16), ChecksFencing: true}}}
 }
 
-func serviceOf(i int) *operatorv1.Resource {
+func serviceResource(i int) *operatorv1.Resource {
 	return &operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{
 		Name: fmt.Sprintf("service-%02d", i), Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{fmt.Sprintf("model-%02d", i)}}}}
 }
 
-// change makes any number of resources in one entry.
-func change(id string, resources ...*operatorv1.Resource) *recordv1.Entry {
-	entry := &recordv1.ConfigChange{ChangeId: id, Operator: "desk"}
+// configChange returns an entry that sets the given resources in one change.
+func configChange(id string, resources ...*operatorv1.Resource) *recordv1.Entry {
+	message := &recordv1.ConfigChange{ChangeId: id, Operator: "desk"}
 	for _, r := range resources {
-		entry.Changes = append(entry.Changes, &operatorv1.Change{AnyVersion: true, Resource: r})
+		message.Changes = append(message.Changes, &operatorv1.Change{AnyVersion: true, Resource: r})
 	}
-	return &recordv1.Entry{Body: &recordv1.Entry_Config{Config: entry}}
+	return &recordv1.Entry{Body: &recordv1.Entry_Config{Config: message}}
 }
--- a/internal/bench/capacity/ledger.go
+++ b/internal/bench/capacity/ledger.go
@@ -11,137 +11,138 @@
 	"lavenderpin.dev/lavenderpin/snapshot"
 )
 
-const settlementsABatch = 50
+const settlementsPerBatch = 50
 
-// ledgerSlopes measures what folding money costs every node.
+// ledgerSlopes measures what applying top-ups, shares, settlements and heartbeats to the
+// ledger costs every node.
 func ledgerSlopes(n Samples) []Slope {
-	f := newFolder()
-	f.fold(encoded(batchOf(0, 1, heartbeat(0, 1))))
-	line := grown(n.Budgets, func() any {
+	applier := newBatchApplier()
+	applier.apply(marshalBatch(newBatch(0, 1, heartbeat(0, 1))))
+	budgetBytes := heapPerItem(n.Budgets, func() any {
 		for i := range n.Budgets {
-			f.fold(encoded(batchOf(1, uint64(i+1), topUp(i))))
+			applier.apply(marshalBatch(newBatch(1, uint64(i+1), topUp(i))))
 		}
-		return f
+		return applier
 	})
-	share := grown(n.Shares, func() any {
+	shareBytes := heapPerItem(n.Shares, func() any {
 		for i := range n.Shares {
-			f.fold(encoded(batchOf(0, uint64(i+2), claim(i))))
+			applier.apply(marshalBatch(newBatch(0, uint64(i+2), shareClaim(i))))
 		}
-		return f
+		return applier
 	})
 	seq := uint64(n.Shares + 2)
-	batches := make([][]byte, 0, n.Settlements/settlementsABatch)
-	size := 0
-	next := 1
-	for range n.Settlements / settlementsABatch {
+	batches := make([][]byte, 0, n.Settlements/settlementsPerBatch)
+	batchBytes := 0
+	nextCounter := 1
+	for range n.Settlements / settlementsPerBatch {
 		batches = append(batches, nil)
 	}
-	settle := each(n.Settlements, func() {
+	encodeNanos := nanosPerOperation(n.Settlements, func() {
 		for i := range batches {
-			batches[i] = encoded(batchOf(0, seq, settlements(0, next, settlementsABatch)))
-			seq, next = seq+1, next+settlementsABatch
+			batches[i] = marshalBatch(newBatch(0, seq, settlements(0, nextCounter, settlementsPerBatch)))
+			seq, nextCounter = seq+1, nextCounter+settlementsPerBatch
 		}
 	})
-	size = len(batches[0])
-	encodeOnly := settle
-	began := time.Now()
+	batchBytes = len(batches[0])
+	encodeOnly := encodeNanos
+	start := time.Now()
 	for _, data := range batches {
-		f.fold(data)
+		applier.apply(data)
 	}
-	foldEach := float64(time.Since(began).Nanoseconds()) / float64(n.Settlements)
-	beat := encoded(batchOf(1, 1, heartbeat(1, 1)))
+	foldNanos := float64(time.Since(start).Nanoseconds()) / float64(n.Settlements)
+	heartbeatBatch := marshalBatch(newBatch(1, 1, heartbeat(1, 1)))
 	return []Slope{
-		{"ledger memory per budget", line, "B", "50,000 top-ups folded, one budget each; includes the top-up's id"},
-		{"ledger memory per share", share, "B", "20,000 claims of one incarnation folded"},
-		{"log bytes per settlement", float64(size) / settlementsABatch, "B", "one batch of 50 settlements, UUID incarnation, 22-letter budget"},
+		{"ledger memory per budget", budgetBytes, "B", "50,000 top-ups folded, one budget each; includes the top-up's id"},
+		{"ledger memory per share", shareBytes, "B", "20,000 claims of one incarnation folded"},
+		{"log bytes per settlement", float64(batchBytes) / settlementsPerBatch, "B", "one batch of 50 settlements, UUID incarnation, 22-letter budget"},
 		{"encode per settlement", encodeOnly, "ns", "building and marshalling batches of 50"},
-		{"fold per settlement", foldEach, "ns", "unmarshal and apply, batches of 50"},
-		{"log bytes per heartbeat", float64(len(beat)), "B", "a batch with one heartbeat"},
-		{"ledger memory per incarnation", incarnationMemory(n), "B", "400 first heartbeats folded"},
-		{"ledger memory per open settlement", openSettlementMemory(n), "B", "settlements above the oldest open counter"},
-		{"fold per heartbeat", foldHeartbeat(n), "ns", "unmarshal and apply"},
+		{"fold per settlement", foldNanos, "ns", "unmarshal and apply, batches of 50"},
+		{"log bytes per heartbeat", float64(len(heartbeatBatch)), "B", "a batch with one heartbeat"},
+		{"ledger memory per incarnation", incarnationBytes(n), "B", "400 first heartbeats folded"},
+		{"ledger memory per open settlement", openSettlementBytes(n), "B", "settlements above the oldest open counter"},
+		{"fold per heartbeat", foldHeartbeatNanos(n), "ns", "unmarshal and apply"},
 	}
 }
 
-func incarnationMemory(n Samples) float64 {
-	f := newFolder()
-	return grown(n.Incarnations, func() any {
+func incarnationBytes(n Samples) float64 {
+	applier := newBatchApplier()
+	return heapPerItem(n.Incarnations, func() any {
 		for i := range n.Incarnations {
-			f.fold(encoded(batchOf(i, 1, heartbeat(i, 1))))
+			applier.apply(marshalBatch(newBatch(i, 1, heartbeat(i, 1))))
 		}
-		return f
+		return applier
 	})
 }
 
-func openSettlementMemory(n Samples) float64 {
-	f := newFolder()
-	f.fold(encoded(batchOf(0, 1, heartbeat(0, 1))))
-	f.fold(encoded(batchOf(1, 1, topUp(0))))
-	f.fold(encoded(batchOf(0, 2, claim(0))))
-	return grown(n.Settlements, func() any {
-		for i := range n.Settlements / settlementsABatch {
-			entry := settlements(0, 2+i*settlementsABatch, settlementsABatch)
+func openSettlementBytes(n Samples) float64 {
+	applier := newBatchApplier()
+	applier.apply(marshalBatch(newBatch(0, 1, heartbeat(0, 1))))
+	applier.apply(marshalBatch(newBatch(1, 1, topUp(0))))
+	applier.apply(marshalBatch(newBatch(0, 2, shareClaim(0))))
+	return heapPerItem(n.Settlements, func() any {
+		for i := range n.Settlements / settlementsPerBatch {
+			entry := settlements(0, 2+i*settlementsPerBatch, settlementsPerBatch)
 			entry.GetSettlements().OldestOpen = 1
-			f.fold(encoded(batchOf(0, uint64(i+3), entry)))
+			applier.apply(marshalBatch(newBatch(0, uint64(i+3), entry)))
 		}
-		return f
+		return applier
 	})
 }
 
-func foldHeartbeat(n Samples) float64 {
-	f := newFolder()
+func foldHeartbeatNanos(n Samples) float64 {
+	applier := newBatchApplier()
 	round := 0
 	batches := make([][]byte, 0, n.Incarnations*rounds)
-	for beat := range rounds {
+	for heartbeatRound := range rounds {
 		for i := range n.Incarnations {
-			batches = append(batches, encoded(batchOf(i, uint64(beat+1), heartbeat(i, uint64(beat+1)))))
+			batches = append(batches, marshalBatch(newBatch(i, uint64(heartbeatRound+1), heartbeat(i, uint64(heartbeatRound+1)))))
 		}
 	}
-	return each(n.Incarnations, func() {
+	return nanosPerOperation(n.Incarnations, func() {
 		for _, data := range batches[round*n.Incarnations : (round+1)*n.Incarnations] {
-			f.fold(data)
+			applier.apply(data)
 		}
 		round++
 	})
 }
 
-// snapshotSlopes measures the ledger's and the configuration's snapshot.
+// snapshotSlopes measures the ledger's snapshot: writing, sealing and restoring it.
 func snapshotSlopes(n Samples) []Slope {
-	f := newFolder()
+	applier := newBatchApplier()
 	for i := range n.Budgets {
-		f.fold(encoded(batchOf(1, uint64(i+1), topUp(i))))
+		applier.apply(marshalBatch(newBatch(1, uint64(i+1), topUp(i))))
 	}
 	var data []byte
-	took := each(n.Budgets, func() {
+	snapshotNanos := nanosPerOperation(n.Budgets, func() {
 		var err error
-		if data, err = f.ledger.Snapshot(); err != nil {
+		if data, err = applier.ledger.Snapshot(); err != nil {
 			panic(err)
 		}
 	})
-	restore := each(n.Budgets, func() {
+	restoreNanos := nanosPerOperation(n.Budgets, func() {
 		if err := budget.NewLedger().Restore(data); err != nil {
 			panic(err)
 		}
 	})
-	sealed, err := snapshot.Seal(&recordv1.FoldState{Offset: f.offset, Parts: []*recordv1.PartState{{Name: f.ledger.Name(), Data: data}}})
+	sealed, err := snapshot.Seal(&recordv1.FoldState{Offset: applier.offset, Parts: []*recordv1.PartState{{Name: applier.ledger.Name(), Data: data}}})
 	if err != nil {
 		panic(err)
 	}
-	seal := each(n.Budgets, func() {
-		if _, err := snapshot.Seal(&recordv1.FoldState{Offset: f.offset, Parts: []*recordv1.PartState{{Name: f.ledger.Name(), Data: data}}}); err != nil {
+	sealNanos := nanosPerOperation(n.Budgets, func() {
+		if _, err := snapshot.Seal(&recordv1.FoldState{Offset: applier.offset, Parts: []*recordv1.PartState{{Name: applier.ledger.Name(), Data: data}}}); err != nil {
 			panic(err)
 		}
 	})
 	return []Slope{
 		{"sealed snapshot bytes per budget", float64(len(sealed)) / float64(n.Budgets), "B", "the same part compressed, as it goes through the log; names differ by numbers alone"},
-		{"seal per budget", seal, "ns", "compress and sum, ledger part"},
+		{"seal per budget", sealNanos, "ns", "compress and checksum, ledger part"},
 		{"snapshot bytes per budget", float64(len(data)) / float64(n.Budgets), "B", "ledger part of 50,000 budgets, before compression"},
-		{"snapshot per budget", took, "ns", "ledger part, written"},
-		{"restore per budget", restore, "ns", "ledger part, read"},
+		{"snapshot per budget", snapshotNanos, "ns", "ledger part, written"},
+		{"restore per budget", restoreNanos, "ns", "ledger part, read"},
 	}
 }
 
-// changeBytes is the size of one ordinary change.
-func changeBytes() float64 {
-	return float64(proto.Size(batchOf(0, 1, change(fmt.Sprintf("change-%036d", 1), upstreamOf(1)))))
+// configChangeBytes returns the log bytes of a change of one upstream.
+func configChangeBytes() float64 {
+	return float64(proto.Size(newBatch(0, 1, configChange(fmt.Sprintf("change-%036d", 1), upstreamResource(1)))))
 }
--- a/internal/bench/capacity/outage.go
+++ b/internal/bench/capacity/outage.go
@@ -8,17 +8,18 @@
 	"lavenderpin.dev/lavenderpin/budget"
 )
 
-// outageSlopes measures what a node keeps of each request settled while the log is out.
+// outageSlopes measures the memory that a node holds for each request settled during an outage
+// of the log.
 func outageSlopes(size Size) []Slope {
-	hour := int(size.RequestsPerSecond / float64(size.Nodes) * time.Hour.Seconds())
+	requests := int(size.RequestsPerSecond / float64(size.Nodes) * time.Hour.Seconds())
 	clock := clockwork.NewRealClock()
 	holder := budget.NewShareHolder(incarnationName(0), clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
 	for i := range activeBudgets {
 		holder.Credit(budgetName(i), 1<<40)
 	}
-	memory := grown(hour, func() any {
-		for i := range hour {
+	memory := heapPerItem(requests, func() any {
+		for i := range requests {
 			r, err := holder.Reserve(budgetName(i%activeBudgets), 500)
 			if err != nil {
 				panic(err)
--- a/internal/bench/capacity/size.go
+++ b/internal/bench/capacity/size.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Size is a fleet to compute for.
+// Size is the fleet size and load that the roles are computed for.
 type Size struct {
 	Nodes, Engines    int
 	RequestsPerSecond float64
@@ -14,21 +14,21 @@
 	ChangesPerDay     float64
 	FailuresPerDay    float64
 	RestartsPerDay    float64
-	// HeldBudgets is how many budgets one node holds a share of at a time, and
-	// SharesHeld how many nodes hold a share of a budget that is in use.
+	// HeldBudgets is the number of budgets that one node holds a share of at a time.
 	HeldBudgets int
-	// Heartbeat and Flush are the nodes' intervals.
+	// Heartbeat, Flush and Ping are the nodes' intervals.
 	Heartbeat, Flush, Ping time.Duration
-	// Allowance for control, for each node.
+	// The allowance of each node for control work; LogAppendsMax, in appends a second, is that
+	// of the whole fleet.
 	CorePercent   float64
 	MemoryMB      float64
 	BytesASecond  float64
 	LogAppendsMax float64
 }
 
-// TwoYears is the size that the users name for two years from now. Held budgets,
-// and the share of a few hundred appends, are assumptions of ours.
-func TwoYears() Size {
+// TwoYearSize returns the size that users expect in two years. HeldBudgets and LogAppendsMax,
+// the share of a few hundred appends, are assumptions of this package.
+func TwoYearSize() Size {
 	return Size{
 		Nodes: 380, Engines: 3_900, RequestsPerSecond: 8_600, TokensPerSecond: 1_900_000,
 		Budgets: 220_000, Accounts: 43_000, Models: 38, Regions: 6, DataCentres: 16,
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Slope is what one more of something costs.
+// Slope is the marginal cost of one more item or operation.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// How says what was measured.
+	// How describes what was measured.
 	How string `json:"how"`
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapInUse returns the heap bytes in use after garbage collection.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -23,24 +23,24 @@
 	return float64(stats.HeapAlloc)
 }
 
-// grown returns the heap that build leaves behind for each of n things.
-func grown(n int, build func() any) float64 {
-	before := heap()
-	kept := build()
-	after := heap()
-	runtime.KeepAlive(kept)
+// heapPerItem returns the heap bytes that the result of build retains, per item of n.
+func heapPerItem(n int, build func() any) float64 {
+	before := heapInUse()
+	result := build()
+	after := heapInUse()
+	runtime.KeepAlive(result)
 	return (after - before) / float64(n)
 }
 
-// each returns the time of one of n calls, in nanoseconds: the best of several
-// rounds, as the machine is shared.
-func each(n int, do func()) float64 {
+// nanosPerOperation returns the time of one of the n operations of fn, in nanoseconds. It
+// takes the best of several rounds, because the machine is shared.
+func nanosPerOperation(n int, fn func()) float64 {
 	best := time.Duration(0)
 	for range rounds {
-		began := time.Now()
-		do()
-		if took := time.Since(began); best == 0 || took < best {
-			best = took
+		start := time.Now()
+		fn()
+		if elapsed := time.Since(start); best == 0 || elapsed < best {
+			best = elapsed
 		}
 	}
 	return float64(best.Nanoseconds()) / float64(n)
--- a/internal/bench/capacity/witness.go
+++ b/internal/bench/capacity/witness.go
@@ -15,18 +15,18 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-// witnessed counts what a teller and its witness say to each other. It is a
-// peer.Caller.
-type witnessed struct {
-	memory   *witness.Store
+// countingWitness is a peer.Caller that stands for a witness and counts the messages and bytes
+// exchanged with it.
+type countingWitness struct {
+	store    *witness.Store
 	bytes    atomic.Int64
 	messages atomic.Int64
 }
 
 // Call implements peer.Caller.
-func (w *witnessed) Call(_ context.Context, _ string, r *fleetv1.Request) (*fleetv1.Response, error) {
+func (w *countingWitness) Call(_ context.Context, _ string, r *fleetv1.Request) (*fleetv1.Response, error) {
 	answer := &fleetv1.Response{Hlc: r.GetHlc(), Body: &fleetv1.Response_Witnessed{Witnessed: &fleetv1.Witnessed{}}}
-	if err := w.memory.Update(r.GetFrom(), proto.CloneOf(r.GetWitness())); err != nil {
+	if err := w.store.Update(r.GetFrom(), proto.CloneOf(r.GetWitness())); err != nil {
 		return nil, err
 	}
 	w.messages.Add(1)
@@ -34,14 +34,14 @@
 	return answer, nil
 }
 
-// witnessSlopes runs the exchange for requests that come one after the other: each
-// waits until the witness knows it, and is told of again at its end.
+// witnessSlopes measures witness replication for sequential requests: each waits until the
+// witness has stored it, and its end is reported afterwards.
 func witnessSlopes(n Samples) []Slope {
 	clock := clockwork.NewRealClock()
-	peer := &witnessed{memory: witness.NewStore()}
+	peerWitness := &countingWitness{store: witness.NewStore()}
 	events := event.NewRecorder(event.NewHLC(clock), incarnationName(0), n.Events, golog.NewNopLogger())
-	teller := witness.NewReplicator(witness.Config{
-		Incarnation: incarnationName(0), Clock: clock, Caller: peer, Events: events,
+	replicator := witness.NewReplicator(witness.Config{
+		Incarnation: incarnationName(0), Clock: clock, Caller: peerWitness, Events: events,
 		Candidates: func() []witness.Candidate {
 			return []witness.Candidate{{Incarnation: incarnationName(1), Address: "10.0.1.20:7004"}}
 		},
@@ -50,24 +50,24 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go teller.Run(ctx)
-	before := heap()
-	began := time.Now()
+	go replicator.Run(ctx)
+	before := heapInUse()
+	start := time.Now()
 	for i := range n.Lookups {
 		open := &fleetv1.OpenRequest{Request: fmt.Sprintf("%s.%d", incarnationName(0), i), Budget: budgetName(i % activeBudgets),
 			Reserved: 700, Upstream: "engine-00012"}
-		if err := teller.Tell(ctx, open); err != nil {
+		if err := replicator.Tell(ctx, open); err != nil {
 			panic(err)
 		}
-		teller.Ended(open.GetRequest(), 221)
+		replicator.Ended(open.GetRequest(), 221)
 	}
-	took := time.Since(began)
-	both := heap() - before
-	requests := float64(teller.Len())
+	elapsed := time.Since(start)
+	heldBytes := heapInUse() - before
+	requests := float64(replicator.Len())
 	return []Slope{
-		{"witness exchange, bytes per request", float64(peer.bytes.Load()) / requests, "B", "a teller and its witness as they run, both ways, open and end, requests one after the other; without transport"},
-		{"witness exchange, messages per request", float64(peer.messages.Load()) / requests, "", "the same run; the end of a request goes with the next one's beginning"},
-		{"witness exchange, time per request", float64(took.Nanoseconds()) / requests, "ns", "the same run, told and answered without a network"},
-		{"witness memory per request", both / requests, "B", "the same run: what the teller and its witness keep together until it is settled in the log"},
+		{"witness exchange, bytes per request", float64(peerWitness.bytes.Load()) / requests, "B", "a replicator and its witness as they run, both ways, open and end, requests one after the other; without transport"},
+		{"witness exchange, messages per request", float64(peerWitness.messages.Load()) / requests, "", "the same run; the end of a request goes with the next one's beginning"},
+		{"witness exchange, time per request", float64(elapsed.Nanoseconds()) / requests, "ns", "the same run, sent and answered without a network"},
+		{"witness memory per request", heldBytes / requests, "B", "the same run: what the replicator and its witness hold together until it is settled in the log"},
 	}
 }
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxIdle       = 2048
+	maxIdleConns  = 2048
 	clientTimeout = time.Minute
 	dataPrefix    = "data:"
 	doneMarker    = "[DONE]"
 )
 
-// client sends requests and checks what comes back against what was asked.
+// client sends requests and checks each answer against its request.
 type client struct {
 	http    *http.Client
 	options Options
@@ -27,11 +27,11 @@
 
 func newClient(options Options) *client {
 	return &client{options: options, http: &http.Client{Timeout: clientTimeout,
-		Transport: &http.Transport{MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle}}}
+		Transport: &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}}}
 }
 
-// answerBody is what the client reads of an answer or of a chunk.
-type answerBody struct {
+// responseBody holds the fields that the client reads from an answer or a stream chunk.
+type responseBody struct {
 	Choices []struct {
 		Message struct {
 			Content string `json:"content"`
@@ -50,30 +50,30 @@
 	} `json:"error"`
 }
 
-// chat sends a completion whose whole answer is the prompt itself.
-func (c *client) chat(ctx context.Context, k kind, target, id, prompt string) outcome {
-	o := outcome{kind: k, id: id}
-	stream := k != kindWhole
+// chat sends a completion request; the complete answer is the prompt itself.
+func (c *client) chat(ctx context.Context, kind requestKind, target, id, prompt string) outcome {
+	o := outcome{kind: kind, id: id}
+	stream := kind != kindUnary
 	body, _ := json.Marshal(map[string]any{"model": c.options.Model, "stream": stream, "max_tokens": len(strings.Fields(prompt)),
 		"stream_options": map[string]bool{"include_usage": true},
 		"messages":       []map[string]string{{"role": "user", "content": prompt}}})
-	began := time.Now()
+	start := time.Now()
 	response, err := c.post(ctx, "http://"+target+"/v1/chat/completions", id, body)
 	if err != nil {
 		o.lost = true
 		return o
 	}
 	defer func() { _ = response.Body.Close() }()
-	o.status, o.request = response.StatusCode, response.Header.Get("X-Request-Id")
+	o.status, o.requestID = response.StatusCode, response.Header.Get("X-Request-Id")
 	text := ""
 	if stream && o.status == http.StatusOK {
-		text = c.readStream(response.Body, began, &o)
+		text = c.readStream(response.Body, start, &o)
 	} else {
-		text = c.readWhole(response.Body, &o)
+		text = c.readBody(response.Body, &o)
 	}
-	o.latency = time.Since(began)
+	o.latency = time.Since(start)
 	o.crossed = o.status == http.StatusOK && !strings.HasPrefix(prompt+" ", text)
-	o.whole = o.whole && text == prompt+" "
+	o.complete = o.complete && text == prompt+" "
 	return o
 }
 
@@ -87,25 +87,25 @@
 	return c.http.Do(request)
 }
 
-func (c *client) readWhole(from io.Reader, o *outcome) string {
-	data, err := io.ReadAll(from)
+func (c *client) readBody(body io.Reader, o *outcome) string {
+	data, err := io.ReadAll(body)
 	if err != nil {
 		o.lost = true
 		return ""
 	}
-	var answer answerBody
+	var answer responseBody
 	if json.Unmarshal(data, &answer) != nil {
 		return ""
 	}
-	c.take(&answer, o)
+	c.recordUsage(&answer, o)
 	if len(answer.Choices) == 0 {
 		return ""
 	}
-	o.whole = true
+	o.complete = true
 	return answer.Choices[0].Message.Content
 }
 
-func (c *client) take(answer *answerBody, o *outcome) {
+func (c *client) recordUsage(answer *responseBody, o *outcome) {
 	if answer.Usage != nil {
 		o.tokens = answer.Usage.Prompt + answer.Usage.Completion
 	}
@@ -114,41 +114,41 @@
 	}
 }
 
-func (c *client) readStream(from io.Reader, began time.Time, o *outcome) string {
+func (c *client) readStream(body io.Reader, start time.Time, o *outcome) string {
 	var text strings.Builder
-	lines := bufio.NewScanner(from)
+	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, found := strings.CutPrefix(lines.Text(), dataPrefix)
 		if !found {
 			continue
 		}
-		if o.first == 0 {
-			o.first = time.Since(began)
+		if o.firstByte == 0 {
+			o.firstByte = time.Since(start)
 		}
 		data = strings.TrimSpace(data)
 		if data == doneMarker {
-			o.whole = true
+			o.complete = true
 			break
 		}
-		var chunk answerBody
+		var chunk responseBody
 		if json.Unmarshal([]byte(data), &chunk) != nil {
 			continue
 		}
-		c.take(&chunk, o)
+		c.recordUsage(&chunk, o)
 		if len(chunk.Choices) > 0 {
 			text.WriteString(chunk.Choices[0].Delta.Content)
 		}
 	}
-	// A connection that broke is seen as such; only a stream that ended as if it
-	// were complete is truncated.
-	o.lost = !o.whole && lines.Err() != nil
+	// A broken connection counts as lost. Only a stream that ends without an error and
+	// without the terminal marker counts as truncated.
+	o.lost = !o.complete && lines.Err() != nil
 	return text.String()
 }
 
-// call sends a plain call that must not run twice; the service echoes its body.
-func (c *client) call(ctx context.Context, target, id string) outcome {
+// callPlain sends a plain call that must not run twice; the service echoes its body.
+func (c *client) callPlain(ctx context.Context, target, id string) outcome {
 	o := outcome{kind: kindPlain, id: id}
-	began := time.Now()
+	start := time.Now()
 	response, err := c.post(ctx, "http://"+target+"/s/"+c.options.PlainService+"/work", id, []byte(id))
 	if err != nil {
 		o.lost = true
@@ -157,11 +157,11 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	o.lost = err != nil
-	o.status, o.latency = response.StatusCode, time.Since(began)
-	o.whole, o.crossed = string(data) == id, o.status == http.StatusOK && string(data) != id
-	var answer answerBody
+	o.status, o.latency = response.StatusCode, time.Since(start)
+	o.complete, o.crossed = string(data) == id, o.status == http.StatusOK && string(data) != id
+	var answer responseBody
 	if o.status != http.StatusOK && json.Unmarshal(data, &answer) == nil {
-		c.take(&answer, &o)
+		c.recordUsage(&answer, &o)
 	}
 	return o
 }
--- a/internal/bench/cpu.go
+++ b/internal/bench/cpu.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time used by this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,7 +1,7 @@
-// Package bench puts a seeded open-loop load on a fleet, embedded or by address,
-// and measures what it costs; and it measures the slopes from which docs/CAPACITY.md
-// computes larger sizes.
+// Package bench runs a seeded open-loop load against a fleet, embedded or given by address,
+// and measures its cost. Its subpackage capacity measures the slopes, or unit costs, from
+// which docs/CAPACITY.md computes larger sizes.
 //
-// Open loop means that requests begin at their drawn times, however slow the fleet
-// answers: a fleet that falls behind shows as latency, not as a lower rate.
+// Open loop means that requests start at their drawn times, however slowly the fleet
+// answers: a fleet that falls behind shows up as latency, not as a lower rate.
 package bench
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -9,64 +9,64 @@
 	"time"
 )
 
-// load draws requests and sends them at their times.
-type load struct {
+// loadGenerator draws random requests and sends them at their drawn times.
+type loadGenerator struct {
 	client  *client
 	options Options
-	// targets are the nodes; engines are asked straight, to compare with.
+	// targets are node addresses; engines are addresses for direct requests, the baseline.
 	targets, engines []string
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-// run sends requests for a while; direct is the share of completions that go
-// straight to an engine. It returns when the last is answered.
-func (l *load) run(ctx context.Context, name string, duration time.Duration, direct float64) []outcome {
-	r := rand.New(rand.NewPCG(l.options.Seed, uint64(len(name))))
+// run sends requests for the given duration and returns when the last is answered.
+// directShare is the share of completions sent directly to an engine.
+func (l *loadGenerator) run(ctx context.Context, name string, duration time.Duration, directShare float64) []outcome {
+	rng := rand.New(rand.NewPCG(l.options.Seed, uint64(len(name))))
 	l.outcomes = nil
-	began := time.Now()
-	at := time.Duration(0)
-	var wait sync.WaitGroup
+	start := time.Now()
+	offset := time.Duration(0)
+	var wg sync.WaitGroup
 	for i := 0; ctx.Err() == nil; i++ {
-		at += time.Duration(r.ExpFloat64() / l.options.Rate * float64(time.Second))
-		if at > duration {
+		offset += time.Duration(rng.ExpFloat64() / l.options.Rate * float64(time.Second))
+		if offset > duration {
 			break
 		}
-		send := l.draw(r, fmt.Sprintf("%s-%d", name, i), direct)
-		time.Sleep(time.Until(began.Add(at)))
-		wait.Go(func() { l.keep(send(ctx)) })
+		send := l.nextRequest(rng, fmt.Sprintf("%s-%d", name, i), directShare)
+		time.Sleep(time.Until(start.Add(offset)))
+		wg.Go(func() { l.addOutcome(send(ctx)) })
 	}
-	wait.Wait()
+	wg.Wait()
 	return l.outcomes
 }
 
-func (l *load) keep(o outcome) {
+func (l *loadGenerator) addOutcome(o outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes = append(l.outcomes, o)
 }
 
-func (l *load) draw(r *rand.Rand, id string, direct float64) func(context.Context) outcome {
-	draw := r.Float64()
-	words := minWords + r.IntN(maxWords-minWords)
-	target := l.targets[r.IntN(len(l.targets))]
-	isDirect := len(l.engines) > 0 && r.Float64() < direct
-	if draw < l.options.Plain && direct < 1 {
-		return func(ctx context.Context) outcome { return l.client.call(ctx, target, id) }
+func (l *loadGenerator) nextRequest(rng *rand.Rand, id string, directShare float64) func(context.Context) outcome {
+	draw := rng.Float64()
+	words := minWords + rng.IntN(maxWords-minWords)
+	target := l.targets[rng.IntN(len(l.targets))]
+	direct := len(l.engines) > 0 && rng.Float64() < directShare
+	if draw < l.options.PlainShare && directShare < 1 {
+		return func(ctx context.Context) outcome { return l.client.callPlain(ctx, target, id) }
 	}
-	k := kindWhole
-	if draw < l.options.Plain+l.options.Stream {
-		k = kindStream
+	kind := kindUnary
+	if draw < l.options.PlainShare+l.options.StreamShare {
+		kind = kindStream
 	}
-	if isDirect {
-		k, target = kindDirect, l.engines[r.IntN(len(l.engines))]
+	if direct {
+		kind, target = kindDirect, l.engines[rng.IntN(len(l.engines))]
 	}
-	prompt := promptOf(id, words)
-	return func(ctx context.Context) outcome { return l.client.chat(ctx, k, target, id, prompt) }
+	prompt := makePrompt(id, words)
+	return func(ctx context.Context) outcome { return l.client.chat(ctx, kind, target, id, prompt) }
 }
 
-func promptOf(id string, words int) string {
+func makePrompt(id string, words int) string {
 	parts := []string{id}
 	for i := range words {
 		parts = append(parts, fmt.Sprintf("w%d", i))
--- a/internal/bench/outcome.go
+++ b/internal/bench/outcome.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// kind is a kind of request.
-type kind int
+// requestKind selects how a request is sent and whether its answer is streamed.
+type requestKind int
 
 const (
-	kindWhole kind = iota
+	kindUnary requestKind = iota
 	kindStream
 	kindPlain
 	kindDirect
 )
 
-// outcome is one request as its caller saw it.
+// outcome is the result of one request as its caller observed it.
 type outcome struct {
-	kind    kind
-	id      string
-	request string
-	status  int
-	code    string
-	tokens  uint64
-	whole   bool
-	crossed bool
-	lost    bool
-	latency time.Duration
-	first   time.Duration
+	kind      requestKind
+	id        string
+	requestID string
+	status    int
+	code      string
+	tokens    uint64
+	complete  bool
+	crossed   bool
+	lost      bool
+	latency   time.Duration
+	firstByte time.Duration
 }
 
-func (o outcome) ok() bool { return !o.lost && o.status == 200 && o.whole && !o.crossed }
+func (o outcome) ok() bool { return !o.lost && o.status == 200 && o.complete && !o.crossed }
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -1,6 +1,6 @@
 package bench
 
-// Report is what a run came to.
+// Report holds the results of a run.
 type Report struct {
 	Seed            uint64  `json:"seed"`
 	Rate            float64 `json:"rate"`
@@ -17,11 +17,11 @@
 	Truncated       int     `json:"truncated"`
 	Crossed         int     `json:"crossed"`
 	BilledTokens    uint64  `json:"billed_tokens"`
-	// AnsweredTokens is what the whole answers come to.
+	// AnsweredTokens is the expected charge, in tokens, of all complete answers.
 	AnsweredTokens uint64 `json:"answered_tokens"`
 
-	// Latencies are of whole completions; added is routed less direct at the same
-	// quantile. First is the time to the first byte of a streamed answer.
+	// Latencies are of complete answers to completions; added is routed minus direct at the
+	// same quantile. First is the time to the first byte of a streamed answer.
 	RoutedP50MS     float64 `json:"routed_p50_ms"`
 	RoutedP99MS     float64 `json:"routed_p99_ms"`
 	DirectP50MS     float64 `json:"direct_p50_ms"`
@@ -31,22 +31,22 @@
 	AddedFirstP50MS float64 `json:"added_first_p50_ms"`
 	AddedFirstP99MS float64 `json:"added_first_p99_ms"`
 
-	// CPUPerRequestUS is the processor time of the whole process, load generator and
-	// stand-ins included; CPUDirectUS is the same for requests sent straight to the
-	// engines, and CPUAddedUS the difference.
+	// CPUPerRequestUS is the CPU time of the whole process, including the load generator and
+	// the stand-in services; CPUDirectUS is the same for requests sent directly to the
+	// engines, and CPUAddedUS is the difference.
 	CPUPerRequestUS float64 `json:"cpu_per_request_us"`
 	CPUDirectUS     float64 `json:"cpu_direct_us"`
 	CPUAddedUS      float64 `json:"cpu_added_us"`
 
-	// BytesBetweenRegions is what nodes of the away region exchanged with the log
-	// and with nodes of the other region.
+	// BytesBetweenRegions counts the bytes that nodes of the away region exchanged with the
+	// log and with nodes of the home region.
 	BytesBetweenRegions uint64 `json:"bytes_between_regions"`
 	BytesToLog          uint64 `json:"bytes_away_log"`
 	BytesToPeers        uint64 `json:"bytes_away_peers"`
 	Appends             uint64 `json:"appends"`
 
-	// Codes counts refusals and failures by result code.
+	// Codes counts refused and failed requests by result code.
 	Codes map[string]int `json:"codes"`
-	// NotMeasured names the figures that this kind of run can't give.
+	// NotMeasured names the figures that this kind of run can't measure.
 	NotMeasured []string `json:"not_measured,omitempty"`
 }
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -14,19 +14,19 @@
 const (
 	homeRegion = "gulf-maine"
 	awayRegion = "southern-new-england"
-	// baselineShare is the part of the duration that only engines are asked, for
-	// the processor time to compare with.
-	baselineShare = 4
-	settleLimit   = 20 * time.Second
-	settlePoll    = 20 * time.Millisecond
-	// plainTokens is what the sample's plain service charges for a POST.
+	// baselineDivisor divides the duration to get that of the baseline run, which sends
+	// requests only to engines and gives the CPU time to compare with.
+	baselineDivisor = 4
+	settleTimeout   = 20 * time.Second
+	pollInterval    = 20 * time.Millisecond
+	// plainTokens is the charge of the sample configuration's plain service for a POST.
 	plainTokens = 5
 )
 
-// Run puts the load on the fleet and returns the figures.
+// Run runs the load against the fleet and returns the results.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if len(options.Targets) > 0 {
-		l := &load{client: newClient(options), options: options, targets: options.Targets}
+		l := &loadGenerator{client: newClient(options), options: options, targets: options.Targets}
 		report := newReport(options, l.run(ctx, "load", options.Duration, 0))
 		report.NotMeasured = []string{"overspend_tokens", "double_billed", "unbilled", "double_runs", "added latency", "cpu_per_request_us", "bytes_between_regions"}
 		return report, nil
@@ -42,23 +42,23 @@
 	}
 	defer fleet.Stop()
 	options.Key, options.Model, options.PlainService = devfleet.SampleAccountKey, devfleet.SampleModel, "orders"
-	l := &load{client: newClient(options), options: options}
+	l := &loadGenerator{client: newClient(options), options: options}
 	for _, d := range fleet.Daemons {
 		l.targets = append(l.targets, d.Node().Settings().HTTPAddress)
 	}
 	for _, u := range fleet.EngineUpstreams {
 		l.engines = append(l.engines, u.GetAddress())
 	}
-	direct, directCPU := l.timed(ctx, "baseline", options.Duration/baselineShare, 1)
-	logBefore, peersBefore, appendsBefore := m.log.Load(), m.peers.Load(), m.appends.Load()
-	outcomes, cpu := l.timed(ctx, "load", options.Duration, options.Direct)
+	direct, directCPU := l.runTimed(ctx, "baseline", options.Duration/baselineDivisor, 1)
+	logBefore, peersBefore, appendsBefore := m.logBytes.Load(), m.peerBytes.Load(), m.appends.Load()
+	outcomes, cpu := l.runTimed(ctx, "load", options.Duration, options.DirectShare)
 	report := newReport(options, outcomes)
-	report.BytesToLog, report.BytesToPeers = m.log.Load()-logBefore, m.peers.Load()-peersBefore
+	report.BytesToLog, report.BytesToPeers = m.logBytes.Load()-logBefore, m.peerBytes.Load()-peersBefore
 	report.BytesBetweenRegions = report.BytesToLog + report.BytesToPeers
 	report.Appends = m.appends.Load() - appendsBefore
-	report.costs(direct, directCPU, outcomes, cpu)
-	awaitSettled(fleet, outcomes)
-	return report, errors.Trace(report.judge(ctx, fleet, outcomes))
+	report.recordCPU(direct, directCPU, outcomes, cpu)
+	waitSettled(fleet, outcomes)
+	return report, errors.Trace(report.reconcile(ctx, fleet, outcomes))
 }
 
 func startFleet(ctx context.Context, options Options, m *meter) (*devfleet.Fleet, error) {
@@ -82,32 +82,33 @@
 	}
 	for _, d := range fleet.Daemons {
 		for d.Node().Ledger().Budget("dev-budget").Prepaid == 0 {
-			time.Sleep(settlePoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return fleet, nil
 }
 
-func (l *load) timed(ctx context.Context, name string, duration time.Duration, direct float64) ([]outcome, time.Duration) {
-	before := processorTime()
-	outcomes := l.run(ctx, name, duration, direct)
-	return outcomes, processorTime() - before
+func (l *loadGenerator) runTimed(ctx context.Context, name string, duration time.Duration, directShare float64) ([]outcome, time.Duration) {
+	before := cpuTime()
+	outcomes := l.run(ctx, name, duration, directShare)
+	return outcomes, cpuTime() - before
 }
 
-// awaitSettled waits until the ledger shows what the answers cost, or a while.
-func awaitSettled(fleet *devfleet.Fleet, outcomes []outcome) {
+// waitSettled waits until the ledger shows the expected charge of all answers, or until
+// settleTimeout.
+func waitSettled(fleet *devfleet.Fleet, outcomes []outcome) {
 	want := uint64(0)
 	for _, o := range outcomes {
-		want += billable(o)
+		want += expectedTokens(o)
 	}
-	until := time.Now().Add(settleLimit)
-	for time.Now().Before(until) && fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent < want {
-		time.Sleep(settlePoll)
+	deadline := time.Now().Add(settleTimeout)
+	for time.Now().Before(deadline) && fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent < want {
+		time.Sleep(pollInterval)
 	}
 }
 
-// billable is what a request must have cost its account.
-func billable(o outcome) uint64 {
+// expectedTokens returns the tokens that a request must be charged to its account.
+func expectedTokens(o outcome) uint64 {
 	switch {
 	case !o.ok() || o.kind == kindDirect:
 		return 0
--- a/internal/bench/run_test.go
+++ b/internal/bench/run_test.go
@@ -12,10 +12,10 @@
 )
 
 func shortOptions() Options {
-	return Options{Seed: 1, Rate: 40, Duration: time.Second, Stream: 0.5, Plain: 0.2, Direct: 0.2}
+	return Options{Seed: 1, Rate: 40, Duration: time.Second, StreamShare: 0.5, PlainShare: 0.2, DirectShare: 0.2}
 }
 
-func TestRunFindsNothingWrongWithoutFaults(t *testing.T) {
+func TestRunReportsNoDiscrepancyWithoutFaults(t *testing.T) {
 	is := is.New(t)
 	report, err := Run(context.Background(), shortOptions())
 	is.NoErr(err)
@@ -27,20 +27,20 @@
 	is.True(report.BytesToLog > 0)
 }
 
-// An engine that ends its streams early without an error leaves a caller with half
-// a summary, if nobody looks for the terminal marker. Asked straight, it shows that
-// the load generator would see it.
-func TestClientSeesCutAndCrossedAnswers(t *testing.T) {
+// An engine that ends its streams early without an error leaves the caller with a partial
+// answer unless the client checks for the terminal marker. A direct request to such an
+// engine shows that the load generator detects this.
+func TestClientDetectsTruncatedAndCrossedAnswers(t *testing.T) {
 	is := is.New(t)
 	fleet, err := devfleet.Start(devfleet.Options{Engines: []devfleet.Location{{Region: homeRegion, DataCentre: "casco"}},
 		Engine: standin.EngineOptions{CutAfter: 3}})
 	is.NoErr(err)
 	defer fleet.Stop()
 	c := newClient(Options{Model: devfleet.SampleModel})
-	o := c.chat(context.Background(), kindDirect, fleet.EngineUpstreams[0].GetAddress(), "a", promptOf("a", minWords))
+	o := c.chat(context.Background(), kindDirect, fleet.EngineUpstreams[0].GetAddress(), "a", makePrompt("a", minWords))
 	is.Equal(o.status, 200)
 	is.True(!o.ok())
-	report := newReport(shortOptions(), []outcome{{kind: kindStream, status: 200}, {kind: kindStream, status: 200, whole: true, crossed: true}})
+	report := newReport(shortOptions(), []outcome{{kind: kindStream, status: 200}, {kind: kindStream, status: 200, complete: true, crossed: true}})
 	is.Equal(report.Truncated, 1)
 	is.Equal(report.Crossed, 1)
 }
