--- a/internal/bench/capacity/capacity_test.go
+++ b/internal/bench/capacity/capacity_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Every role is computed from slopes that exist, and no slope is empty: a page of
-// zeros would promise a fleet that costs nothing.
+// Every role must be computed from measured slopes, and no slope may be zero: a page of zeros
+// would promise a fleet that costs nothing.
 func TestMeasureGivesEverySlope(t *testing.T) {
 	is := is.New(t)
 	size := TwoYearSize()
--- a/internal/enginemodel/params.go
+++ b/internal/enginemodel/params.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Params are the costs and sizes of a model engine. See the package comment for
-// where they come from: they are assumed.
+// Params holds the costs and sizes of a simulated engine. All are assumed values; see the
+// package comment.
 type Params struct {
-	// Slots is the most sequences in the batch.
+	// Slots is the maximum number of sequences in the batch.
 	Slots int
 	// BlockTokens is the number of tokens in one KV block.
 	BlockTokens int
-	// Blocks is the KV memory, in blocks.
+	// Blocks is the size of the KV memory, in blocks.
 	Blocks int
-	// ChunkTokens is the most prompt tokens prefilled in one step.
+	// ChunkTokens is the maximum number of prompt tokens prefilled in one step.
 	ChunkTokens int
-	// StepOverhead is the fixed time of a step.
+	// StepOverhead is the fixed duration of a step.
 	StepOverhead time.Duration
 	// PerPrefillToken is the time that each prompt token adds to a step.
 	PerPrefillToken time.Duration
 	// PerDecodeToken is the time that each decoding sequence adds to a step.
 	PerDecodeToken time.Duration
-	// ReportInterval is the time between two load reports.
+	// ReportInterval is the interval between load reports.
 	ReportInterval time.Duration
-	// MaxReportDelay bounds how late a report arrives: between half of it and all of it.
+	// MaxReportDelay is the maximum delay of a load report; the minimum is half of it.
 	MaxReportDelay time.Duration
-	// EventInterval is the time between two batches of cache events.
+	// EventInterval is the interval between batches of cache events.
 	EventInterval time.Duration
-	// MaxEventDelay bounds how late a batch arrives: between half of it and all of it.
+	// MaxEventDelay is the maximum delay of a batch; the minimum is half of it.
 	MaxEventDelay time.Duration
-	// EventLossRate is the share of batches that never arrive.
+	// EventLossRate is the fraction of batches that are lost.
 	EventLossRate float64
 }
 
