--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -328,7 +328,7 @@
 
 func (h *Harness) instanceListQueried() bool {
 	for _, m := range h.Members {
-		if m.instances.Asked() > 0 {
+		if m.instances.ListCalls() > 0 {
 			return true
 		}
 	}
--- a/internal/check/checker.go
+++ b/internal/check/checker.go
@@ -277,7 +277,7 @@
 func (c *checker) checkOrders() {
 	highest := map[string]uint64{}
 	for _, order := range c.record.Orders {
-		if order.Taken && order.Fencing < highest[order.Upstream] {
+		if order.Accepted && order.Fencing < highest[order.Upstream] {
 			c.report(OneHolder, []string{order.Upstream}, "%s accepted an order of %s with fencing number %d after one with %d at %s",
 				order.Upstream, order.Node, order.Fencing, highest[order.Upstream], order.At.Sub(c.record.Began))
 		}
--- a/internal/check/fault.go
+++ b/internal/check/fault.go
@@ -79,7 +79,7 @@
 			heal:   func(h *Harness, _ *Member) { h.setLogDelay(0) }},
 		{Name: "append's answer lost", inject: func(h *Harness, _ *Member) {
 			for _, other := range h.Members {
-				other.Log().LoseAnswers(lostAppendAnswers)
+				other.Log().DropResponses(lostAppendAnswers)
 			}
 		}},
 		{Name: "instance list lagging", NeedsInstanceList: true, Duration: outageDuration,
@@ -87,7 +87,7 @@
 			heal:   func(h *Harness, _ *Member) { h.Instances.SetDown(false) }},
 		{Name: "records aged out", Needs: []fake.Step{fake.StepSnapshot}, Duration: restartDelay,
 			inject: func(h *Harness, m *Member) {
-				h.Store.Keep(retainedRecords)
+				h.Store.SetRetention(retainedRecords)
 				m.Kill()
 			}, heal: restartMember},
 		{Name: "cache events with gaps", Needs: []fake.Step{fake.StepCacheEvent, fake.StepCacheGap}, SharedPrefixes: true, KillsEngine: true,
@@ -121,7 +121,7 @@
 // degradeCacheEvents delays and loses cache events, and kills the engine that nodes believe
 // to cache most. They keep that belief, since no event revokes it.
 func degradeCacheEvents(h *Harness, _ *Member) {
-	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheEventDelay, LoseEvery: cacheEventLossPeriod})
+	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheEventDelay, DropEvery: cacheEventLossPeriod})
 	if engine := h.Upstreams.BusiestCache(homeEngines()); engine != "" {
 		h.Upstreams.KillEngine(engine)
 	}
@@ -131,7 +131,7 @@
 func restoreCacheEvents(h *Harness, _ *Member) {
 	h.Upstreams.SetCacheFaults(fake.CacheFaults{})
 	for _, engine := range homeEngines() {
-		h.Upstreams.ReviveEngine(engine)
+		h.Upstreams.RestartEngine(engine)
 	}
 }
 
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -83,7 +83,7 @@
 	resumesStreams bool
 	// sharedPrefixes gives prompts common prefixes.
 	sharedPrefixes bool
-	injector       atomic.Pointer[fake.Probe]
+	injector       atomic.Pointer[fake.StepHook]
 
 	mu              sync.Mutex
 	recorders       []*event.Recorder
@@ -99,7 +99,7 @@
 // NewHarness returns a harness without nodes.
 func NewHarness(clock clockwork.Clock, seed uint64) *Harness {
 	network := fake.NewNetwork(clock)
-	network.Place(fake.LogEndpoint, RegionHome)
+	network.PlaceInRegion(fake.LogEndpoint, RegionHome)
 	store := standin.NewLog()
 	h := &Harness{
 		Store: store, Archive: fake.NewArchive(store, clock), Instances: standin.NewInstances(), Network: network,
@@ -151,7 +151,7 @@
 }
 
 // Arm installs a fault injector that is called at each step from now on.
-func (h *Harness) Arm(injector fake.Probe) { h.injector.Store(&injector) }
+func (h *Harness) Arm(injector fake.StepHook) { h.injector.Store(&injector) }
 
 // Start starts one node in each of the given regions and waits until all serve.
 func (h *Harness) Start(timing Timing, regions ...string) error {
@@ -233,7 +233,7 @@
 	for _, r := range resources {
 		request.Changes = append(request.Changes, &operatorv1.Change{Resource: r})
 		if u := r.GetUpstream(); u != nil {
-			h.Network.Place(fake.Endpoint(u.GetName()), u.GetRegion())
+			h.Network.PlaceInRegion(fake.Endpoint(u.GetName()), u.GetRegion())
 		}
 	}
 	answer, err := h.Members[0].operator.Apply(operatorContext(context.Background()), request)
