--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -325,7 +325,7 @@
 
 func (h *Harness) listAsked() bool {
 	for _, m := range h.Members {
-		if m.instances.Asked() > 0 {
+		if m.instances.ListCalls() > 0 {
 			return true
 		}
 	}
--- a/internal/check/defect_test.go
+++ b/internal/check/defect_test.go
@@ -136,7 +136,7 @@
 func TestFindsOrdersOfAFormerHolder(t *testing.T) {
 	is := is.New(t)
 	order := func(fencing uint64, taken bool) fake.EngineOrder {
-		return fake.EngineOrder{Upstream: "engine", Fencing: fencing, Taken: taken}
+		return fake.EngineOrder{Upstream: "engine", Fencing: fencing, Accepted: taken}
 	}
 	is.True(broke(Check(&Record{Orders: []fake.EngineOrder{order(2, true), order(1, true)}}), OneHolder))
 	is.True(!broke(Check(&Record{Orders: []fake.EngineOrder{order(2, true), order(1, false)}}), OneHolder))
--- a/internal/check/fault.go
+++ b/internal/check/fault.go
@@ -77,7 +77,7 @@
 			heal:   func(h *Harness, _ *Member) { h.slowLog(0) }},
 		{Name: "append's answer lost", strike: func(h *Harness, _ *Member) {
 			for _, other := range h.Members {
-				other.Log().LoseAnswers(lostAnswers)
+				other.Log().DropResponses(lostAnswers)
 			}
 		}},
 		{Name: "instance list lagging", NeedsList: true, Lasts: outage,
@@ -119,7 +119,7 @@
 // blurCaches delays and loses cache events, and kills the engine that nodes believe to
 // hold most. What they believe of it stays: no event takes it back.
 func blurCaches(h *Harness, _ *Member) {
-	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheDelay, LoseEvery: cacheLoss})
+	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheDelay, DropEvery: cacheLoss})
 	if engine := h.Upstreams.BusiestCache(homeEngines()); engine != "" {
 		h.Upstreams.KillEngine(engine)
 	}
@@ -129,7 +129,7 @@
 func clearCaches(h *Harness, _ *Member) {
 	h.Upstreams.SetCacheFaults(fake.CacheFaults{})
 	for _, engine := range homeEngines() {
-		h.Upstreams.ReviveEngine(engine)
+		h.Upstreams.RestartEngine(engine)
 	}
 }
 
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -82,7 +82,7 @@
 	readsOn bool
 	// sharedPrompts gives prompts common beginnings.
 	sharedPrompts bool
-	strike        atomic.Pointer[fake.Probe]
+	strike        atomic.Pointer[fake.StepHook]
 
 	mu        sync.Mutex
 	recorders []*event.Recorder
@@ -98,7 +98,7 @@
 // NewHarness returns a harness without nodes.
 func NewHarness(clock clockwork.Clock, seed uint64) *Harness {
 	network := fake.NewNetwork(clock)
-	network.Place(fake.LogEndpoint, RegionHome)
+	network.PlaceInRegion(fake.LogEndpoint, RegionHome)
 	store := standin.NewLog()
 	h := &Harness{
 		Store: store, Archive: fake.NewArchive(store, clock), Instances: standin.NewInstances(), Network: network,
@@ -150,7 +150,7 @@
 }
 
 // Arm lets a fault look at each step from now on.
-func (h *Harness) Arm(probe fake.Probe) { h.strike.Store(&probe) }
+func (h *Harness) Arm(probe fake.StepHook) { h.strike.Store(&probe) }
 
 // Start brings up nodes in the given regions and waits until all serve.
 func (h *Harness) Start(timing Timing, regions ...string) error {
@@ -230,7 +230,7 @@
 	for _, r := range resources {
 		request.Changes = append(request.Changes, &operatorv1.Change{Resource: r})
 		if u := r.GetUpstream(); u != nil {
-			h.Network.Place(fake.Endpoint(u.GetName()), u.GetRegion())
+			h.Network.PlaceInRegion(fake.Endpoint(u.GetName()), u.GetRegion())
 		}
 	}
 	answer, err := h.Members[0].operator.Apply(operatorContext(context.Background()), request)
--- a/internal/check/judge.go
+++ b/internal/check/judge.go
@@ -275,7 +275,7 @@
 func (j *judge) orders() {
 	highest := map[string]uint64{}
 	for _, order := range j.record.Orders {
-		if order.Taken && order.Fencing < highest[order.Upstream] {
+		if order.Accepted && order.Fencing < highest[order.Upstream] {
 			j.fault(OneHolder, []string{order.Upstream}, "%s took an order of %s under fencing number %d after one under %d at %s",
 				order.Upstream, order.Node, order.Fencing, highest[order.Upstream], order.At.Sub(j.record.Began))
 		}
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -37,7 +37,7 @@
 	Orders      []fake.EngineOrder
 	// EngineDeaths are spans in which engines were gone, Attempts the completions that
 	// nodes tried to send to any engine.
-	EngineDeaths []fake.EngineDeath
+	EngineDeaths []fake.EngineOutage
 	Attempts     []fake.Attempt
 	// Leavings are spans in which nodes had it in force that an upstream leaves.
 	Leavings []LeavingOp
@@ -70,7 +70,7 @@
 func (h *Harness) collect() *Record {
 	r := &Record{Began: h.began, Log: h.Archive.Records(), EngineRuns: h.Upstreams.Runs(), ServiceRuns: h.Upstreams.Calls(),
 		Parts: h.Network.Parts(), Orders: h.Upstreams.Orders(),
-		EngineDeaths: h.Upstreams.Deaths(), Attempts: h.Upstreams.Attempts()}
+		EngineDeaths: h.Upstreams.Outages(), Attempts: h.Upstreams.Attempts()}
 	h.History.mu.Lock()
 	r.Chats, r.Calls, r.Configs = h.History.Chats, h.History.Calls, h.History.Configs
 	r.TopUps, r.Reads, r.Drained = h.History.TopUps, h.History.Reads, h.History.Drained
--- a/internal/fake/archive.go
+++ b/internal/fake/archive.go
@@ -11,26 +11,26 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// ArchivedRecord is a record with the moment at which the log took it.
+// ArchivedRecord is a record with the time at which the log appended it.
 type ArchivedRecord struct {
 	ports.Record
 	At time.Time
 }
 
-// Archive is a log that remembers every record, also those that the log itself no
-// longer keeps, so that a history can be judged from its beginning.
+// Archive wraps a log and keeps every record, including those that the log itself no
+// longer retains, so that a history can be checked from its beginning.
 type Archive struct {
 	ports.Log
 
-	mu      sync.Mutex
-	clock   clockwork.Clock
-	records []ArchivedRecord
-	grown   chan struct{}
+	mu       sync.Mutex
+	clock    clockwork.Clock
+	records  []ArchivedRecord
+	appended chan struct{}
 }
 
-// NewArchive returns an archive before a log of one stream.
+// NewArchive returns an archive in front of a log of one stream.
 func NewArchive(log ports.Log, clock clockwork.Clock) *Archive {
-	return &Archive{Log: log, clock: clock, grown: make(chan struct{})}
+	return &Archive{Log: log, clock: clock, appended: make(chan struct{})}
 }
 
 // Append implements ports.Log.
@@ -42,16 +42,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.records = append(a.records, ArchivedRecord{ports.Record{Offset: offset, Data: append([]byte(nil), data...)}, a.clock.Now()})
-	close(a.grown)
-	a.grown = make(chan struct{})
+	close(a.appended)
+	a.appended = make(chan struct{})
 	return offset, nil
 }
 
-// Grown returns a channel that is closed with the next record.
-func (a *Archive) Grown() <-chan struct{} {
+// NextAppend returns a channel that is closed at the next append.
+func (a *Archive) NextAppend() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.grown
+	return a.appended
 }
 
 // Records returns all records in offset order.
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -14,23 +14,23 @@
 const (
 	loadPath        = "/v1/load"
 	cacheEventsPath = "/v1/cache-events"
-	// cachedBlocks is so small that engines drop blocks within a short history.
-	cachedBlocks = 5
-	hexBase      = 16
-	hashBits     = 64
+	// maxCachedBlocks is small so that engines evict blocks within a short run.
+	maxCachedBlocks = 5
+	hexBase         = 16
+	hashBits        = 64
 )
 
-// CacheFaults are what goes wrong with the cache events of all engines.
+// CacheFaults are the faults injected into the cache events of all engines.
 type CacheFaults struct {
-	// Delay is how long after its event a node can read it.
+	// Delay is how long after its occurrence an event becomes readable.
 	Delay time.Duration
-	// LoseEvery loses every nth event for good; 0 none.
-	LoseEvery uint64
+	// DropEvery drops every nth event for good; 0 disables it.
+	DropEvery uint64
 }
 
-// engineCache is the prefix cache of an engine, with the events it published.
+// engineCache is an engine's prefix cache and the events it published.
 type engineCache struct {
-	order    []uint64
+	blocks   []uint64
 	events   []cacheEvent
 	sequence uint64
 }
@@ -44,43 +44,43 @@
 	at time.Time
 }
 
-// hold notes a prompt's blocks and drops the oldest beyond the cache's size.
-func (c *engineCache) hold(hashes []uint64, at time.Time) {
+// insert caches a prompt's blocks and evicts the oldest ones beyond the cache's size.
+func (c *engineCache) insert(hashes []uint64, at time.Time) {
 	for _, hash := range hashes {
-		if c.holds(hash) {
+		if c.contains(hash) {
 			continue
 		}
-		c.order = append(c.order, hash)
-		c.tell(hash, true, at)
+		c.blocks = append(c.blocks, hash)
+		c.appendEvent(hash, true, at)
 	}
-	for len(c.order) > cachedBlocks {
-		c.tell(c.order[0], false, at)
-		c.order = c.order[1:]
+	for len(c.blocks) > maxCachedBlocks {
+		c.appendEvent(c.blocks[0], false, at)
+		c.blocks = c.blocks[1:]
 	}
 }
 
-func (c *engineCache) holds(hash uint64) bool {
-	for _, held := range c.order {
-		if held == hash {
+func (c *engineCache) contains(hash uint64) bool {
+	for _, block := range c.blocks {
+		if block == hash {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *engineCache) tell(hash uint64, stored bool, at time.Time) {
+func (c *engineCache) appendEvent(hash uint64, stored bool, at time.Time) {
 	c.sequence++
 	c.events = append(c.events, cacheEvent{Sequence: c.sequence, Hash: strconv.FormatUint(hash, hexBase), Stored: stored, at: at})
 }
 
-// published returns the events after a sequence that can be read now, and whether a
-// lost one lies between them.
-func (c *engineCache) published(after uint64, faults CacheFaults, now time.Time) (events []cacheEvent, gap bool) {
+// eventsAfter returns the events after a sequence number that are readable now, and whether
+// a dropped event lies between them.
+func (c *engineCache) eventsAfter(after uint64, faults CacheFaults, now time.Time) (events []cacheEvent, gap bool) {
 	events = []cacheEvent{}
 	for _, e := range c.events {
 		switch {
 		case e.Sequence <= after || now.Sub(e.at) < faults.Delay:
-		case faults.LoseEvery > 0 && e.Sequence%faults.LoseEvery == 0:
+		case faults.DropEvery > 0 && e.Sequence%faults.DropEvery == 0:
 			gap = true
 		default:
 			events = append(events, e)
@@ -89,20 +89,20 @@
 	return events, gap && len(events) > 0
 }
 
-// SetCacheFaults replaces what goes wrong with cache events.
+// SetCacheFaults replaces the faults injected into cache events.
 func (u *Upstreams) SetCacheFaults(f CacheFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.cacheFaults = f
 }
 
-// prefill puts a prompt into an engine's cache. The caller holds the lock.
+// prefill inserts a prompt into an engine's cache. The caller holds u.mu.
 func (u *Upstreams) prefill(engine string, messages []string) {
 	var hasher prefix.Hasher
 	for _, text := range messages {
 		hasher.Write(text)
 	}
-	u.cacheOf(engine).hold(hasher.Hashes(), u.clock.Now())
+	u.cacheOf(engine).insert(hasher.Hashes(), u.clock.Now())
 }
 
 func (u *Upstreams) cacheOf(engine string) *engineCache {
@@ -112,27 +112,27 @@
 	return u.caches[engine]
 }
 
-// report answers a node that asks for an engine's load or cache events; told names
-// the steps that this was.
-func (u *Upstreams) report(engine string, r upstream.CallRequest) (answer upstream.CallResponse, told []Step) {
+// handleReport serves an engine's load or cache events to a node; steps are those that this
+// read takes.
+func (u *Upstreams) handleReport(engine string, r upstream.CallRequest) (response upstream.CallResponse, steps []Step) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	path, query, _ := strings.Cut(r.Path, "?")
 	if path == loadPath {
-		return answerJSON(map[string]int{"running": u.running(engine)}), nil
+		return jsonResponse(map[string]int{"running": u.running(engine)}), nil
 	}
 	after, _ := strconv.ParseUint(strings.TrimPrefix(query, "after="), 10, hashBits)
-	events, gap := u.cacheOf(engine).published(after, u.cacheFaults, u.clock.Now())
+	events, gap := u.cacheOf(engine).eventsAfter(after, u.cacheFaults, u.clock.Now())
 	if len(events) > 0 {
-		told = append(told, StepCacheEvent)
+		steps = append(steps, StepCacheEvent)
 	}
 	if gap {
-		told = append(told, StepCacheGap)
+		steps = append(steps, StepCacheGap)
 	}
-	return answerJSON(map[string][]cacheEvent{"events": events}), told
+	return jsonResponse(map[string][]cacheEvent{"events": events}), steps
 }
 
-// running counts an engine's requests. The caller holds the lock.
+// running counts an engine's running requests. The caller holds u.mu.
 func (u *Upstreams) running(engine string) int {
 	count := 0
 	for _, run := range u.runs {
@@ -143,12 +143,12 @@
 	return count
 }
 
-func answerJSON(body any) upstream.CallResponse {
+func jsonResponse(body any) upstream.CallResponse {
 	data, _ := json.Marshal(body)
 	return upstream.CallResponse{Status: http.StatusOK, Body: data}
 }
 
-func isReport(path string) bool {
+func isReportPath(path string) bool {
 	path, _, _ = strings.Cut(path, "?")
 	return path == loadPath || path == cacheEventsPath
 }
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -12,47 +12,47 @@
 	"lavenderpin.dev/lavenderpin/upstream"
 )
 
-// Client is one node's way to the upstreams.
+// Client is one node's client for the upstreams.
 type Client struct {
 	upstreams *Upstreams
 	node      Endpoint
 	gate      *Gate
-	probe     Probe
+	onStep    StepHook
 }
 
 var _ upstream.Client = (*Client)(nil)
 
-// NewClient returns a node's client.
-func NewClient(upstreams *Upstreams, node Endpoint, gate *Gate, probe Probe) *Client {
-	return &Client{upstreams: upstreams, node: node, gate: gate, probe: probe}
+// NewClient returns the client of the given node.
+func NewClient(upstreams *Upstreams, node Endpoint, gate *Gate, onStep StepHook) *Client {
+	return &Client{upstreams: upstreams, node: node, gate: gate, onStep: onStep}
 }
 
-// send reaches an upstream, or proves that nothing was sent.
-func (c *Client) send(ctx context.Context, to *operatorv1.Upstream) error {
+// sendRequest simulates sending to an upstream; an error means that nothing was sent.
+func (c *Client) sendRequest(ctx context.Context, to *operatorv1.Upstream) error {
 	if err := c.gate.Enter(ctx); err != nil {
 		return result.New(result.NoUpstream, "not sent: %v", err)
 	}
 	c.upstreams.clock.Sleep(c.upstreams.network.latency(c.node, Endpoint(to.GetName()), 0))
-	if !c.upstreams.network.Passes(c.node, Endpoint(to.GetName())) || c.upstreams.isDead(to.GetName()) {
+	if !c.upstreams.network.Reachable(c.node, Endpoint(to.GetName())) || c.upstreams.isDown(to.GetName()) {
 		return result.New(result.NoUpstream, "%s can't be reached", to.GetName())
 	}
 	return nil
 }
 
-// refuse answers for an upstream whether a request that has arrived is too late to run.
-func (c *Client) refuse(to *operatorv1.Upstream, notAfter time.Time) error {
+// checkNotAfter returns the upstream's error for a request that arrives after its not-after time.
+func (c *Client) checkNotAfter(to *operatorv1.Upstream, notAfter time.Time) error {
 	if notAfter.IsZero() || c.upstreams.currentFaults().IgnoreNotAfter || !c.upstreams.clock.Now().After(notAfter) {
 		return nil
 	}
 	return result.New(result.RequestExpired, "the request reached %s too late", to.GetName())
 }
 
-// back brings an answer home, or loses it.
-func (c *Client) back(ctx context.Context, to *operatorv1.Upstream) error {
+// receiveResponse simulates the response's way back to the node; an error means that it was lost.
+func (c *Client) receiveResponse(ctx context.Context, to *operatorv1.Upstream) error {
 	if err := c.gate.Enter(ctx); err != nil {
 		return result.New(result.UpstreamFailed, "%v", err)
 	}
-	if !c.upstreams.network.Passes(Endpoint(to.GetName()), c.node) {
+	if !c.upstreams.network.Reachable(Endpoint(to.GetName()), c.node) {
 		return result.New(result.UpstreamFailed, "%s: the answer was lost", to.GetName())
 	}
 	return nil
@@ -60,12 +60,12 @@
 
 // Chat implements upstream.Client.
 func (c *Client) Chat(ctx context.Context, to *operatorv1.Upstream, r upstream.ChatRequest) (upstream.ChatStream, error) {
-	c.probe(StepDispatch, string(c.node))
-	c.upstreams.attempted(to.GetName(), c.node, r.ID)
-	if err := c.send(ctx, to); err != nil {
+	c.onStep(StepDispatch, string(c.node))
+	c.upstreams.recordAttempt(to.GetName(), c.node, r.ID)
+	if err := c.sendRequest(ctx, to); err != nil {
 		return nil, err
 	}
-	if err := c.refuse(to, r.NotAfter); err != nil {
+	if err := c.checkNotAfter(to, r.NotAfter); err != nil {
 		return nil, err
 	}
 	run := c.upstreams.newRun(to.GetName(), r.ID, r.Body)
@@ -78,64 +78,64 @@
 func (c *Client) Call(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	switch {
 	case r.Path == modelsPath:
-		return c.order(ctx, to, r)
-	case isReport(r.Path):
-		return c.report(ctx, to, r)
+		return c.callModels(ctx, to, r)
+	case isReportPath(r.Path):
+		return c.callReport(ctx, to, r)
 	}
-	c.probe(StepCall, string(c.node))
-	if err := c.send(ctx, to); err != nil {
+	c.onStep(StepCall, string(c.node))
+	if err := c.sendRequest(ctx, to); err != nil {
 		return upstream.CallResponse{}, err
 	}
-	if err := c.refuse(to, r.NotAfter); err != nil {
+	if err := c.checkNotAfter(to, r.NotAfter); err != nil {
 		return upstream.CallResponse{}, err
 	}
 	run := ServiceRun{Upstream: to.GetName(), Request: r.ID, Method: r.Method, Body: string(r.Body), At: c.upstreams.clock.Now()}
-	c.upstreams.ran(run)
+	c.upstreams.recordServiceRun(run)
 	if c.upstreams.currentFaults().RunTwice {
-		c.upstreams.ran(run)
+		c.upstreams.recordServiceRun(run)
 	}
 	select {
 	case <-c.upstreams.clock.After(c.upstreams.CallTime):
 	case <-ctx.Done():
 		return upstream.CallResponse{}, result.New(result.UpstreamFailed, "%v", ctx.Err())
 	}
-	if err := c.back(ctx, to); err != nil {
+	if err := c.receiveResponse(ctx, to); err != nil {
 		return upstream.CallResponse{}, err
 	}
 	return upstream.CallResponse{Status: 200, ContentType: "text/plain", Body: append([]byte(nil), r.Body...)}, nil
 }
 
-// order asks an engine what it holds, or tells it.
-func (c *Client) order(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
+// callModels reads an engine's models or sends it an order.
+func (c *Client) callModels(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
 	if r.Method == http.MethodPost {
-		c.probe(StepOrder, string(c.node))
+		c.onStep(StepOrder, string(c.node))
 	}
-	if err := c.send(ctx, to); err != nil {
+	if err := c.sendRequest(ctx, to); err != nil {
 		return upstream.CallResponse{}, err
 	}
-	answer := c.upstreams.models(to, c.node, r)
-	return answer, c.back(ctx, to)
+	response := c.upstreams.handleModels(to, c.node, r)
+	return response, c.receiveResponse(ctx, to)
 }
 
-// report reads an engine's load or cache events.
-func (c *Client) report(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
-	if err := c.send(ctx, to); err != nil {
+// callReport reads an engine's load or its cache events.
+func (c *Client) callReport(ctx context.Context, to *operatorv1.Upstream, r upstream.CallRequest) (upstream.CallResponse, error) {
+	if err := c.sendRequest(ctx, to); err != nil {
 		return upstream.CallResponse{}, err
 	}
-	answer, told := c.upstreams.report(to.GetName(), r)
-	for _, step := range told {
-		c.probe(step, string(c.node))
+	response, steps := c.upstreams.handleReport(to.GetName(), r)
+	for _, step := range steps {
+		c.onStep(step, string(c.node))
 	}
-	return answer, c.back(ctx, to)
+	return response, c.receiveResponse(ctx, to)
 }
 
 // Usage implements upstream.Client.
 func (c *Client) Usage(ctx context.Context, to *operatorv1.Upstream, id string) (upstream.UsageReport, error) {
-	if err := c.send(ctx, to); err != nil {
+	if err := c.sendRequest(ctx, to); err != nil {
 		return upstream.UsageReport{}, err
 	}
 	c.upstreams.mu.Lock()
-	run := c.upstreams.byID[to.GetName()+"/"+id]
+	run := c.upstreams.runsByKey[to.GetName()+"/"+id]
 	report := upstream.UsageReport{State: upstream.UsageUnknown}
 	if run != nil {
 		report.State = upstream.UsageRunning
@@ -145,33 +145,33 @@
 		report.Usage = upstream.Usage{PromptTokens: run.PromptTokens, CompletionTokens: run.Produced}
 	}
 	c.upstreams.mu.Unlock()
-	return report, c.back(ctx, to)
+	return report, c.receiveResponse(ctx, to)
 }
 
 // Cancel implements upstream.Client.
 func (c *Client) Cancel(ctx context.Context, to *operatorv1.Upstream, id string) error {
-	if err := c.send(ctx, to); err != nil {
+	if err := c.sendRequest(ctx, to); err != nil {
 		return err
 	}
 	c.upstreams.cancel(to.GetName(), id)
-	return c.back(ctx, to)
+	return c.receiveResponse(ctx, to)
 }
 
-// stream is an answer on its way; the engine generates whoever reads.
+// stream is a streamed answer; the engine generates whether or not anyone reads.
 type stream struct {
-	client *Client
-	ctx    context.Context
-	to     *operatorv1.Upstream
-	run    *EngineRun
-	chunks chan upstream.Chunk
-	read   int
+	client     *Client
+	ctx        context.Context
+	to         *operatorv1.Upstream
+	run        *EngineRun
+	chunks     chan upstream.Chunk
+	chunksRead int
 }
 
 func (s *stream) generate() {
 	u := s.client.upstreams
 	for i, word := range s.run.Answer {
 		u.clock.Sleep(u.TokenTime)
-		if cut := u.currentFaults().CutAfter; cut > 0 && i >= cut || !u.produce(s.run) {
+		if cut := u.currentFaults().CutAfter; cut > 0 && i >= cut || !u.recordToken(s.run) {
 			u.cancel(s.to.GetName(), s.run.Request)
 			close(s.chunks)
 			return
@@ -184,13 +184,13 @@
 	close(s.chunks)
 }
 
-// Next implements upstream.ChatStream. A crossed or cut answer fails as the HTTP
-// client fails it, which finds it out by the chunk's id and the terminal marker.
+// Next implements upstream.ChatStream. A crossed or cut answer returns the same error as the
+// HTTP client, which detects it by the chunk's id or the missing terminal marker.
 func (s *stream) Next() (upstream.Chunk, error) {
-	s.tell()
+	s.reportStep()
 	select {
-	case chunk, open := <-s.chunks:
-		return s.pass(chunk, open)
+	case chunk, ok := <-s.chunks:
+		return s.receiveChunk(chunk, ok)
 	case <-s.ctx.Done():
 		return upstream.Chunk{}, result.New(result.AnswerCut, "%v", s.ctx.Err())
 	case <-s.client.gate.Dead():
@@ -198,24 +198,25 @@
 	}
 }
 
-const midStream = 2
+// midStreamChunk is the number of chunks read before StepMidStream.
+const midStreamChunk = 2
 
-func (s *stream) tell() {
-	s.read++
-	switch s.read {
-	case midStream + 1:
-		s.client.probe(StepMidStream, string(s.client.node))
+func (s *stream) reportStep() {
+	s.chunksRead++
+	switch s.chunksRead {
+	case midStreamChunk + 1:
+		s.client.onStep(StepMidStream, string(s.client.node))
 	case len(s.run.Answer) + 1:
-		s.client.probe(StepLastToken, string(s.client.node))
+		s.client.onStep(StepLastToken, string(s.client.node))
 	}
 }
 
-func (s *stream) pass(chunk upstream.Chunk, open bool) (upstream.Chunk, error) {
-	if err := s.client.back(s.ctx, s.to); err != nil {
+func (s *stream) receiveChunk(chunk upstream.Chunk, ok bool) (upstream.Chunk, error) {
+	if err := s.client.receiveResponse(s.ctx, s.to); err != nil {
 		return upstream.Chunk{}, result.New(result.AnswerCut, "%v", err)
 	}
 	switch {
-	case !open:
+	case !ok:
 		return upstream.Chunk{}, result.New(result.AnswerCut, "%s ended the stream early", s.to.GetName())
 	case s.client.upstreams.currentFaults().Cross:
 		return upstream.Chunk{}, result.New(result.AnswerCrossed, "%s answered for another request", s.to.GetName())
--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -7,13 +7,13 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Clock is the real clock with timers built on time.AfterFunc. Runtime channel
-// timers that fire while nobody waits run on whichever thread looks at them; in a
-// synctest bubble under the race detector two such threads share one race context,
-// and the process dies with a fault inside the detector (Go 1.26.8).
+// Clock is the real clock with timers built on time.AfterFunc. Runtime channel timers
+// that fire without a waiter run on whichever thread inspects them; in a synctest bubble
+// under the race detector two such threads share one race context, and the process
+// crashes inside the detector (Go 1.26.8).
 type Clock struct{ clockwork.Clock }
 
-// NewClock returns a clock for a bubble.
+// NewClock returns a clock for use in a synctest bubble.
 func NewClock() Clock { return Clock{clockwork.NewRealClock()} }
 
 // After implements clockwork.Clock.
@@ -28,7 +28,7 @@
 
 // NewTicker implements clockwork.Clock.
 func (c Clock) NewTicker(d time.Duration) clockwork.Ticker {
-	t := &ticker{timer: timer{fired: make(chan time.Time, 1)}, every: d}
+	t := &ticker{timer: timer{fired: make(chan time.Time, 1)}, period: d}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inner = time.AfterFunc(d, t.tick)
@@ -61,7 +61,7 @@
 type ticker struct {
 	timer
 	mu      sync.Mutex
-	every   time.Duration
+	period  time.Duration
 	stopped bool
 }
 
@@ -72,14 +72,14 @@
 		return
 	}
 	t.send(time.Now())
-	t.inner.Reset(t.every)
+	t.inner.Reset(t.period)
 }
 
 // Reset implements clockwork.Ticker.
 func (t *ticker) Reset(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.every, t.stopped = d, false
+	t.period, t.stopped = d, false
 	t.inner.Reset(d)
 }
 
--- a/internal/fake/gate.go
+++ b/internal/fake/gate.go
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 )
 
-// ErrDead is what a killed node's calls answer; nothing of it is seen by anybody.
+// ErrDead is the error of a killed node's calls; nothing outside the node observes it.
 var ErrDead = errors.New("the node is dead")
 
-// Gate stands before everything that one node does to the outside. A paused node
-// is stopped at its next step; a dead one never takes another.
+// Gate guards every external operation of one node. A paused node blocks at its next
+// step; a killed one never takes another.
 type Gate struct {
 	mu     sync.Mutex
 	resume chan struct{}
@@ -22,8 +22,8 @@
 // NewGate returns the gate of a running node.
 func NewGate() *Gate { return &Gate{dead: make(chan struct{})} }
 
-// Enter passes while the node runs. It holds a paused node even after ctx ended,
-// as a stopped process doesn't notice its deadlines either.
+// Enter returns while the node runs and blocks while it is paused, even after ctx ended:
+// a stopped process doesn't notice its deadlines either.
 func (g *Gate) Enter(ctx context.Context) error {
 	for {
 		g.mu.Lock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// Pause stops the node at its next step until Resume.
+// Pause blocks the node at its next step until Resume.
 func (g *Gate) Pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Resume lets a paused node go on.
+// Resume lets a paused node continue.
 func (g *Gate) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Kill ends the node abruptly.
+// Kill stops the node abruptly and for good.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,10 +71,10 @@
 	}
 }
 
-// Dead is closed once the node was killed.
+// Dead returns a channel that is closed when the node is killed.
 func (g *Gate) Dead() <-chan struct{} { return g.dead }
 
-// Paused tells whether the node is stopped now.
+// Paused reports whether the node is paused now.
 func (g *Gate) Paused() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fake/instances.go
+++ b/internal/fake/instances.go
@@ -9,29 +9,29 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// Instances is one node's view of the instance list.
+// Instances is the instance list as one node reaches it over the network.
 type Instances struct {
-	inner   *standin.Instances
-	network *Network
-	node    Endpoint
-	asked   atomic.Uint64
+	inner     *standin.Instances
+	network   *Network
+	node      Endpoint
+	listCalls atomic.Uint64
 }
 
 var _ ports.Instances = (*Instances)(nil)
 
-// NewInstances returns a node's view of a list.
+// NewInstances returns the view of inner that the given node gets.
 func NewInstances(inner *standin.Instances, network *Network, node Endpoint) *Instances {
 	return &Instances{inner: inner, network: network, node: node}
 }
 
-// Asked returns how often the node asked.
-func (i *Instances) Asked() uint64 { return i.asked.Load() }
+// ListCalls returns how often the node called List.
+func (i *Instances) ListCalls() uint64 { return i.listCalls.Load() }
 
 // List implements ports.Instances.
 func (i *Instances) List(ctx context.Context) ([]*platformv1.Instance, error) {
-	i.asked.Add(1)
-	if !i.network.Passes(i.node, LogEndpoint) || !i.network.Passes(LogEndpoint, i.node) {
-		return nil, errLost
+	i.listCalls.Add(1)
+	if !i.network.Reachable(i.node, LogEndpoint) || !i.network.Reachable(LogEndpoint, i.node) {
+		return nil, errNoResponse
 	}
 	return i.inner.List(ctx)
 }
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -14,140 +14,142 @@
 	"lavenderpin.dev/lavenderpin/record"
 )
 
-// Log is one node's view of the platform's log, with faults of its own.
+// Log is the platform's log as one node reaches it, with faults injected for this node only.
 type Log struct {
 	inner   *Archive
 	network *Network
 	node    Endpoint
 	gate    *Gate
 	clock   clockwork.Clock
-	probe   Probe
-
-	mu    sync.Mutex
-	delay time.Duration
-	lose  int
-	// onAppend and onRead let a test plant a defect in what the node writes or
-	// reads; nil otherwise.
-	onAppend func(*recordv1.Batch)
-	onRead   func(offset uint64, batch *recordv1.Batch)
+	onStep  StepHook
+
+	mu              sync.Mutex
+	delay           time.Duration
+	responsesToDrop int
+	// mutateAppend and mutateRead inject defects into what the node writes or reads;
+	// nil for none.
+	mutateAppend func(*recordv1.Batch)
+	mutateRead   func(offset uint64, batch *recordv1.Batch)
 }
 
 var _ ports.Log = (*Log)(nil)
 
-// NewLog returns a node's view of a log.
-func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, probe Probe) *Log {
-	return &Log{inner: inner, network: network, node: node, gate: gate, clock: clock, probe: probe}
+// NewLog returns the view of inner that the given node gets.
+func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, onStep StepHook) *Log {
+	return &Log{inner: inner, network: network, node: node, gate: gate, clock: clock, onStep: onStep}
 }
 
-// SetDelay makes each call of this node take at least d longer.
+// SetDelay adds at least d to each call of this node.
 func (l *Log) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// LoseAnswers makes the node's next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the node's next n appends take effect but return an error.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lose = n
+	l.responsesToDrop = n
 }
 
-// Tamper plants defects: onAppend changes what the node writes, onRead what it reads.
-func (l *Log) Tamper(onAppend func(*recordv1.Batch), onRead func(uint64, *recordv1.Batch)) {
+// Tamper injects defects: mutateAppend changes what the node writes, mutateRead what it reads.
+func (l *Log) Tamper(mutateAppend func(*recordv1.Batch), mutateRead func(uint64, *recordv1.Batch)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.onAppend, l.onRead = onAppend, onRead
+	l.mutateAppend, l.mutateRead = mutateAppend, mutateRead
 }
 
-func (l *Log) takeLoss() bool {
+func (l *Log) takeResponseDrop() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lose == 0 {
+	if l.responsesToDrop == 0 {
 		return false
 	}
-	l.lose--
+	l.responsesToDrop--
 	return true
 }
 
-func (l *Log) hooks() (time.Duration, func(*recordv1.Batch), func(uint64, *recordv1.Batch)) {
+func (l *Log) settings() (time.Duration, func(*recordv1.Batch), func(uint64, *recordv1.Batch)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.delay, l.onAppend, l.onRead
+	return l.delay, l.mutateAppend, l.mutateRead
 }
 
-// reach waits for the way to the log; an error means that nothing arrived there.
-func (l *Log) reach(ctx context.Context) error {
+// sendRequest waits out the latency to the log; an error means that nothing reached it.
+func (l *Log) sendRequest(ctx context.Context) error {
 	if err := l.gate.Enter(ctx); err != nil {
 		return err
 	}
-	delay, _, _ := l.hooks()
+	delay, _, _ := l.settings()
 	delay += l.network.latency(l.node, LogEndpoint, 0)
 	select {
 	case <-l.clock.After(delay):
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
 	}
-	return l.pass(ctx, l.node, LogEndpoint)
+	return l.awaitDelivery(ctx, l.node, LogEndpoint)
 }
 
-func (l *Log) pass(ctx context.Context, from, to Endpoint) error {
-	if l.network.Passes(from, to) {
+// awaitDelivery passes the node's gate if the link is up; else it returns an error once ctx
+// ends or the node is killed.
+func (l *Log) awaitDelivery(ctx context.Context, from, to Endpoint) error {
+	if l.network.Reachable(from, to) {
 		return errors.Trace(l.gate.Enter(ctx))
 	}
 	select {
 	case <-ctx.Done():
 	case <-l.gate.Dead():
 	}
-	return errors.Trace(errLost)
+	return errors.Trace(errNoResponse)
 }
 
 // Append implements ports.Log.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	for _, step := range stepsOf(data) {
-		l.probe(step, string(l.node))
+		l.onStep(step, string(l.node))
 	}
-	if err := l.reach(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return 0, err
 	}
-	if _, tamper, _ := l.hooks(); tamper != nil {
-		data = tampered(data, tamper)
+	if _, mutate, _ := l.settings(); mutate != nil {
+		data = tamper(data, mutate)
 	}
 	offset, err := l.inner.Append(ctx, stream, data)
-	l.probe(StepAppended, string(l.node))
-	if err == nil && l.takeLoss() {
-		return 0, errors.Trace(errLost)
+	l.onStep(StepAppended, string(l.node))
+	if err == nil && l.takeResponseDrop() {
+		return 0, errors.Trace(errNoResponse)
 	}
-	if lost := l.pass(ctx, LogEndpoint, l.node); lost != nil {
-		return 0, lost
+	if deliveryErr := l.awaitDelivery(ctx, LogEndpoint, l.node); deliveryErr != nil {
+		return 0, deliveryErr
 	}
 	return offset, errors.Trace(err)
 }
 
 // Read implements ports.Log.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	if err := l.reach(ctx); err != nil {
+	if err := l.sendRequest(ctx); err != nil {
 		return ports.Slice{}, err
 	}
-	slice, err := l.readInner(ctx, stream, from, max, wait)
-	if lost := l.pass(ctx, LogEndpoint, l.node); lost != nil {
-		return ports.Slice{}, lost
+	slice, err := l.readOrWait(ctx, stream, from, max, wait)
+	if deliveryErr := l.awaitDelivery(ctx, LogEndpoint, l.node); deliveryErr != nil {
+		return ports.Slice{}, deliveryErr
 	}
 	if err != nil {
 		return ports.Slice{}, err
 	}
-	return l.tamperedSlice(slice), nil
+	return l.tamperSlice(slice), nil
 }
 
-// readInner waits here and not in the log, on this node's clock.
-func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	grown := l.inner.Grown()
+// readOrWait long-polls here instead of in the log, so that the wait uses this node's clock.
+func (l *Log) readOrWait(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+	appended := l.inner.NextAppend()
 	slice, err := l.inner.Read(ctx, stream, from, max, 0)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
 		return slice, err
 	}
 	select {
-	case <-grown:
+	case <-appended:
 	case <-l.clock.After(wait):
 	case <-ctx.Done():
 		return ports.Slice{}, errors.Trace(ctx.Err())
@@ -155,25 +157,25 @@
 	return l.inner.Read(ctx, stream, from, max, 0)
 }
 
-func (l *Log) tamperedSlice(slice ports.Slice) ports.Slice {
-	_, _, tamper := l.hooks()
-	if tamper == nil {
+func (l *Log) tamperSlice(slice ports.Slice) ports.Slice {
+	_, _, mutate := l.settings()
+	if mutate == nil {
 		return slice
 	}
 	for i, r := range slice.Records {
-		slice.Records[i].Data = tampered(r.Data, func(batch *recordv1.Batch) { tamper(r.Offset, batch) })
+		slice.Records[i].Data = tamper(r.Data, func(batch *recordv1.Batch) { mutate(r.Offset, batch) })
 	}
 	return slice
 }
 
-// tampered returns a record after each of its batches was changed.
-func tampered(data []byte, tamper func(*recordv1.Batch)) []byte {
+// tamper returns the record with mutate applied to each of its batches.
+func tamper(data []byte, mutate func(*recordv1.Batch)) []byte {
 	batches, _ := record.Decode(data)
 	var changed [][]byte
 	for _, batch := range batches {
-		tamper(batch)
-		one, _ := proto.Marshal(batch)
-		changed = append(changed, one)
+		mutate(batch)
+		encoded, _ := proto.Marshal(batch)
+		changed = append(changed, encoded)
 	}
 	return record.Join(changed)
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -14,88 +14,88 @@
 )
 
 const (
-	nearLatency = 1500 * time.Microsecond
-	farLatency  = 30 * time.Millisecond
-	// lostAfter bounds a call without a deadline whose answer never comes.
-	lostAfter = 10 * time.Second
+	sameRegionLatency  = 1500 * time.Microsecond
+	crossRegionLatency = 30 * time.Millisecond
+	// defaultCallTimeout bounds a call without a deadline that gets no response.
+	defaultCallTimeout = 10 * time.Second
 )
 
-// Endpoint is a name on the network: a peer address, an upstream or the log.
+// Endpoint names an end of a link: a peer address, an upstream or the log.
 type Endpoint string
 
-// LogEndpoint is where the platform's log stands.
+// LogEndpoint is the endpoint of the platform's log.
 const LogEndpoint Endpoint = "log"
 
 type link struct{ from, to Endpoint }
 
-type station struct {
-	region string
-	gate   *Gate
-	handle peer.Handler
+type host struct {
+	region  string
+	gate    *Gate
+	handler peer.Handler
 }
 
-// Network joins nodes, upstreams and the log. Each direction of each link can be
-// cut by itself. It is safe for concurrent use.
+// Network simulates the links between nodes, upstreams and the log. Each direction of each
+// link can be cut separately. It is safe for concurrent use.
 type Network struct {
 	clock clockwork.Clock
 
-	mu       sync.Mutex
-	stations map[Endpoint]station
-	cut      map[link]bool
-	between  uint64
-	parts    []Part
+	mu                  sync.Mutex
+	hosts               map[Endpoint]host
+	cut                 map[link]bool
+	bytesBetweenRegions uint64
+	parts               []Part
 }
 
-// Part links a request to the id under which a peer reserved a part of it.
+// Part maps a request to the id under which a peer reserved a part of it.
 type Part struct{ Request, Part string }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network with all links up.
 func NewNetwork(clock clockwork.Clock) *Network {
-	return &Network{clock: clock, stations: map[Endpoint]station{}, cut: map[link]bool{}}
+	return &Network{clock: clock, hosts: map[Endpoint]host{}, cut: map[link]bool{}}
 }
 
-// Place puts something that isn't a node into a region.
-func (n *Network) Place(at Endpoint, region string) {
+// PlaceInRegion sets the region of an endpoint that isn't a node.
+func (n *Network) PlaceInRegion(endpoint Endpoint, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stations[at] = station{region: region}
+	n.hosts[endpoint] = host{region: region}
 }
 
-// Attach puts a node at its peer address, in place of the one before.
-func (n *Network) Attach(at Endpoint, region string, gate *Gate, handle peer.Handler) {
+// AttachNode connects a node at its peer address and replaces any earlier one there.
+func (n *Network) AttachNode(endpoint Endpoint, region string, gate *Gate, handler peer.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stations[at] = station{region: region, gate: gate, handle: handle}
+	n.hosts[endpoint] = host{region: region, gate: gate, handler: handler}
 }
 
-// Cut drops everything that goes one way.
+// Cut drops all traffic in one direction of a link.
 func (n *Network) Cut(from, to Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[link{from, to}] = true
 }
 
-// Isolate drops everything between an endpoint and all others: towards the
-// endpoint when in is set, and away from it when out is set.
-func (n *Network) Isolate(at Endpoint, in, out bool) {
+// Isolate drops traffic between an endpoint and all others: to the endpoint if inbound is
+// set, and from it if outbound is set.
+func (n *Network) Isolate(endpoint Endpoint, inbound, outbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for other := range n.stations {
-		if in {
-			n.cut[link{other, at}] = true
+	for other := range n.hosts {
+		if inbound {
+			n.cut[link{other, endpoint}] = true
 		}
-		if out {
-			n.cut[link{at, other}] = true
+		if outbound {
+			n.cut[link{endpoint, other}] = true
 		}
 	}
 }
 
-// CutRegion drops everything between a region and the others.
+// CutRegion drops all traffic between a region and the others.
 func (n *Network) CutRegion(region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for a, here := range n.stations {
-		for b, there := range n.stations {
+	for a, here := range n.hosts {
+		for b, there := range n.hosts {
 			if (here.region == region) != (there.region == region) {
 				n.cut[link{a, b}] = true
 			}
@@ -110,99 +110,99 @@
 	clear(n.cut)
 }
 
-// Passes tells whether something sent now arrives.
-func (n *Network) Passes(from, to Endpoint) bool {
+// Reachable reports whether a message sent now arrives.
+func (n *Network) Reachable(from, to Endpoint) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.cut[link{from, to}]
 }
 
-// BytesBetweenRegions returns how much nodes sent each other across regions.
+// BytesBetweenRegions returns the size of the messages that nodes sent across regions.
 func (n *Network) BytesBetweenRegions() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.between
+	return n.bytesBetweenRegions
 }
 
 func (n *Network) latency(from, to Endpoint, size int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.stations[from].region == n.stations[to].region {
-		return nearLatency
+	if n.hosts[from].region == n.hosts[to].region {
+		return sameRegionLatency
 	}
-	n.between += uint64(size)
-	return farLatency
+	n.bytesBetweenRegions += uint64(size)
+	return crossRegionLatency
 }
 
-func (n *Network) at(address Endpoint) station {
+func (n *Network) hostAt(address Endpoint) host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stations[address]
+	return n.hosts[address]
 }
 
-// Caller returns a node's side of the network.
-func (n *Network) Caller(from Endpoint, gate *Gate, probe Probe) peer.Caller {
-	return &networkCaller{network: n, from: from, gate: gate, probe: probe}
+// Caller returns the peer client of the node at from.
+func (n *Network) Caller(from Endpoint, gate *Gate, onStep StepHook) peer.Caller {
+	return &networkCaller{network: n, from: from, gate: gate, onStep: onStep}
 }
 
 type networkCaller struct {
 	network *Network
 	from    Endpoint
 	gate    *Gate
-	probe   Probe
+	onStep  StepHook
 }
 
-var errLost = errors.New("nothing came back")
+var errNoResponse = errors.New("no response received")
 
 // Call implements peer.Caller.
 func (c *networkCaller) Call(ctx context.Context, address string, request *fleetv1.Request) (*fleetv1.Response, error) {
-	ctx, cancel := clockwork.WithTimeout(ctx, c.network.clock, lostAfter)
+	ctx, cancel := clockwork.WithTimeout(ctx, c.network.clock, defaultCallTimeout)
 	defer cancel()
-	c.tell(request)
+	c.reportStep(request)
 	if err := c.gate.Enter(ctx); err != nil {
 		return nil, err
 	}
 	to := Endpoint(address)
-	answer := make(chan *fleetv1.Response, 1)
-	if c.network.Passes(c.from, to) {
-		go c.deliver(ctx, to, proto.Clone(request).(*fleetv1.Request), answer)
+	responses := make(chan *fleetv1.Response, 1)
+	if c.network.Reachable(c.from, to) {
+		go c.deliver(ctx, to, proto.Clone(request).(*fleetv1.Request), responses)
 	}
 	select {
-	case response := <-answer:
+	case response := <-responses:
 		return response, c.gate.Enter(ctx)
 	case <-ctx.Done():
 		_ = c.gate.Enter(ctx)
-		return nil, errors.Trace(errLost)
+		return nil, errors.Trace(errNoResponse)
 	}
 }
 
-func (c *networkCaller) tell(request *fleetv1.Request) {
+func (c *networkCaller) reportStep(request *fleetv1.Request) {
 	switch request.GetBody().(type) {
 	case *fleetv1.Request_Reserve:
-		c.probe(StepPeerReserve, string(c.from))
+		c.onStep(StepPeerReserve, string(c.from))
 	case *fleetv1.Request_Witness:
-		c.probe(StepWitness, string(c.from))
+		c.onStep(StepWitness, string(c.from))
 	}
 }
 
 // Parts returns the parts of requests that peers reserved, whether or not the
-// answer arrived.
+// response arrived.
 func (n *Network) Parts() []Part {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Part(nil), n.parts...)
 }
 
-// partField is the lender's request id in fleet.v1.Reserved.
-const partField = "request"
+// reservedRequestField is the field of fleet.v1.Reserved that holds the lender's request id.
+const reservedRequestField = "request"
 
-func (n *Network) notePart(request *fleetv1.Request, response *fleetv1.Response) {
+func (n *Network) recordPart(request *fleetv1.Request, response *fleetv1.Response) {
 	reserved := response.GetReserved()
 	if reserved == nil {
 		return
 	}
 	message := reserved.ProtoReflect()
-	field := message.Descriptor().Fields().ByName(partField)
+	field := message.Descriptor().Fields().ByName(reservedRequestField)
 	if field == nil {
 		return
 	}
@@ -211,18 +211,18 @@
 	n.parts = append(n.parts, Part{request.GetReserve().GetRequest(), message.Get(field).String()})
 }
 
-// deliver runs the request at its receiver, whatever becomes of the caller.
-func (c *networkCaller) deliver(ctx context.Context, to Endpoint, request *fleetv1.Request, answer chan<- *fleetv1.Response) {
+// deliver runs the request at its receiver even if the caller has given up.
+func (c *networkCaller) deliver(ctx context.Context, to Endpoint, request *fleetv1.Request, responses chan<- *fleetv1.Response) {
 	c.network.clock.Sleep(c.network.latency(c.from, to, proto.Size(request)))
-	receiver := c.network.at(to)
-	if receiver.handle == nil || receiver.gate.Enter(context.Background()) != nil {
+	receiver := c.network.hostAt(to)
+	if receiver.handler == nil || receiver.gate.Enter(context.Background()) != nil {
 		return
 	}
-	response := receiver.handle(ctx, request)
-	c.network.notePart(request, response)
-	if receiver.gate.Enter(context.Background()) != nil || !c.network.Passes(to, c.from) {
+	response := receiver.handler(ctx, request)
+	c.network.recordPart(request, response)
+	if receiver.gate.Enter(context.Background()) != nil || !c.network.Reachable(to, c.from) {
 		return
 	}
 	c.network.clock.Sleep(c.network.latency(to, c.from, proto.Size(response)))
-	answer <- proto.Clone(response).(*fleetv1.Response)
+	responses <- proto.Clone(response).(*fleetv1.Response)
 }
--- a/internal/fake/resume.go
+++ b/internal/fake/resume.go
@@ -13,46 +13,46 @@
 
 // Resume implements upstream.Resumer.
 func (c *Client) Resume(ctx context.Context, to *operatorv1.Upstream, id string, from uint64) (upstream.ChatStream, error) {
-	if err := c.send(ctx, to); err != nil {
+	if err := c.sendRequest(ctx, to); err != nil {
 		return nil, err
 	}
-	run, state := c.upstreams.kept(to.GetName(), id)
+	run, state := c.upstreams.lookupRun(to.GetName(), id)
 	if run == nil || state.Cancelled && from >= state.Produced {
 		return nil, result.New(result.StreamLost, "%s doesn't hold the stream", to.GetName())
 	}
-	return &resumed{stream: stream{client: c, ctx: ctx, to: to, run: run}, next: from + c.upstreams.currentFaults().SkipOnResume}, nil
+	return &resumedStream{stream: stream{client: c, ctx: ctx, to: to, run: run}, next: from + c.upstreams.currentFaults().SkipOnResume}, nil
 }
 
-// kept returns an engine's run of a request with its state now; nil when the engine
-// knows none.
-func (u *Upstreams) kept(engine, request string) (*EngineRun, EngineRun) {
+// lookupRun returns an engine's run of a request and a copy of its current state; nil if the
+// engine has none.
+func (u *Upstreams) lookupRun(engine, request string) (*EngineRun, EngineRun) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	run := u.byID[engine+"/"+request]
+	run := u.runsByKey[engine+"/"+request]
 	if run == nil {
 		return nil, EngineRun{}
 	}
 	return run, *run
 }
 
-// resumed is a stream that is read on from a chunk; the engine goes on generating
-// whoever reads.
-type resumed struct {
+// resumedStream reads a run from a given chunk on; the engine generates whether or not anyone
+// reads.
+type resumedStream struct {
 	stream
 	next uint64
 }
 
 // Next implements upstream.ChatStream.
-func (r *resumed) Next() (upstream.Chunk, error) {
+func (r *resumedStream) Next() (upstream.Chunk, error) {
 	u := r.client.upstreams
 	for {
-		_, state := u.kept(r.to.GetName(), r.run.Request)
-		words := uint64(len(state.Answer))
+		_, state := u.lookupRun(r.to.GetName(), r.run.Request)
+		tokens := uint64(len(state.Answer))
 		switch {
 		case state.Request == "":
 			return upstream.Chunk{}, result.New(result.AnswerCut, "%s is gone", r.to.GetName())
-		case r.next < state.Produced || r.next >= words && state.Finished:
-			return r.at(words)
+		case r.next < state.Produced || r.next >= tokens && state.Finished:
+			return r.nextChunk(tokens)
 		case state.Cancelled:
 			return upstream.Chunk{}, result.New(result.AnswerCut, "%s ended the stream early", r.to.GetName())
 		}
@@ -66,17 +66,17 @@
 	}
 }
 
-// at passes the chunk whose turn it is: a word, the usage, or the end.
-func (r *resumed) at(words uint64) (upstream.Chunk, error) {
-	number := r.next
+// nextChunk returns the next chunk: a word, the usage, or the end of the stream.
+func (r *resumedStream) nextChunk(tokens uint64) (upstream.Chunk, error) {
+	i := r.next
 	r.next++
 	switch {
-	case number < words:
-		return r.pass(wordChunk(r.run.Request, r.run.Answer[number]), true)
-	case number == words:
-		return r.pass(usageChunk(r.run), true)
+	case i < tokens:
+		return r.receiveChunk(wordChunk(r.run.Request, r.run.Answer[i]), true)
+	case i == tokens:
+		return r.receiveChunk(usageChunk(r.run), true)
 	}
-	if _, err := r.pass(upstream.Chunk{}, true); err != io.EOF {
+	if _, err := r.receiveChunk(upstream.Chunk{}, true); err != io.EOF {
 		return upstream.Chunk{}, err
 	}
 	return upstream.Chunk{}, io.EOF
--- a/internal/fake/step.go
+++ b/internal/fake/step.go
@@ -5,11 +5,11 @@
 	"lavenderpin.dev/lavenderpin/record"
 )
 
-// Step is a place in a node's work at which a fault can be made to strike.
+// Step is a point in a node's work at which a fault can be injected.
 type Step string
 
-// The steps. Each names the moment right before the act, except StepAppended,
-// which lies between an append's effect and its answer.
+// The steps. Each is the point right before the operation, except StepAppended, which lies
+// between an append's effect and its response.
 const (
 	StepReserve     Step = "reserve"
 	StepDispatch    Step = "dispatch"
@@ -29,17 +29,17 @@
 	StepSnapshot    Step = "snapshot"
 	StepPeerReserve Step = "peer reserve"
 	StepWitness     Step = "witness"
-	// StepCacheEvent is a node reading cache events, StepCacheGap one reading them
-	// with an event missing between. No fault strikes there.
+	// StepCacheEvent is a node reading cache events, StepCacheGap a node reading them
+	// with an event missing in between. No fault is injected there.
 	StepCacheEvent Step = "cache event"
 	StepCacheGap   Step = "gap in cache events"
 )
 
-// Probe is told of each step that a node is about to take. It may cut, pause or
-// kill before the step goes on.
-type Probe func(step Step, node string)
+// StepHook is called with each step that a node is about to take. It may cut links, or pause
+// or kill the node, before the step proceeds.
+type StepHook func(step Step, node string)
 
-// stepsOf returns the steps that appending a record takes.
+// stepsOf returns the steps that appending a record comprises.
 func stepsOf(data []byte) []Step {
 	var steps []Step
 	seen := map[Step]bool{}
--- a/internal/fake/upstreams.go
+++ b/internal/fake/upstreams.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// EngineRun is one completion as an engine saw it.
+// EngineRun is one completion as the engine executed it.
 type EngineRun struct {
 	Upstream string
 	Request  string
@@ -24,7 +24,7 @@
 	Cancelled bool
 }
 
-// ServiceRun is one execution of a plain call.
+// ServiceRun is one execution of a call by a plain service.
 type ServiceRun struct {
 	Upstream string
 	Request  string
@@ -33,54 +33,54 @@
 	At       time.Time
 }
 
-// UpstreamFaults are the switches of all upstreams.
+// UpstreamFaults are the faults that all upstreams inject.
 type UpstreamFaults struct {
-	// Cross makes each engine's answer come for another request.
+	// Cross makes each engine return the answer to another request.
 	Cross bool
-	// CutAfter ends each engine's stream after so many tokens; 0 never.
+	// CutAfter ends each engine's stream after this many tokens; 0 disables it.
 	CutAfter int
-	// RunTwice plants a defect: each plain call runs twice.
+	// RunTwice injects a defect: each plain call runs twice.
 	RunTwice bool
-	// SkipOnResume plants a defect: a stream that is read on lacks so many chunks.
+	// SkipOnResume injects a defect: a resumed stream skips this many chunks.
 	SkipOnResume uint64
-	// IgnoreNotAfter makes upstreams run requests that arrive too late.
+	// IgnoreNotAfter makes upstreams run requests that arrive after their not-after time.
 	IgnoreNotAfter bool
-	// IgnoreFencing makes engines that check fencing numbers take any order.
+	// IgnoreFencing makes engines that check fencing numbers accept any order.
 	IgnoreFencing bool
 }
 
-// Upstreams are the engines and plain services, with what they saw. They are safe
-// for concurrent use.
+// Upstreams simulates the engines and plain services and records what they executed.
+// It is safe for concurrent use.
 type Upstreams struct {
 	clock   clockwork.Clock
 	network *Network
-	// TokenTime is the time between two tokens.
+	// TokenTime is the interval between two tokens.
 	TokenTime time.Duration
 	// CallTime is how long a plain call takes.
 	CallTime time.Duration
 
-	mu      sync.Mutex
-	faults  UpstreamFaults
-	runs    []*EngineRun
-	byID    map[string]*EngineRun
-	calls   []ServiceRun
-	orders  []EngineOrder
-	engines map[string]*engineState
+	mu          sync.Mutex
+	faults      UpstreamFaults
+	runs        []*EngineRun
+	runsByKey   map[string]*EngineRun
+	serviceRuns []ServiceRun
+	orders      []EngineOrder
+	engines     map[string]*engineState
 
 	caches      map[string]*engineCache
 	cacheFaults CacheFaults
-	dead        map[string]bool
-	deaths      []EngineDeath
+	down        map[string]bool
+	outages     []EngineOutage
 	attempts    []Attempt
 }
 
-// NewUpstreams returns upstreams that work at the given pace.
+// NewUpstreams returns upstreams with the given token interval and call duration.
 func NewUpstreams(clock clockwork.Clock, network *Network, tokenTime, callTime time.Duration) *Upstreams {
-	return &Upstreams{clock: clock, network: network, TokenTime: tokenTime, CallTime: callTime, byID: map[string]*EngineRun{},
-		engines: map[string]*engineState{}, caches: map[string]*engineCache{}, dead: map[string]bool{}}
+	return &Upstreams{clock: clock, network: network, TokenTime: tokenTime, CallTime: callTime, runsByKey: map[string]*EngineRun{},
+		engines: map[string]*engineState{}, caches: map[string]*engineCache{}, down: map[string]bool{}}
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (u *Upstreams) SetFaults(f UpstreamFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -93,7 +93,7 @@
 	return u.faults
 }
 
-// Runs returns what the engines saw.
+// Runs returns the completions that engines executed.
 func (u *Upstreams) Runs() []EngineRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,14 +104,14 @@
 	return runs
 }
 
-// Calls returns what the plain services ran.
+// Calls returns the calls that plain services executed.
 func (u *Upstreams) Calls() []ServiceRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]ServiceRun(nil), u.calls...)
+	return append([]ServiceRun(nil), u.serviceRuns...)
 }
 
-// chatBody is what an engine reads of a request.
+// chatBody holds the fields of a chat request that an engine reads.
 type chatBody struct {
 	MaxTokens int `json:"max_tokens"`
 	Messages  []struct {
@@ -135,12 +135,13 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs = append(u.runs, run)
-	u.byID[upstream+"/"+request] = run
+	u.runsByKey[upstream+"/"+request] = run
 	u.prefill(upstream, messages)
 	return run
 }
 
-func (u *Upstreams) produce(run *EngineRun) (goOn bool) {
+// recordToken counts a generated token unless the run was cancelled.
+func (u *Upstreams) recordToken(run *EngineRun) (running bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if run.Cancelled {
@@ -159,13 +160,13 @@
 func (u *Upstreams) cancel(upstream, request string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if run := u.byID[upstream+"/"+request]; run != nil && !run.Finished {
+	if run := u.runsByKey[upstream+"/"+request]; run != nil && !run.Finished {
 		run.Cancelled = true
 	}
 }
 
-func (u *Upstreams) ran(run ServiceRun) {
+func (u *Upstreams) recordServiceRun(run ServiceRun) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.calls = append(u.calls, run)
+	u.serviceRuns = append(u.serviceRuns, run)
 }
