--- /dev/null
+++ b/internal/soak/check_test.go
@@ -0,0 +1,103 @@
+package soak
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"lavenderpin.dev/lavenderpin/platform/standin"
+)
+
+// successfulCall returns a call that succeeded and its run at the upstream.
+func successfulCall(id string, route standin.Route) (callRecord, standin.Run) {
+	r := callRecord{call: standin.Call{ID: id, Route: route}, account: "one", start: time.Unix(100, 0),
+		outcome: standin.Outcome{Status: http.StatusOK, Signed: true, Complete: true, Body: standin.PlainResponse(id)}}
+	if route.Engine {
+		for i := range eventsPerStream {
+			r.outcome.Events = append(r.outcome.Events, i+1)
+		}
+	}
+	return r, standin.Run{ID: id, Account: "one", Target: route.Path(), Body: "body of " + id}
+}
+
+// faultFreeHistory returns the history of a run without faults.
+func faultFreeHistory() *history {
+	h := &history{runs: make(map[string][]standin.Run), prepaid: map[string]int64{"one": 10_000}, recoveryDeadline: time.Unix(99, 0)}
+	for _, route := range []standin.Route{standin.StreamRoute, standin.NonResumableRoute, standin.OrderRoute, standin.LookupRoute} {
+		r, run := successfulCall("id-"+route.Name, route)
+		h.records = append(h.records, r)
+		h.runs[run.ID] = append(h.runs[run.ID], run)
+	}
+	return h
+}
+
+func (h *history) recordOf(route standin.Route) *callRecord {
+	i := slices.IndexFunc(h.records, func(r callRecord) bool { return r.call.Route.Name == route.Name })
+	return &h.records[i]
+}
+
+func TestCheckAcceptsFaultFreeHistory(t *testing.T) {
+	is := is.New(t)
+	is.Equal(len(checkHistory(faultFreeHistory())), 0)
+}
+
+// Guards against a check that can't fail: each history breaks one guarantee as a defect of the
+// fleet would, and checkHistory must name that guarantee.
+func TestCheckDetectsEachViolation(t *testing.T) {
+	for _, c := range []struct {
+		name, promise string
+		spoil         func(*history)
+	}{
+		{"an order runs twice", "at most once", func(h *history) { h.runs["id-orders"] = append(h.runs["id-orders"], h.runs["id-orders"][0]) }},
+		{"a refused order ran", "true refusals", func(h *history) {
+			h.recordOf(standin.OrderRoute).outcome = standin.Outcome{Status: http.StatusServiceUnavailable}
+		}},
+		{"a stream lacks its end", "whole answers", func(h *history) { o := &h.recordOf(standin.NonResumableRoute).outcome; o.Events = o.Events[:5] }},
+		{"an event comes twice", "whole answers", func(h *history) { h.recordOf(standin.StreamRoute).outcome.Events[3] = 3 }},
+		{"an answer is another request's", "whole answers", func(h *history) { h.recordOf(standin.LookupRoute).outcome.Body = standin.PlainResponse("x") }},
+		{"an answer is unsigned", "whole answers", func(h *history) { h.recordOf(standin.OrderRoute).outcome.Signed = false }},
+		{"a request runs for another account", "only what was asked", func(h *history) { h.runs["id-fixed"][0].Account = "two" }},
+		{"a request runs that nobody sent", "only what was asked", func(h *history) { h.runs["x"] = []standin.Run{{ID: "x"}} }},
+		{"an account overspends", "within what was prepaid", func(h *history) { h.prepaid["one"] = 700 }},
+		{"a planned stop cuts a stream", "planned stops", func(h *history) {
+			h.nodeNumbers = map[string]int{"n": 2}
+			h.spans = []span{{Step: Step{Kind: StopNode, Target: 2}, begin: time.Unix(99, 0), end: time.Unix(103, 0)}}
+			r := h.recordOf(standin.NonResumableRoute)
+			r.node, r.end, r.outcome.Complete = "n", time.Unix(101, 0), false
+		}},
+		{"a new route isn't in force", "configuration in force", func(h *history) {
+			h.routes = []addedRoute{{route: standin.LookupRoute, at: time.Unix(96, 0)}}
+			h.recordOf(standin.LookupRoute).outcome = standin.Outcome{Status: http.StatusNotFound}
+		}},
+		{"a node goes back to an older configuration", "configuration stays", func(h *history) {
+			r, run := successfulCall("later", standin.LookupRoute)
+			r.start, r.outcome = time.Unix(105, 0), standin.Outcome{Status: http.StatusNotFound}
+			h.records = append(h.records, r)
+			h.runs[run.ID] = append(h.runs[run.ID], run)
+		}},
+		{"nothing is served after the faults", "recovery", func(h *history) {
+			for i := range h.records {
+				h.records[i].outcome = standin.Outcome{}
+			}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			h := faultFreeHistory()
+			c.spoil(h)
+			is.Equal(brokenGuarantees(checkHistory(h)), []string{c.promise})
+		})
+	}
+}
+
+// A seed must give the same plan each time, or a failure can't be reproduced.
+func TestPlanIsDeterministic(t *testing.T) {
+	is := is.New(t)
+	one, two := NewPlan(7, time.Minute, 5, 5), NewPlan(7, time.Minute, 5, 5)
+	is.Equal(one, two)
+	is.True(len(one) > 50)
+	is.True(!slices.Equal(one, NewPlan(8, time.Minute, 5, 5)))
+}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -13,55 +13,55 @@
 )
 
 const (
-	// eventsOfStream is how long each stream is.
-	eventsOfStream = 20
-	// heartbeatEvery is the interval of the upstreams' entries.
-	heartbeatEvery = time.Second
-	// prepaidAtFirst and topUpTokens, in tokens, are little: accounts run out within a run
-	// and go on after a top-up.
-	prepaidAtFirst = 150_000
+	// eventsPerStream is the number of events in each stream.
+	eventsPerStream = 20
+	// heartbeatInterval is how often upstreams renew their store entries.
+	heartbeatInterval = time.Second
+	// initialPrepaid and topUpTokens, in tokens, are small so that accounts run out within a
+	// run and continue after a top-up.
+	initialPrepaid = 150_000
 	topUpTokens    = 100_000
 )
 
-// fleet is the nodes with what surrounds them.
+// fleet is the nodes with the store, operator, upstreams and proxies around them.
 type fleet struct {
 	store     *standin.Store
 	operator  *standin.Operator
 	upstreams []*standin.Engine
-	ways      []*Proxy
+	proxies   []*Proxy
 	nodes     []*node
 
 	mu sync.Mutex
-	// routes are the routes that were added, spans the steps that were played.
+	// routes are the routes added so far, spans the steps executed so far.
 	routes []addedRoute
 	spans  []span
 	stop   chan struct{}
 }
 
-// addedRoute is a route that was added.
+// addedRoute is a route with the time at which it was added.
 type addedRoute struct {
-	kind standin.Route
-	at   time.Time
+	route standin.Route
+	at    time.Time
 }
 
 func newFleet(program, dir string, nodes int) (*fleet, error) {
 	f := &fleet{store: standin.NewStore(), stop: make(chan struct{})}
-	f.operator = &standin.Operator{Store: f.store, Accounts: []standin.Account{{Name: "one", Keys: []string{"key-one"}, Prepaid: prepaidAtFirst}, {Name: "two", Keys: []string{"key-two"}, Prepaid: prepaidAtFirst}}}
+	f.operator = &standin.Operator{Store: f.store, Accounts: []standin.Account{{Name: "one", Keys: []string{"key-one"}, Prepaid: initialPrepaid}, {Name: "two", Keys: []string{"key-two"}, Prepaid: initialPrepaid}}}
 	f.operator.Configure()
 	for i := range 5 {
-		service, events := standin.EngineService, eventsOfStream
+		service, events := standin.EngineService, eventsPerStream
 		if i >= 3 {
 			service, events = standin.PlainService, 0
 		}
 		e := standin.NewEngine(fmt.Sprintf("u%d", i), service, "dc", events)
-		way, err := NewProxy(e.Address())
+		proxy, err := NewProxy(e.Address())
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		e.AdvertisedAddress = way.Address()
-		f.upstreams, f.ways = append(f.upstreams, e), append(f.ways, way)
+		e.AdvertisedAddress = proxy.Address()
+		f.upstreams, f.proxies = append(f.upstreams, e), append(f.proxies, proxy)
 	}
-	f.beat()
+	f.registerUpstreams()
 	for i := range nodes {
 		n, err := newNode(fmt.Sprintf("n%d", i), program, dir, f.store.Address())
 		if err != nil {
@@ -72,25 +72,25 @@
 			return nil, errors.Trace(err)
 		}
 	}
-	go f.heartbeats()
+	go f.runHeartbeats()
 	return f, nil
 }
 
-func (f *fleet) beat() {
+func (f *fleet) registerUpstreams() {
 	for _, e := range f.upstreams {
 		e.Register(f.store, "ready")
 	}
 }
 
-func (f *fleet) heartbeats() {
-	ticker := time.NewTicker(heartbeatEvery)
+func (f *fleet) runHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-f.stop:
 			return
 		case <-ticker.C:
-			f.beat()
+			f.registerUpstreams()
 		}
 	}
 }
@@ -100,8 +100,8 @@
 	for _, n := range f.nodes {
 		n.close()
 	}
-	for _, w := range f.ways {
-		w.Close()
+	for _, p := range f.proxies {
+		p.Close()
 	}
 	for _, e := range f.upstreams {
 		e.Close()
@@ -109,60 +109,60 @@
 	f.store.Close()
 }
 
-// apply does one step and notes when it was.
+// apply executes one step and records when it took place.
 func (f *fleet) apply(s Step) error {
 	begin := time.Now()
-	err := f.do(s)
+	err := f.inject(s)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.spans = append(f.spans, span{Step: s, begin: begin, end: time.Now()})
 	return err
 }
 
-// do does one step and ends it after its time.
-func (f *fleet) do(s Step) error {
+// inject executes one step and ends it after its duration.
+func (f *fleet) inject(s Step) error {
 	hold := func(begin, end func()) {
 		begin()
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		end()
 	}
-	way := func(p *Proxy, mode Mode) { hold(func() { p.Set(mode) }, func() { p.Set(Pass) }) }
-	faults := func(faults standin.Faults) {
+	setMode := func(p *Proxy, mode Mode) { hold(func() { p.SetMode(mode) }, func() { p.SetMode(Pass) }) }
+	setFaults := func(faults standin.Faults) {
 		e := f.upstreams[s.Target]
 		hold(func() { e.SetFaults(faults) }, func() { e.SetFaults(standin.Faults{}) })
 	}
 	switch s.Kind {
 	case KillNode:
-		return f.nodes[s.Target].kill(s.For / 4)
+		return f.nodes[s.Target].kill(s.Duration / 4)
 	case KillAll:
-		return f.killAll(s.For / 4)
+		return f.killAll(s.Duration / 4)
 	case PauseNode:
 		n := f.nodes[s.Target]
 		hold(func() { n.signal(syscall.SIGSTOP) }, func() { n.signal(syscall.SIGCONT) })
 	case StopNode:
 		return f.nodes[s.Target].stop()
-	case StoreAway:
+	case StoreUnavailable:
 		hold(func() { f.store.SetUnavailable(true) }, func() { f.store.SetUnavailable(false) })
-	case StoreLoses:
+	case StoreDropsResponses:
 		hold(func() { f.store.DropResponses(true) }, func() { f.store.DropResponses(false) })
-	case StoreForgets:
+	case StoreCompacts:
 		f.store.Compact()
-	case NodeCut:
-		way(f.nodes[s.Target].store, Silent)
-	case NodeMute:
-		way(f.nodes[s.Target].store, Mute)
-	case NodeSlow:
-		way(f.nodes[s.Target].store, Slow)
+	case NodeStoreSilent:
+		setMode(f.nodes[s.Target].storeProxy, Blackhole)
+	case NodeStoreDropsResponses:
+		setMode(f.nodes[s.Target].storeProxy, DropResponses)
+	case NodeStoreSlow:
+		setMode(f.nodes[s.Target].storeProxy, Slow)
 	case UpstreamReset:
-		f.ways[s.Target].Reset()
-	case UpstreamDark:
-		way(f.ways[s.Target], Silent)
-	case UpstreamCuts:
-		faults(standin.Faults{CutAfter: 3})
+		f.proxies[s.Target].Reset()
+	case UpstreamSilent:
+		setMode(f.proxies[s.Target], Blackhole)
+	case UpstreamCutsStreams:
+		setFaults(standin.Faults{CutAfter: 3})
 	case UpstreamFails:
-		faults(standin.Faults{Status: 500})
+		setFaults(standin.Faults{Status: 500})
 	case UpstreamSheds:
-		faults(standin.Faults{Shed: true})
+		setFaults(standin.Faults{Shed: true})
 	case TopUp:
 		f.topUp()
 	case NewRoute:
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// topUp adds to every account.
+// topUp adds topUpTokens to every account.
 func (f *fleet) topUp() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,17 +201,17 @@
 	route.Name = fmt.Sprintf("added%d", len(f.routes))
 	f.operator.ExtraRoutes = append(f.operator.ExtraRoutes, route)
 	f.operator.Configure()
-	f.routes = append(f.routes, addedRoute{kind: route, at: time.Now()})
+	f.routes = append(f.routes, addedRoute{route: route, at: time.Now()})
 }
 
-// added returns the routes that were added by now.
-func (f *fleet) added() []addedRoute {
+// addedRoutes returns the routes added so far.
+func (f *fleet) addedRoutes() []addedRoute {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.routes)
 }
 
-// prepaid returns what each account has prepaid by now.
+// prepaid returns the tokens that each account has prepaid so far.
 func (f *fleet) prepaid() map[string]int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -15,21 +15,21 @@
 	"lavenderpin.dev/lavenderpin/platform/standin"
 )
 
-// stopWithin is when a node that was asked to stop is killed, as the platform does.
-const stopWithin = 8 * time.Second
+// stopTimeout is how long a node may take to stop before it is killed, as the platform does.
+const stopTimeout = 8 * time.Second
 
-// node is one node's process, started again under the same name after it ended.
+// node is one node's process, restarted under the same name after it ends.
 type node struct {
 	name, program, dir string
-	// store is the way from the node to the store.
-	store               *Proxy
+	// storeProxy forwards the node's connections to the store.
+	storeProxy          *Proxy
 	frontend, directory string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
 	log *os.File
-	// ended is closed when the present process has ended.
-	ended chan struct{}
+	// exited is closed when the current process has exited.
+	exited chan struct{}
 }
 
 func newNode(name, program, dir, store string) (*node, error) {
@@ -37,8 +37,8 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	n := &node{name: name, program: program, dir: dir, store: proxy}
-	addresses := standin.NodeAddresses{IP: ownLoopback(), FrontendPort: 7001, ReadyPort: 7002, DirectoryPort: 7003, PeerPort: 7004}
+	n := &node{name: name, program: program, dir: dir, storeProxy: proxy}
+	addresses := standin.NodeAddresses{IP: uniqueLoopback(), FrontendPort: 7001, ReadyPort: 7002, DirectoryPort: 7003, PeerPort: 7004}
 	n.frontend, n.directory = addresses.FrontendAddress(), addresses.DirectoryAddress()
 	settings := standin.NodeSettings(name, "dc", proxy.Address(), addresses)
 	if err := os.WriteFile(n.settings(), settings, 0o600); err != nil {
@@ -50,19 +50,19 @@
 
 func (n *node) settings() string { return filepath.Join(n.dir, n.name+".json") }
 
-// given counts the IP numbers that this process gave to nodes.
-var given atomic.Uint32
+// assignedIPs counts the IP addresses that this process assigned to nodes.
+var assignedIPs atomic.Uint32
 
-// ownLoopback returns a loopback IP number that only one node of this process has. On a
-// number of their own, nodes find their ports free after each restart; on the usual one,
-// three of fifty seeds weren't played since a connection had taken a port meanwhile.
-func ownLoopback() string {
+// uniqueLoopback returns a loopback IP address that only one node of this process has. On an
+// address of their own, nodes find their ports free after each restart; on 127.0.0.1, three
+// of fifty seeds failed to run because a connection had taken a port in the meantime.
+func uniqueLoopback() string {
 	const last = 250
 	pid := os.Getpid()
-	return net.IPv4(127, 1+byte(pid>>8)%127, byte(pid), 1+byte(given.Add(1)%last)).String()
+	return net.IPv4(127, 1+byte(pid>>8)%127, byte(pid), 1+byte(assignedIPs.Add(1)%last)).String()
 }
 
-// start begins a new process of the node, unless one runs.
+// start starts the node's process unless it is running.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,54 +74,54 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Trace(err)
 	}
-	n.cmd, n.ended = cmd, make(chan struct{})
-	go n.wait(cmd, n.ended)
+	n.cmd, n.exited = cmd, make(chan struct{})
+	go n.wait(cmd, n.exited)
 	return nil
 }
 
-func (n *node) wait(cmd *exec.Cmd, ended chan struct{}) {
-	_ = cmd.Wait() // how it ended is no matter: the plan ends processes in every way
+func (n *node) wait(cmd *exec.Cmd, exited chan struct{}) {
+	_ = cmd.Wait() // the exit status is irrelevant: the plan ends processes in every way
 	n.mu.Lock()
 	n.cmd = nil
 	n.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the present process.
+// signal sends a signal to the current process.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
-		_ = n.cmd.Process.Signal(s) // it may have ended just now
+		_ = n.cmd.Process.Signal(s) // it may have just exited
 	}
 }
 
-// kill ends the process and starts it again after a pause.
+// kill kills the process and starts it again after a pause.
 func (n *node) kill(down time.Duration) error {
 	n.signal(syscall.SIGKILL)
-	n.waitEnded(time.Second)
+	n.waitExit(time.Second)
 	time.Sleep(down)
 	return n.start()
 }
 
-// stop asks the process to end, kills it after the grace, and starts it again.
+// stop asks the process to end, kills it after stopTimeout, and starts it again.
 func (n *node) stop() error {
 	n.signal(syscall.SIGTERM)
-	if !n.waitEnded(stopWithin) {
+	if !n.waitExit(stopTimeout) {
 		n.signal(syscall.SIGKILL)
-		n.waitEnded(time.Second)
+		n.waitExit(time.Second)
 	}
 	return n.start()
 }
 
-func (n *node) waitEnded(most time.Duration) bool {
+func (n *node) waitExit(timeout time.Duration) bool {
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -129,7 +129,7 @@
 func (n *node) close() {
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
-	n.waitEnded(time.Second)
-	n.store.Close()
-	_ = n.log.Close() // what is in it was written line by line
+	n.waitExit(time.Second)
+	n.storeProxy.Close()
+	_ = n.log.Close() // every line is already written
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,26 +9,26 @@
 	"github.com/juju/errors"
 )
 
-// Mode is what a proxy does with the connections through it.
+// Mode is how a proxy treats its connections.
 type Mode int
 
 const (
-	// Pass hands bytes on.
+	// Pass forwards all bytes.
 	Pass Mode = iota
-	// Slow hands them on after slowBy.
+	// Slow forwards each chunk after slowDelay.
 	Slow
-	// Silent takes bytes and hands nothing on, in either direction.
-	Silent
-	// Mute hands requests on and no answers.
-	Mute
-	// Refuse resets new connections and those that are open.
+	// Blackhole reads bytes and forwards nothing, in either direction.
+	Blackhole
+	// DropResponses forwards requests but no responses.
+	DropResponses
+	// Refuse resets new and open connections.
 	Refuse
 )
 
-// slowBy is the delay of each chunk in mode Slow: a far region's round trip and more.
-const slowBy = 150 * time.Millisecond
+// slowDelay is the delay of each chunk in mode Slow: more than a round trip to a distant region.
+const slowDelay = 150 * time.Millisecond
 
-// Proxy stands before one address on loopback.
+// Proxy is a TCP proxy on loopback for one target address.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -38,7 +38,7 @@
 	conns map[net.Conn]bool
 }
 
-// NewProxy starts a proxy before target.
+// NewProxy starts a proxy for target.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,11 +49,11 @@
 	return p, nil
 }
 
-// Address returns IP:PORT.
+// Address returns the proxy's own address as IP:PORT.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Refuse resets what is open.
-func (p *Proxy) Set(mode Mode) {
+// SetMode changes the mode. Refuse also resets the open connections.
+func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	p.mode = mode
 	p.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and resets all open connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close() // it may be closed already
 	p.Reset()
@@ -79,12 +79,12 @@
 
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a closed one needs no reset
+		_ = tcp.SetLinger(0) // fails only on a closed connection, which needs no reset
 	}
-	_ = c.Close() // as above
+	_ = c.Close() // it may be closed already
 }
 
-func (p *Proxy) current() Mode {
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -96,7 +96,7 @@
 		if err != nil {
 			return // the proxy was closed
 		}
-		if p.current() == Refuse {
+		if p.currentMode() == Refuse {
 			reset(c)
 			continue
 		}
@@ -123,16 +123,16 @@
 	p.mu.Unlock()
 }
 
-// copy hands bytes on until either side ends; answers tells their direction.
-func (p *Proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards bytes until either side ends; isResponse tells their direction.
+func (p *Proxy) copy(to, from net.Conn, isResponse bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		mode := p.current()
+		mode := p.currentMode()
 		if mode == Slow {
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
-		if n > 0 && mode != Silent && (mode != Mute || !answers) {
+		if n > 0 && mode != Blackhole && (mode != DropResponses || !isResponse) {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				err = werr
 			}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,9 +12,9 @@
 	"lavenderpin.dev/lavenderpin/platform/standin"
 )
 
-// Options are one run's.
+// Options configure one run.
 type Options struct {
-	// Program is the path of the node's program, Dir where settings and logs go.
+	// Program is the path of the node's executable, Dir the folder for settings and logs.
 	Program, Dir string
 	Seed         uint64
 	Nodes        int
@@ -23,66 +23,66 @@
 }
 
 const (
-	// recoverWithin is how long after the last fault the fleet has to recover: the users'
-	// pages give it 12 s after its instances are back.
-	recoverWithin = 12 * time.Second
-	// calmFor is how long calls are judged for recovery.
-	calmFor = 3 * time.Second
-	// startWithin is how long the first nodes have to serve an address.
-	startWithin = 10 * time.Second
+	// recoveryTime is how long the fleet has to recover after the last fault: the user
+	// documentation promises 12 s after its instances are back.
+	recoveryTime = 12 * time.Second
+	// recoveryWindow is how long calls are made after recoveryTime to check recovery.
+	recoveryWindow = 3 * time.Second
+	// startTimeout is how long the nodes have to be listed in the directory after the start.
+	startTimeout = 10 * time.Second
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Plan       []Step
 	Violations []Violation
-	// Calls counts calls by status; zero is no answer.
+	// Calls counts calls by status; zero means no response.
 	Calls map[int]int
 }
 
-// Promises names the broken promises.
-func (r *Report) Promises() []string { return promises(r.Violations) }
+// BrokenGuarantees returns the names of the broken guarantees.
+func (r *Report) BrokenGuarantees() []string { return brokenGuarantees(r.Violations) }
 
-// Run plays one seed.
+// Run executes the plan of one seed and checks the outcome.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	f, err := newFleet(o.Program, o.Dir, o.Nodes)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	defer f.close()
-	if err := f.untilServing(ctx); err != nil {
+	if err := f.waitServing(ctx); err != nil {
 		return nil, errors.Trace(err)
 	}
-	l := &load{fleet: f, seed: o.Seed}
-	calls, stop := context.WithCancel(ctx)
-	defer stop()
+	l := &workload{fleet: f, seed: o.Seed}
+	callCtx, stopCalls := context.WithCancel(ctx)
+	defer stopCalls()
 	done := make(chan struct{})
-	go func() { defer close(done); l.run(calls) }()
-	report := &Report{Seed: o.Seed, Plan: Draw(o.Seed, o.Length, o.Nodes, len(f.upstreams)), Calls: make(map[int]int)}
-	if err := play(ctx, f, report.Plan); err != nil {
+	go func() { defer close(done); l.run(callCtx) }()
+	report := &Report{Seed: o.Seed, Plan: NewPlan(o.Seed, o.Length, o.Nodes, len(f.upstreams)), Calls: make(map[int]int)}
+	if err := runPlan(ctx, f, report.Plan); err != nil {
 		return nil, errors.Trace(err)
 	}
-	f.topUp() // so that what is refused for want of tokens isn't taken for a failed recovery
-	pause(ctx, recoverWithin)
-	calm := time.Now()
-	pause(ctx, calmFor)
-	stop()
+	f.topUp() // so that refusals for lack of tokens don't count as a failed recovery
+	pause(ctx, recoveryTime)
+	recoveryDeadline := time.Now()
+	pause(ctx, recoveryWindow)
+	stopCalls()
 	<-done
-	report.Violations = judge(f.evidence(l, calm))
+	report.Violations = checkHistory(f.history(l, recoveryDeadline))
 	for i := range l.records {
 		report.Calls[l.records[i].outcome.Status]++
 	}
 	return report, errors.Trace(ctx.Err())
 }
 
-// play does a plan's steps, each beside those that still last, and returns when all ended.
-func play(ctx context.Context, f *fleet, plan []Step) error {
+// runPlan executes a plan's steps, overlapping ones concurrently, and returns when all have ended.
+func runPlan(ctx context.Context, f *fleet, plan []Step) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, len(plan))
-	begun := time.Now()
+	start := time.Now()
 	for _, step := range plan {
-		pause(ctx, step.At-time.Since(begun))
+		pause(ctx, step.At-time.Since(start))
 		wait.Go(func() { errs <- f.apply(step) })
 	}
 	wait.Wait()
@@ -102,29 +102,29 @@
 	}
 }
 
-func (f *fleet) untilServing(ctx context.Context) error {
+func (f *fleet) waitServing(ctx context.Context) error {
 	c := standin.NewCaller()
 	defer c.Close()
-	for begun := time.Now(); time.Since(begun) < startWithin; pause(ctx, 50*time.Millisecond) {
-		if found, err := c.Resolve(ctx, f.nodes[0].directory); err == nil && len(found) == len(f.nodes) {
+	for start := time.Now(); time.Since(start) < startTimeout; pause(ctx, 50*time.Millisecond) {
+		if addresses, err := c.Resolve(ctx, f.nodes[0].directory); err == nil && len(addresses) == len(f.nodes) {
 			return nil
 		}
 	}
-	return errors.Errorf("not all %d nodes serve after %s", len(f.nodes), startWithin)
+	return errors.Errorf("not all %d nodes serve after %s", len(f.nodes), startTimeout)
 }
 
-func (f *fleet) evidence(l *load, calm time.Time) *evidence {
-	e := &evidence{records: l.records, runs: make(map[string][]standin.Run), prepaid: f.prepaid(), calmSince: calm, routes: f.added(), spans: f.spans, nodes: make(map[string]int)}
+func (f *fleet) history(l *workload, recoveryDeadline time.Time) *history {
+	h := &history{records: l.records, runs: make(map[string][]standin.Run), prepaid: f.prepaid(), recoveryDeadline: recoveryDeadline, routes: f.addedRoutes(), spans: f.spans, nodeNumbers: make(map[string]int)}
 	for i, n := range f.nodes {
-		e.nodes[n.frontend] = i
+		h.nodeNumbers[n.frontend] = i
 	}
 	for _, u := range f.upstreams {
 		for _, run := range u.Runs() {
-			e.runs[run.ID] = append(e.runs[run.ID], run)
+			h.runs[run.ID] = append(h.runs[run.ID], run)
 		}
 	}
-	return e
+	return h
 }
 
-// Statuses returns the statuses that callers got, in order.
+// Statuses returns the statuses that callers got, in ascending order.
 func (r *Report) Statuses() []int { return slices.Sorted(maps.Keys(r.Calls)) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,8 +16,8 @@
 )
 
 // Real processes are killed, paused and stopped, and lose the store and their upstreams in
-// every way of the plan, while callers go on. Whatever falls together, no promise may break.
-func TestPinnedSeedBreaksNothing(t *testing.T) {
+// every way of the plan, while callers continue. No combination may break a guarantee.
+func TestFixedSeedHasNoViolations(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	program := filepath.Join(dir, "lavenderedge")
@@ -31,12 +31,12 @@
 		t.Error(v)
 	}
 	if t.Failed() {
-		keep(t, dir)
+		printLogs(t, dir)
 	}
 }
 
-// keep prints the ends of the nodes' logs: the folder goes with the test.
-func keep(t *testing.T, dir string) {
+// printLogs prints the ends of the nodes' logs, since the folder is removed with the test.
+func printLogs(t *testing.T, dir string) {
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-// A fault that isn't injected finds nothing: each mode of the proxy must do what it says.
+// A proxy mode that has no effect would make every fault built on it a no-op.
 func TestProxyModes(t *testing.T) {
 	is := is.New(t)
 	reached := make(chan struct{}, 10)
@@ -62,8 +62,8 @@
 	p, err := NewProxy(strings.TrimPrefix(server.URL, "http://"))
 	is.NoErr(err)
 	defer p.Close()
-	get := func(most time.Duration) error {
-		client := &http.Client{Timeout: most, Transport: &http.Transport{DisableKeepAlives: true}}
+	get := func(timeout time.Duration) error {
+		client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Get("http://" + p.Address())
 		if err != nil {
 			return err
@@ -72,20 +72,20 @@
 		_, err = io.ReadAll(resp.Body)
 		return err
 	}
-	const patient, short = 30 * time.Second, 300 * time.Millisecond
-	is.NoErr(get(patient))
+	const longTimeout, shortTimeout = 30 * time.Second, 300 * time.Millisecond
+	is.NoErr(get(longTimeout))
 	<-reached
-	p.Set(Slow)
-	is.NoErr(get(patient))
+	p.SetMode(Slow)
+	is.NoErr(get(longTimeout))
 	<-reached
-	p.Set(Mute)
-	is.True(get(short) != nil)
-	<-reached // the request got through, its answer didn't
-	p.Set(Silent)
-	is.True(get(short) != nil)
+	p.SetMode(DropResponses)
+	is.True(get(shortTimeout) != nil)
+	<-reached // the request arrived, its response was dropped
+	p.SetMode(Blackhole)
+	is.True(get(shortTimeout) != nil)
 	is.Equal(len(reached), 0)
-	p.Set(Refuse)
-	is.True(get(patient) != nil)
-	p.Set(Pass)
-	is.NoErr(get(patient))
+	p.SetMode(Refuse)
+	is.True(get(longTimeout) != nil)
+	p.SetMode(Pass)
+	is.NoErr(get(longTimeout))
 }
--- a/internal/soak/span.go
+++ b/internal/soak/span.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// span is a step as it was played.
+// span is an executed step with the times at which it began and ended.
 type span struct {
 	Step
 	begin, end time.Time
 }
 
-// touches tells whether a span overlaps a time.
-func (s *span) touches(from, to time.Time) bool { return s.begin.Before(to) && s.end.After(from) }
+// overlaps reports whether the span overlaps the interval.
+func (s *span) overlaps(from, to time.Time) bool { return s.begin.Before(to) && s.end.After(from) }
 
-// ends tells whether the step ends a node's process.
-func (s *span) ends(node int) bool {
+// endsNode reports whether the step ends a node's process.
+func (s *span) endsNode(node int) bool {
 	switch s.Kind {
 	case KillAll:
 		return true
@@ -23,22 +23,22 @@
 	}
 }
 
-// harms tells whether the step keeps a node from working or from the store.
-func (s *span) harms(node int) bool {
+// disturbsNode reports whether the step stops a node or impairs its access to the store.
+func (s *span) disturbsNode(node int) bool {
 	switch s.Kind {
-	case StoreAway, StoreLoses:
+	case StoreUnavailable, StoreDropsResponses:
 		return true
-	case PauseNode, NodeCut, NodeMute, NodeSlow:
+	case PauseNode, NodeStoreSilent, NodeStoreDropsResponses, NodeStoreSlow:
 		return s.Target == node
 	default:
-		return s.ends(node)
+		return s.endsNode(node)
 	}
 }
 
-// spoils tells whether the step lets upstreams fail requests.
-func (s *span) spoils() bool {
+// failsRequests reports whether the step makes upstreams fail requests.
+func (s *span) failsRequests() bool {
 	switch s.Kind {
-	case UpstreamReset, UpstreamDark, UpstreamCuts, UpstreamFails, UpstreamSheds:
+	case UpstreamReset, UpstreamSilent, UpstreamCutsStreams, UpstreamFails, UpstreamSheds:
 		return true
 	default:
 		return false
