--- a/internal/check/fault.go
+++ b/internal/check/fault.go
@@ -85,7 +85,7 @@
 			heal:   func(h *Harness, _ *Member) { h.Instances.SetDown(false) }},
 		{Name: "records aged out", Needs: []fake.Step{fake.StepSnapshot}, Lasts: restart,
 			strike: func(h *Harness, m *Member) {
-				h.Store.Keep(keptRecords)
+				h.Store.SetRetention(keptRecords)
 				m.Kill()
 			}, heal: restarted},
 		{Name: "cache events with gaps", Needs: []fake.Step{fake.StepCacheEvent, fake.StepCacheGap}, SharedPrompts: true, KillsEngine: true,
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,57 +16,58 @@
 	"github.com/cloudwego/hertz/pkg/protocol/sse"
 )
 
-// EngineOptions sets the pace and the faults of an Engine.
+// EngineOptions configures the speed and the injected faults of an Engine.
 type EngineOptions struct {
-	// TokenTime is the time between two tokens.
+	// TokenTime is the interval between two tokens.
 	TokenTime time.Duration
-	// CutAfter ends each connection's stream after so many tokens without a terminal
-	// marker; 0 never. The engine goes on with the request.
+	// CutAfter ends each connection's stream after this many tokens without a terminal
+	// marker; 0 disables it. The engine continues the request.
 	CutAfter int
-	// Cross makes every nth request answer under another id; 0 never.
+	// Cross makes every nth request answer under another id; 0 disables it.
 	Cross int
-	// IgnoreFencing makes the engine take orders with an old fencing number.
+	// IgnoreFencing makes the engine accept orders with an old fencing number.
 	IgnoreFencing bool
-	// Duplicate sends every nth chunk of a stream twice; 0 never.
+	// Duplicate sends every nth chunk of a stream twice; 0 disables it.
 	Duplicate int
-	// Swap sends every nth chunk of a stream after the one that follows it; 0 never.
+	// Swap sends every nth chunk of a stream after the one that follows it; 0 disables it.
 	Swap int
-	// Forget makes the engine keep no stream for readers that come later.
+	// Forget makes the engine keep no stream for resuming.
 	Forget bool
-	// HangAfter makes the engine go silent after so many tokens; 0 never.
+	// HangAfter makes the engine stop generating after this many tokens until the request is
+	// cancelled; 0 disables it.
 	HangAfter int
 
-	// Slots is how many requests run at a time; others wait, the lowest priority number
-	// first. 0 for no bound.
+	// Slots is how many requests run at a time; others queue, the lowest priority number
+	// first. 0 means unlimited.
 	Slots int
-	// LoadLag is how old the engine's load reports get.
-	LoadLag time.Duration
-	// Vary puts this text before each word, so that engines answer differently.
-	Vary string
+	// LoadSampleInterval is the maximum age of the engine's load reports.
+	LoadSampleInterval time.Duration
+	// WordPrefix is prepended to each word, so that engines give different answers.
+	WordPrefix string
 }
 
-// hangPoll is how often a hanging engine looks whether it was cancelled.
-const hangPoll = time.Millisecond
+// hangPollInterval is how often a hanging engine checks whether the request was cancelled.
+const hangPollInterval = time.Millisecond
 
 // Engine is a stand-in model engine: it echoes the prompt's words.
 type Engine struct {
 	options   EngineOptions
 	server    *server.Hertz
 	requests  atomic.Int64
-	resumed   atomic.Int64
+	resumes   atomic.Int64
 	mu        sync.Mutex
 	cancelled map[string]bool
-	served    map[string]int
-	counted   map[string]engineUsage
+	runs      map[string]int
+	usages    map[string]engineUsage
 	models    engineModels
 	load      *engineLoad
 	queue     *engineQueue
 	streams   map[string]*engineStream
-	// streamIDs lists the streams kept, the oldest first.
+	// streamIDs lists the ids in streams, oldest first.
 	streamIDs []string
 }
 
-// engineUsage is what the engine answers about one request.
+// engineUsage is the engine's usage report for one request.
 type engineUsage struct {
 	State            string `json:"state"`
 	PromptTokens     int    `json:"prompt_tokens"`
@@ -75,18 +76,18 @@
 
 // NewEngine returns an engine that serves on the listener once Run is called.
 func NewEngine(listener net.Listener, options EngineOptions) *Engine {
-	e := &Engine{options: options, cancelled: map[string]bool{}, served: map[string]int{},
-		counted: map[string]engineUsage{}, streams: map[string]*engineStream{}, load: newEngineLoad(),
+	e := &Engine{options: options, cancelled: map[string]bool{}, runs: map[string]int{},
+		usages: map[string]engineUsage{}, streams: map[string]*engineStream{}, load: newEngineLoad(),
 		queue: &engineQueue{slots: options.Slots}}
 	e.server = newServer(listener)
-	e.server.POST("/v1/chat/completions", e.chat)
-	e.server.POST("/v1/cancel", e.cancel)
-	e.server.GET("/v1/usage", e.usage)
-	e.server.GET("/v1/models", e.reportModels)
-	e.server.POST("/v1/models", e.order)
-	e.server.GET("/v1/streams/:id", e.resume)
-	e.server.GET("/v1/load", e.reportLoad)
-	e.server.GET("/v1/cache-events", e.reportCacheEvents)
+	e.server.POST("/v1/chat/completions", e.serveChat)
+	e.server.POST("/v1/cancel", e.serveCancel)
+	e.server.GET("/v1/usage", e.serveUsage)
+	e.server.GET("/v1/models", e.serveModels)
+	e.server.POST("/v1/models", e.serveOrder)
+	e.server.GET("/v1/streams/:id", e.serveStream)
+	e.server.GET("/v1/load", e.serveLoad)
+	e.server.GET("/v1/cache-events", e.serveCacheEvents)
 	return e
 }
 
@@ -96,31 +97,31 @@
 // Close stops serving at once.
 func (e *Engine) Close() { _ = e.server.Close() }
 
-// Served returns how many completions each request id was given.
-func (e *Engine) Served() map[string]int {
+// Runs returns how many completions each request id got.
+func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	served := make(map[string]int, len(e.served))
-	for id, n := range e.served {
-		served[id] = n
+	runs := make(map[string]int, len(e.runs))
+	for id, count := range e.runs {
+		runs[id] = count
 	}
-	return served
+	return runs
 }
 
-// Resumed returns how often the engine was asked for the rest of a stream.
-func (e *Engine) Resumed() int64 { return e.resumed.Load() }
+// Resumes returns how often a caller asked to resume a stream.
+func (e *Engine) Resumes() int64 { return e.resumes.Load() }
 
 type engineRequest struct {
 	Model     string `json:"model"`
 	MaxTokens int    `json:"max_tokens"`
-	// Priority: lower goes first, as in common engines.
+	// Priority: lower numbers run first, as in common engines.
 	Priority int `json:"priority"`
 	Messages []struct {
 		Content string `json:"content"`
 	} `json:"messages"`
 }
 
-// words returns the answer: the prompt's words in turn, max_tokens of them at most.
+// words returns the answer: the prompt's words in order, at most max_tokens of them.
 func (r *engineRequest) words() (answer []string, promptTokens int) {
 	for _, m := range r.Messages {
 		answer = append(answer, strings.Fields(m.Content)...)
@@ -132,7 +133,7 @@
 	return answer, promptTokens
 }
 
-func (e *Engine) chat(_ context.Context, c *app.RequestContext) {
+func (e *Engine) serveChat(_ context.Context, c *app.RequestContext) {
 	id := string(c.GetHeader("X-Request-Id"))
 	var r engineRequest
 	if err := json.Unmarshal(c.Request.Body(), &r); err != nil {
@@ -140,73 +141,73 @@
 		return
 	}
 	n := e.requests.Add(1)
-	stream := e.keep(id)
+	stream := e.addStream(id)
 	answerID := id
 	if e.options.Cross > 0 && n%int64(e.options.Cross) == 0 {
 		answerID = "crossed-" + id
 	}
 	go e.generate(id, answerID, &r, stream)
-	e.send(c, stream, 0)
+	e.sendStream(c, stream, 0)
 }
 
-func (e *Engine) keep(id string) *engineStream {
+func (e *Engine) addStream(id string) *engineStream {
 	stream := newEngineStream()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.served[id]++
+	e.runs[id]++
 	e.streams[id] = stream
 	e.streamIDs = append(e.streamIDs, id)
-	if len(e.streamIDs) > keptStreams {
+	if len(e.streamIDs) > maxStreams {
 		delete(e.streams, e.streamIDs[0])
 		e.streamIDs = e.streamIDs[1:]
 	}
 	return stream
 }
 
-// generate writes the answer into the stream, at the engine's pace.
+// generate writes the answer to the stream, one word per TokenTime.
 func (e *Engine) generate(id, answerID string, r *engineRequest, stream *engineStream) {
 	answer, promptTokens := r.words()
 	if !e.awaitSlot(id, r.Priority) {
-		e.count(id, "finished", 0, 0)
+		e.recordUsage(id, "finished", 0, 0)
 		stream.end(true)
 		return
 	}
-	defer e.queue.leave()
-	e.load.began(r)
-	defer e.load.ended()
-	e.count(id, "running", promptTokens, 0)
+	defer e.queue.release()
+	e.load.requestStarted(r)
+	defer e.load.requestEnded()
+	e.recordUsage(id, "running", promptTokens, 0)
 	for i, word := range answer {
 		time.Sleep(e.options.TokenTime)
 		for e.options.HangAfter > 0 && i >= e.options.HangAfter && !e.isCancelled(id) {
-			time.Sleep(hangPoll)
+			time.Sleep(hangPollInterval)
 		}
 		if e.isCancelled(id) {
-			e.count(id, "finished", promptTokens, i)
+			e.recordUsage(id, "finished", promptTokens, i)
 			stream.end(true)
 			return
 		}
-		e.count(id, "running", promptTokens, i+1)
-		stream.write(chunkJSON(answerID, r.Model, e.options.Vary+word+" ", ""))
+		e.recordUsage(id, "running", promptTokens, i+1)
+		stream.write(chunkJSON(answerID, r.Model, e.options.WordPrefix+word+" ", ""))
 	}
-	e.count(id, "finished", promptTokens, len(answer))
+	e.recordUsage(id, "finished", promptTokens, len(answer))
 	stream.write(chunkJSON(answerID, r.Model, "", "stop"))
 	stream.write(usageJSON(answerID, r.Model, promptTokens, len(answer)))
 	stream.write([]byte("[DONE]"))
 	stream.end(false)
 }
 
-// send passes a stream on from a number on, with each event's number as its id.
-func (e *Engine) send(c *app.RequestContext, stream *engineStream, from int) {
+// sendStream sends the events of a stream from a number on, with each event's number as its id.
+func (e *Engine) sendStream(c *app.RequestContext, stream *engineStream, from int) {
 	w := sse.NewWriter(c)
 	defer func() { _ = w.Close() }()
 	sent := 0
 	for {
-		events, ended, grown := stream.read(from)
+		events, ended, changed := stream.read(from)
 		for _, data := range events {
 			if e.options.CutAfter > 0 && sent >= e.options.CutAfter {
 				return
 			}
-			if e.write(w, stream, from, data) != nil {
+			if e.writeEvent(w, stream, from, data) != nil {
 				return
 			}
 			from++
@@ -216,13 +217,13 @@
 			return
 		}
 		if len(events) == 0 {
-			<-grown
+			<-changed
 		}
 	}
 }
 
-// write sends one event, with the faults that are switched on.
-func (e *Engine) write(w *sse.Writer, stream *engineStream, number int, data []byte) error {
+// writeEvent sends one event, with the faults that the options inject.
+func (e *Engine) writeEvent(w *sse.Writer, stream *engineStream, number int, data []byte) error {
 	if e.options.Swap > 0 && number%e.options.Swap == e.options.Swap-1 {
 		if following := awaitEvent(stream, number+1); following != nil {
 			if err := w.WriteEvent(strconv.Itoa(number+1), "", following); err != nil {
@@ -238,23 +239,23 @@
 	return w.WriteEvent(strconv.Itoa(number), "", data)
 }
 
-// awaitEvent returns one event of a stream, nil when the stream ends before it.
+// awaitEvent waits for one event of a stream; it returns nil if the stream ends before it.
 func awaitEvent(stream *engineStream, number int) []byte {
 	for {
-		events, ended, grown := stream.read(number)
+		events, ended, changed := stream.read(number)
 		if len(events) > 0 {
 			return events[0]
 		}
 		if ended {
 			return nil
 		}
-		<-grown
+		<-changed
 	}
 }
 
-// resume sends a kept stream again from a number on.
-func (e *Engine) resume(_ context.Context, c *app.RequestContext) {
-	e.resumed.Add(1)
+// serveStream resumes a kept stream from a number on.
+func (e *Engine) serveStream(_ context.Context, c *app.RequestContext) {
+	e.resumes.Add(1)
 	e.mu.Lock()
 	stream := e.streams[c.Param("id")]
 	e.mu.Unlock()
@@ -264,38 +265,38 @@
 		c.String(400, "from isn't a number")
 	case stream == nil || e.options.Forget:
 		c.String(404, "no such stream")
-	case stream.gone(from):
+	case stream.cancelledBefore(from):
 		c.String(410, "the request was cancelled")
 	default:
-		e.send(c, stream, from)
+		e.sendStream(c, stream, from)
 	}
 }
 
-// usage tells what the engine counted for the request named in the header.
-func (e *Engine) usage(_ context.Context, c *app.RequestContext) {
+// serveUsage reports the usage of the request named in the header.
+func (e *Engine) serveUsage(_ context.Context, c *app.RequestContext) {
 	id := string(c.GetHeader("X-Request-Id"))
 	e.mu.Lock()
-	counted, known := e.counted[id]
+	usage, known := e.usages[id]
 	e.mu.Unlock()
 	if !known {
-		counted.State = "unknown"
+		usage.State = "unknown"
 	}
 	c.Header("X-Request-Id", id)
-	c.JSON(200, counted)
+	c.JSON(200, usage)
 }
 
-func (e *Engine) count(id, state string, prompt, completion int) {
+func (e *Engine) recordUsage(id, state string, prompt, completion int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counted[id] = engineUsage{State: state, PromptTokens: prompt, CompletionTokens: completion}
+	e.usages[id] = engineUsage{State: state, PromptTokens: prompt, CompletionTokens: completion}
 }
 
-func (e *Engine) cancel(_ context.Context, c *app.RequestContext) {
+func (e *Engine) serveCancel(_ context.Context, c *app.RequestContext) {
 	id := string(c.GetHeader("X-Request-Id"))
 	e.mu.Lock()
 	e.cancelled[id] = true
 	e.mu.Unlock()
-	e.queue.drop(id)
+	e.queue.remove(id)
 	c.Header("X-Request-Id", id)
 	c.String(200, "cancelled")
 }
--- a/internal/standin/engineload.go
+++ b/internal/standin/engineload.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// keptEvents is how many cache events an engine keeps; readers that lag further
-	// see a gap.
-	keptEvents = 4096
-	// cachedBlocks is the size of the stand-in's prefix cache.
-	cachedBlocks = 2048
+	// maxCacheEvents is how many cache events an engine keeps; readers that lag further
+	// behind see a gap.
+	maxCacheEvents = 4096
+	// maxCachedBlocks is the capacity of the stand-in's prefix cache.
+	maxCachedBlocks = 2048
 )
 
-// engineLoad is what an engine says of its load and cache. Reports lag: the load is
-// sampled at most once per lag.
+// engineLoad tracks an engine's load and prefix cache. Reports lag behind: the load is
+// sampled at most once per LoadSampleInterval.
 type engineLoad struct {
-	mu       sync.Mutex
-	running  int
-	sampled  int
-	waiting  int
-	at       time.Time
-	blocks   map[uint64]bool
-	order    []uint64
-	events   []engineCacheEvent
-	sequence uint64
+	mu             sync.Mutex
+	running        int
+	sampledRunning int
+	sampledWaiting int
+	sampledAt      time.Time
+	blocks         map[uint64]bool
+	blockOrder     []uint64
+	events         []engineCacheEvent
+	sequence       uint64
 }
 
-// engineLoadReport and the types below are the published protocol; see
+// engineLoadReport and the types below belong to the published protocol; see
 // docs/PROTOCOLS.md.
 type engineLoadReport struct {
 	Running       int     `json:"running"`
@@ -56,7 +56,7 @@
 
 func newEngineLoad() *engineLoad { return &engineLoad{blocks: map[uint64]bool{}} }
 
-func (l *engineLoad) began(r *engineRequest) {
+func (l *engineLoad) requestStarted(r *engineRequest) {
 	var h prefix.Hasher
 	for _, m := range r.Messages {
 		h.Write(m.Content)
@@ -65,51 +65,51 @@
 	defer l.mu.Unlock()
 	l.running++
 	for _, hash := range h.Hashes() {
-		l.store(hash)
+		l.insertBlock(hash)
 	}
 }
 
-func (l *engineLoad) ended() {
+func (l *engineLoad) requestEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.running--
 }
 
-func (l *engineLoad) store(hash uint64) {
+func (l *engineLoad) insertBlock(hash uint64) {
 	if l.blocks[hash] {
 		return
 	}
 	l.blocks[hash] = true
-	l.order = append(l.order, hash)
-	l.tell(hash, true)
-	if len(l.order) > cachedBlocks {
-		oldest := l.order[0]
-		l.order = l.order[1:]
+	l.blockOrder = append(l.blockOrder, hash)
+	l.appendEvent(hash, true)
+	if len(l.blockOrder) > maxCachedBlocks {
+		oldest := l.blockOrder[0]
+		l.blockOrder = l.blockOrder[1:]
 		delete(l.blocks, oldest)
-		l.tell(oldest, false)
+		l.appendEvent(oldest, false)
 	}
 }
 
-func (l *engineLoad) tell(hash uint64, stored bool) {
+func (l *engineLoad) appendEvent(hash uint64, stored bool) {
 	l.sequence++
 	l.events = append(l.events, engineCacheEvent{Sequence: l.sequence, Hash: strconv.FormatUint(hash, 16), Stored: stored})
-	if len(l.events) > keptEvents {
+	if len(l.events) > maxCacheEvents {
 		l.events = l.events[1:]
 	}
 }
 
-// report returns the load as it was at the latest sample.
-func (l *engineLoad) report(now time.Time, lag time.Duration, waiting int) engineLoadReport {
+// report returns the load at the latest sample.
+func (l *engineLoad) report(now time.Time, interval time.Duration, waiting int) engineLoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.at) >= lag {
-		l.sampled, l.waiting, l.at = l.running, waiting, now
+	if now.Sub(l.sampledAt) >= interval {
+		l.sampledRunning, l.sampledWaiting, l.sampledAt = l.running, waiting, now
 	}
-	return engineLoadReport{Running: l.sampled, Waiting: l.waiting, AgeMS: now.Sub(l.at).Milliseconds(),
-		MemoryUsed: float64(len(l.order)) / cachedBlocks}
+	return engineLoadReport{Running: l.sampledRunning, Waiting: l.sampledWaiting, AgeMS: now.Sub(l.sampledAt).Milliseconds(),
+		MemoryUsed: float64(len(l.blockOrder)) / maxCachedBlocks}
 }
 
-func (l *engineLoad) after(sequence uint64) engineCacheEvents {
+func (l *engineLoad) eventsAfter(sequence uint64) engineCacheEvents {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	body := engineCacheEvents{Events: []engineCacheEvent{}}
@@ -121,20 +121,20 @@
 	return body
 }
 
-func (e *Engine) reportLoad(_ context.Context, c *app.RequestContext) {
-	e.answer(c, e.load.report(time.Now(), e.options.LoadLag, e.queue.length()))
+func (e *Engine) serveLoad(_ context.Context, c *app.RequestContext) {
+	e.writeJSON(c, e.load.report(time.Now(), e.options.LoadSampleInterval, e.queue.length()))
 }
 
-func (e *Engine) reportCacheEvents(_ context.Context, c *app.RequestContext) {
+func (e *Engine) serveCacheEvents(_ context.Context, c *app.RequestContext) {
 	after, err := strconv.ParseUint(c.Query("after"), 10, 64)
 	if err != nil {
 		c.String(400, "after isn't a number")
 		return
 	}
-	e.answer(c, e.load.after(after))
+	e.writeJSON(c, e.load.eventsAfter(after))
 }
 
-func (e *Engine) answer(c *app.RequestContext, body any) {
+func (e *Engine) writeJSON(c *app.RequestContext, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		c.String(500, err.Error())
--- a/internal/standin/enginemodels.go
+++ b/internal/standin/enginemodels.go
@@ -7,8 +7,8 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// engineCapacity is how many models an engine holds.
-const engineCapacity = 4
+// maxModels is how many models an engine can hold.
+const maxModels = 4
 
 // engineModel is one model as the engine reports it.
 type engineModel struct {
@@ -17,8 +17,8 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// engineModels is what the engine holds, guarded by Engine.mu. The stand-in serves
-// every model whatever it holds: orders are judged by what it reports.
+// engineModels is the engine's reported model state, guarded by Engine.mu. The stand-in serves
+// every model regardless: orders are verified by what it reports.
 type engineModels struct {
 	Models   []engineModel `json:"models"`
 	Capacity int           `json:"capacity"`
@@ -27,7 +27,7 @@
 	Roles    []string      `json:"roles"`
 }
 
-// engineRoles are the roles that an engine takes; it serves the same in each.
+// engineRoles are the roles that an engine accepts; it behaves the same in each.
 var engineRoles = []string{"mixed", "prefill", "decode"}
 
 type engineOrder struct {
@@ -36,11 +36,11 @@
 	Role    string        `json:"role"`
 }
 
-func (e *Engine) reportModels(_ context.Context, c *app.RequestContext) {
+func (e *Engine) serveModels(_ context.Context, c *app.RequestContext) {
 	e.mu.Lock()
 	report := e.models
 	e.mu.Unlock()
-	report.Capacity = engineCapacity
+	report.Capacity = maxModels
 	report.Roles = engineRoles
 	if report.Role == "" {
 		report.Role = engineRoles[0]
@@ -49,9 +49,9 @@
 	c.JSON(200, report)
 }
 
-// order takes an order. Unless the engine ignores fencing numbers, it refuses one
-// whose number is lower than the highest it has seen.
-func (e *Engine) order(_ context.Context, c *app.RequestContext) {
+// serveOrder applies an order. Unless IgnoreFencing is set, it rejects one whose fencing number
+// is lower than the highest seen.
+func (e *Engine) serveOrder(_ context.Context, c *app.RequestContext) {
 	c.Header("X-Request-Id", string(c.GetHeader("X-Request-Id")))
 	var order engineOrder
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil {
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -5,67 +5,67 @@
 	"sync"
 )
 
-// engineQueue gives an engine's slots to its requests: the lowest priority number
+// engineQueue grants an engine's slots to its requests: the lowest priority number
 // first, then the earliest.
 type engineQueue struct {
-	// slots is how many run at a time; 0 for no bound.
+	// slots is how many requests run at a time; 0 means unlimited.
 	slots int
 
 	mu      sync.Mutex
 	running int
-	waiting []*engineTurn
-	// begun lists the requests that got a slot, in that order.
-	begun []string
+	waiting []*queuedRequest
+	// grantedIDs lists the requests that got a slot, in the order of the grants.
+	grantedIDs []string
 }
 
-// engineTurn is a request that waits for a slot.
-type engineTurn struct {
+// queuedRequest is a request that waits for a slot.
+type queuedRequest struct {
 	id       string
 	priority int
-	// granted gets true with the slot, false when the request is cancelled.
+	// granted receives true with the slot, or false when the request is cancelled.
 	granted chan bool
 }
 
-func (q *engineQueue) enter(id string, priority int) *engineTurn {
-	turn := &engineTurn{id: id, priority: priority, granted: make(chan bool, 1)}
+func (q *engineQueue) enqueue(id string, priority int) *queuedRequest {
+	queued := &queuedRequest{id: id, priority: priority, granted: make(chan bool, 1)}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	at := len(q.waiting)
-	for at > 0 && q.waiting[at-1].priority > priority {
-		at--
+	i := len(q.waiting)
+	for i > 0 && q.waiting[i-1].priority > priority {
+		i--
 	}
-	q.waiting = slices.Insert(q.waiting, at, turn)
-	q.serve()
-	return turn
+	q.waiting = slices.Insert(q.waiting, i, queued)
+	q.grant()
+	return queued
 }
 
-// leave frees a slot.
-func (q *engineQueue) leave() {
+// release frees a slot.
+func (q *engineQueue) release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	q.serve()
+	q.grant()
 }
 
-// drop takes a waiting request out; one that runs is left alone.
-func (q *engineQueue) drop(id string) {
+// remove removes a waiting request; a running one is unaffected.
+func (q *engineQueue) remove(id string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiting = slices.DeleteFunc(q.waiting, func(t *engineTurn) bool {
-		if t.id == id {
-			t.granted <- false
+	q.waiting = slices.DeleteFunc(q.waiting, func(queued *queuedRequest) bool {
+		if queued.id == id {
+			queued.granted <- false
 		}
-		return t.id == id
+		return queued.id == id
 	})
 }
 
-func (q *engineQueue) serve() {
+func (q *engineQueue) grant() {
 	for len(q.waiting) > 0 && (q.slots == 0 || q.running < q.slots) {
-		turn := q.waiting[0]
+		next := q.waiting[0]
 		q.waiting = q.waiting[1:]
 		q.running++
-		q.begun = append(q.begun, turn.id)
-		turn.granted <- true
+		q.grantedIDs = append(q.grantedIDs, next.id)
+		next.granted <- true
 	}
 }
 
@@ -75,21 +75,21 @@
 	return len(q.waiting)
 }
 
-// awaitSlot waits for the request's turn; false when it is cancelled before.
+// awaitSlot waits for a slot; it returns false if the request is cancelled first.
 func (e *Engine) awaitSlot(id string, priority int) bool {
-	turn := e.queue.enter(id, priority)
+	queued := e.queue.enqueue(id, priority)
 	if e.isCancelled(id) {
-		e.queue.drop(id)
+		e.queue.remove(id)
 	}
-	return <-turn.granted
+	return <-queued.granted
 }
 
 // Waiting returns how many requests wait for a slot.
 func (e *Engine) Waiting() int { return e.queue.length() }
 
-// Begun returns the ids of the requests that got a slot, in that order.
-func (e *Engine) Begun() []string {
+// Started returns the ids of the requests that got a slot, in the order of the grants.
+func (e *Engine) Started() []string {
 	e.queue.mu.Lock()
 	defer e.queue.mu.Unlock()
-	return slices.Clone(e.queue.begun)
+	return slices.Clone(e.queue.grantedIDs)
 }
--- a/internal/standin/instances.go
+++ b/internal/standin/instances.go
@@ -19,7 +19,7 @@
 
 var _ ports.Instances = (*Instances)(nil)
 
-// NewInstances returns a list that holds the given instances.
+// NewInstances returns a list of the given instances.
 func NewInstances(list ...*platformv1.Instance) *Instances { return &Instances{list: list} }
 
 // Set replaces the list.
@@ -29,7 +29,7 @@
 	i.list = list
 }
 
-// SetDown switches the list off or on.
+// SetDown makes the list unavailable or available; while down every call fails.
 func (i *Instances) SetDown(down bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -10,42 +10,42 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// ErrDown is what a stand-in answers while it is switched off.
+// ErrDown is returned by a stand-in that SetDown made unavailable.
 var ErrDown = errors.New("stand-in is down")
 
-// Log is an in-memory log with fault switches. It implements ports.Log.
+// Log is an in-memory log with fault injection. It implements ports.Log.
 type Log struct {
-	mu      sync.Mutex
-	streams map[string]*logStream
-	down    bool
-	lose    int
-	delay   time.Duration
-	keep    int
+	mu              sync.Mutex
+	streams         map[string]*logStream
+	down            bool
+	responsesToDrop int
+	delay           time.Duration
+	retain          int
 }
 
 type logStream struct {
-	records []ports.Record
-	next    uint64
-	grown   chan struct{}
+	records  []ports.Record
+	next     uint64
+	appended chan struct{}
 }
 
 var _ ports.Log = (*Log)(nil)
 
-// NewLog returns an empty log that keeps everything.
+// NewLog returns an empty log that retains all records.
 func NewLog() *Log { return &Log{streams: map[string]*logStream{}} }
 
-// SetDown switches the log off or on; while off every call fails.
+// SetDown makes the log unavailable or available; while down every call fails.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// LoseAnswers makes the next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the next n appends take effect but return an error.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lose = n
+	l.responsesToDrop = n
 }
 
 // SetDelay makes each call take at least d.
@@ -55,23 +55,23 @@
 	l.delay = d
 }
 
-// Keep lets only the latest n records of each stream survive; 0 keeps all.
-func (l *Log) Keep(n int) {
+// SetRetention retains only the latest n records of each stream; 0 retains all.
+func (l *Log) SetRetention(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keep = n
+	l.retain = n
 }
 
 func (l *Log) stream(name string) *logStream {
 	s := l.streams[name]
 	if s == nil {
-		s = &logStream{next: 1, grown: make(chan struct{})}
+		s = &logStream{next: 1, appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-func (l *Log) pause(ctx context.Context) error {
+func (l *Log) wait(ctx context.Context) error {
 	l.mu.Lock()
 	delay := l.delay
 	l.mu.Unlock()
@@ -88,7 +88,7 @@
 
 // Append implements ports.Log.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	if err := l.pause(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return 0, errors.Trace(err)
 	}
 	l.mu.Lock()
@@ -100,29 +100,29 @@
 	offset := s.next
 	s.next++
 	s.records = append(s.records, ports.Record{Offset: offset, Data: append([]byte(nil), data...)})
-	if l.keep > 0 && len(s.records) > l.keep {
-		s.records = s.records[len(s.records)-l.keep:]
+	if l.retain > 0 && len(s.records) > l.retain {
+		s.records = s.records[len(s.records)-l.retain:]
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
-	if l.lose > 0 {
-		l.lose--
-		return 0, errors.New("the answer was lost")
+	close(s.appended)
+	s.appended = make(chan struct{})
+	if l.responsesToDrop > 0 {
+		l.responsesToDrop--
+		return 0, errors.New("the response was dropped")
 	}
 	return offset, nil
 }
 
 // Read implements ports.Log.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	if err := l.pause(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return ports.Slice{}, errors.Trace(err)
 	}
-	slice, grown, err := l.readNow(stream, from, max)
+	slice, appended, err := l.readNow(stream, from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
 		return slice, err
 	}
 	select {
-	case <-grown:
+	case <-appended:
 	case <-time.After(wait):
 	case <-ctx.Done():
 		return ports.Slice{}, errors.Trace(ctx.Err())
@@ -147,5 +147,5 @@
 		records := s.records[from-oldest:]
 		slice.Records = append(slice.Records, records[:min(max, len(records))]...)
 	}
-	return slice, s.grown, nil
+	return slice, s.appended, nil
 }
--- a/internal/standin/notafter.go
+++ b/internal/standin/notafter.go
@@ -9,9 +9,9 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// refuseLate refuses a request that arrives after its sender's right to have it run has
-// ended.
-func refuseLate(ctx context.Context, c *app.RequestContext) {
+// rejectExpired rejects a request that arrives after its not-after time, at which its sender's
+// right to have it run ends.
+func rejectExpired(ctx context.Context, c *app.RequestContext) {
 	limit, err := strconv.ParseInt(string(c.GetHeader("X-Request-Not-After")), 10, 64)
 	if err != nil || time.Now().UnixMilli() <= limit {
 		c.Next(ctx)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,7 +13,7 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// Platform serves the stand-ins by the published protocol.
+// Platform serves the stand-ins over the published gRPC protocol.
 type Platform struct {
 	platformv1.UnimplementedLogServiceServer
 	platformv1.UnimplementedInstanceServiceServer
@@ -50,11 +50,11 @@
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	answer := &platformv1.ReadResponse{Oldest: slice.Oldest, Next: slice.Next}
+	response := &platformv1.ReadResponse{Oldest: slice.Oldest, Next: slice.Next}
 	for _, record := range slice.Records {
-		answer.Records = append(answer.Records, &platformv1.LogRecord{Offset: record.Offset, Data: record.Data})
+		response.Records = append(response.Records, &platformv1.LogRecord{Offset: record.Offset, Data: record.Data})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // List serves platform.v1.InstanceService.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -8,17 +8,17 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-const maxBody = 8 << 20
+const maxBodyBytes = 8 << 20
 
 func newServer(listener net.Listener) *server.Hertz {
 	s := server.New(
 		server.WithListener(listener),
 		server.WithTransport(standard.NewTransporter),
-		server.WithMaxRequestBodySize(maxBody),
+		server.WithMaxRequestBodySize(maxBodyBytes),
 		server.WithDisablePrintRoute(true),
 		server.WithExitWaitTime(100*time.Millisecond),
 		server.WithDisableDefaultDate(true),
 	)
-	s.Use(refuseLate)
+	s.Use(rejectExpired)
 	return s
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,19 +10,19 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 )
 
-// Service is a stand-in plain service. It counts how often each request id ran
+// Service is a stand-in plain service. It counts how often each request body ran
 // and echoes the body.
 type Service struct {
 	server *server.Hertz
 	delay  time.Duration
 
-	mu   sync.Mutex
-	runs map[string]int
-	lose int
+	mu              sync.Mutex
+	runs            map[string]int
+	responsesToDrop int
 }
 
-// NewService returns a service that serves on the listener once Run is called and
-// takes delay for each call.
+// NewService returns a service that serves on the listener once Run is called and delays
+// each response by delay.
 func NewService(listener net.Listener, delay time.Duration) *Service {
 	s := &Service{server: newServer(listener), delay: delay, runs: map[string]int{}}
 	s.server.Any("/*path", s.call)
@@ -35,32 +35,32 @@
 // Close stops serving at once.
 func (s *Service) Close() { _ = s.server.Close() }
 
-// Runs returns how often each body ran: a body stands for one observation or
-// work order, so a count above one is a duplicate.
+// Runs returns how often each body ran: a body represents one observation or work
+// order, so a count above one is a duplicate.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	runs := make(map[string]int, len(s.runs))
-	for body, n := range s.runs {
-		runs[body] = n
+	for body, count := range s.runs {
+		runs[body] = count
 	}
 	return runs
 }
 
-// LoseAnswers makes the next n calls run and then end their connection unanswered.
-func (s *Service) LoseAnswers(n int) {
+// DropResponses makes the next n calls run and then close their connection without a response.
+func (s *Service) DropResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.responsesToDrop = n
 }
 
-func (s *Service) loses() bool {
+func (s *Service) takeResponseDrop() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lose == 0 {
+	if s.responsesToDrop == 0 {
 		return false
 	}
-	s.lose--
+	s.responsesToDrop--
 	return true
 }
 
@@ -70,7 +70,7 @@
 	s.runs[string(body)]++
 	s.mu.Unlock()
 	time.Sleep(s.delay)
-	if s.loses() {
+	if s.takeResponseDrop() {
 		_ = c.GetConn().Close()
 		return
 	}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -22,10 +22,10 @@
 
 var _ ports.Weights = (*Weights)(nil)
 
-// weightBytes is what every model weighs here.
-const weightBytes = 16 << 30
+// modelBytes is the reported size of every model.
+const modelBytes = 16 << 30
 
-// NewWeights returns a store that admits a fetch per interval.
+// NewWeights returns a store that admits one fetch per interval.
 func NewWeights(clock clockwork.Clock, interval time.Duration) *Weights {
 	return &Weights{clock: clock, interval: interval}
 }
@@ -39,5 +39,5 @@
 		return 0, w.next.Sub(now), nil
 	}
 	w.next = now.Add(w.interval)
-	return weightBytes, 0, nil
+	return modelBytes, 0, nil
 }
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -98,7 +98,7 @@
 	fleet, client := start(t)
 	ctx := as(devfleet.OperatorToken)
 	change := account("a", 0)
-	fleet.Log.LoseAnswers(1)
+	fleet.Log.DropResponses(1)
 	first, err := client.Apply(ctx, change)
 	is.NoErr(err)
 	again, err := client.Apply(ctx, change)
