--- a/internal/periodic/doc.go
+++ b/internal/periodic/doc.go
@@ -1,2 +1,2 @@
-// Package periodic repeats work at intervals of an injected clock.
+// Package periodic runs work repeatedly at an interval of an injected clock.
 package periodic
--- a/internal/periodic/run.go
+++ b/internal/periodic/run.go
@@ -8,7 +8,7 @@
 )
 
 // Run calls work after each interval until ctx ends. Work that takes longer than the
-// interval delays the next call; calls that were missed meanwhile are left out.
+// interval delays the next call; calls missed in the meantime are skipped.
 func Run(ctx context.Context, clock clockwork.Clock, interval time.Duration, work func(context.Context)) {
 	ticker := clock.NewTicker(interval)
 	defer ticker.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// RunNow is Run with a first call at once.
+// RunNow is like Run but makes the first call immediately.
 func RunNow(ctx context.Context, clock clockwork.Clock, interval time.Duration, work func(context.Context)) {
 	work(ctx)
 	Run(ctx, clock, interval, work)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,4 +1,4 @@
-// Package stall bounds how long an answer may bring nothing, whatever the whole takes.
+// Package stall bounds how long a response may make no progress, however long the whole takes.
 package stall
 
 import (
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Unlimited is a limit that no answer reaches.
-const Unlimited time.Duration = math.MaxInt64
+// NoTimeout is a timeout that no response reaches.
+const NoTimeout time.Duration = math.MaxInt64
 
-// errStalled tells that an answer stopped arriving.
-var errStalled = errors.New("the answer stalled")
+// errStalled is the cause of a context that ended because nothing arrived.
+var errStalled = errors.New("the response stalled")
 
-// Limit returns a context that ends when nothing arrives for too long: first is the limit
-// until progress is called for the first time, later the one from then on. An answer that
-// keeps arriving has no limit: on a full link, asking again costs what has arrived and fills
-// the link further.
-func Limit(ctx context.Context, first, later time.Duration) (limited context.Context, progress, cancel func()) {
-	limited, end := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(first, func() { end(errStalled) })
-	progress = func() { timer.Reset(later) }
+// WithTimeout returns a context that ends when nothing arrives for too long: first is the
+// timeout until progress is called for the first time, next the one after each call. A response
+// that keeps arriving is not limited: on a saturated link, a retry discards what has arrived and
+// adds to the load.
+func WithTimeout(ctx context.Context, first, next time.Duration) (limited context.Context, progress, cancel func()) {
+	limited, cancelCause := context.WithCancelCause(ctx)
+	timer := time.AfterFunc(first, func() { cancelCause(errStalled) })
+	progress = func() { timer.Reset(next) }
 	cancel = func() {
 		timer.Stop()
-		end(nil)
+		cancelCause(nil)
 	}
 	return limited, progress, cancel
 }
 
-// Ended tells whether a context ended because nothing arrived.
-func Ended(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStalled) }
+// TimedOut reports whether a context ended because nothing arrived.
+func TimedOut(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStalled) }
