--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -54,11 +54,11 @@
 	if err := f.waitServing(ctx); err != nil {
 		return nil, errors.Trace(err)
 	}
-	l := &workload{fleet: f, seed: o.Seed}
+	w := &workload{fleet: f, seed: o.Seed}
 	callCtx, stopCalls := context.WithCancel(ctx)
 	defer stopCalls()
 	done := make(chan struct{})
-	go func() { defer close(done); l.run(callCtx) }()
+	go func() { defer close(done); w.run(callCtx) }()
 	report := &Report{Seed: o.Seed, Plan: NewPlan(o.Seed, o.Length, o.Nodes, len(f.upstreams)), Calls: make(map[int]int)}
 	if err := runPlan(ctx, f, report.Plan); err != nil {
 		return nil, errors.Trace(err)
@@ -69,9 +69,9 @@
 	pause(ctx, recoveryWindow)
 	stopCalls()
 	<-done
-	report.Violations = checkHistory(f.history(l, recoveryDeadline))
-	for i := range l.records {
-		report.Calls[l.records[i].outcome.Status]++
+	report.Violations = checkHistory(f.history(w, recoveryDeadline))
+	for i := range w.records {
+		report.Calls[w.records[i].outcome.Status]++
 	}
 	return report, errors.Trace(ctx.Err())
 }
@@ -113,8 +113,8 @@
 	return errors.Errorf("not all %d nodes serve after %s", len(f.nodes), startTimeout)
 }
 
-func (f *fleet) history(l *workload, recoveryDeadline time.Time) *history {
-	h := &history{records: l.records, runs: make(map[string][]standin.Run), prepaid: f.prepaid(), recoveryDeadline: recoveryDeadline, routes: f.addedRoutes(), spans: f.spans, nodeNumbers: make(map[string]int)}
+func (f *fleet) history(w *workload, recoveryDeadline time.Time) *history {
+	h := &history{records: w.records, runs: make(map[string][]standin.Run), prepaid: f.prepaid(), recoveryDeadline: recoveryDeadline, routes: f.addedRoutes(), spans: f.spans, nodeNumbers: make(map[string]int)}
 	for i, n := range f.nodes {
 		h.nodeNumbers[n.frontend] = i
 	}
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -45,16 +45,16 @@
 }
 
 // run makes calls until ctx ends.
-func (l *workload) run(ctx context.Context) {
+func (w *workload) run(ctx context.Context) {
 	var wait sync.WaitGroup
 	for i := range callerCount {
-		wait.Go(func() { l.runCaller(ctx, i) })
+		wait.Go(func() { w.runCaller(ctx, i) })
 	}
 	wait.Wait()
 }
 
-func (l *workload) runCaller(ctx context.Context, number int) {
-	r := rand.New(rand.NewPCG(l.seed, uint64(100+number)))
+func (w *workload) runCaller(ctx context.Context, number int) {
+	r := rand.New(rand.NewPCG(w.seed, uint64(100+number)))
 	c := standin.NewCaller()
 	defer c.Close()
 	var addresses []string
@@ -62,30 +62,30 @@
 	for sent := 0; ctx.Err() == nil; sent++ {
 		time.Sleep(time.Duration(r.Int64N(int64(2 * meanCallInterval))))
 		if time.Since(resolvedAt) > addressTTL {
-			if resolved := l.resolve(ctx, c, r); len(resolved) > 0 {
+			if resolved := w.resolve(ctx, c, r); len(resolved) > 0 {
 				addresses, resolvedAt = resolved, time.Now()
 			}
 		}
 		if len(addresses) == 0 {
 			continue
 		}
-		l.call(ctx, c, r, addresses[r.IntN(len(addresses))], fmt.Sprintf("%d-%d-%d", l.seed, number, sent))
+		w.call(ctx, c, r, addresses[r.IntN(len(addresses))], fmt.Sprintf("%d-%d-%d", w.seed, number, sent))
 	}
 }
 
-func (l *workload) resolve(ctx context.Context, c *standin.Caller, r *rand.Rand) []string {
+func (w *workload) resolve(ctx context.Context, c *standin.Caller, r *rand.Rand) []string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	addresses, err := c.Resolve(ctx, l.fleet.nodes[r.IntN(len(l.fleet.nodes))].directory)
+	addresses, err := c.Resolve(ctx, w.fleet.nodes[r.IntN(len(w.fleet.nodes))].directory)
 	if err != nil {
 		return nil // the node is down; the next call asks another
 	}
 	return addresses
 }
 
-func (l *workload) call(ctx context.Context, c *standin.Caller, r *rand.Rand, address, id string) {
+func (w *workload) call(ctx context.Context, c *standin.Caller, r *rand.Rand, address, id string) {
 	routes := []standin.Route{standin.StreamRoute, standin.NonResumableRoute, standin.OrderRoute, standin.LookupRoute}
-	if added := l.fleet.addedRoutes(); len(added) > 0 {
+	if added := w.fleet.addedRoutes(); len(added) > 0 {
 		routes = append(routes, added[r.IntN(len(added))].route)
 	}
 	account := []string{"one", "two"}[r.IntN(2)]
@@ -93,7 +93,7 @@
 		call: standin.Call{ID: id, Route: routes[r.IntN(len(routes))], Key: "key-" + account, PromptTokens: promptTokens, MaxOutputTokens: maxOutputTokens, Deadline: callTimeout}}
 	rec.outcome = c.Do(context.WithoutCancel(ctx), address, rec.call)
 	rec.end = time.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.records = append(l.records, rec)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.records = append(w.records, rec)
 }
