--- a/cmd/lavenderctl/change.go
+++ b/cmd/lavenderctl/change.go
@@ -62,7 +62,7 @@
 // change reads a resource, edits it and sends it against the version read.
 func (c *cli) change(ctx context.Context, key config.Key, edit func(*operatorv1.Change)) error {
 	return c.call(ctx, func(conn *connection) error {
-		held, err := fleetfile.HeldOne(conn.ctx, conn.client, key)
+		held, err := fleetfile.ReadResource(conn.ctx, conn.client, key)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -23,8 +23,8 @@
 		}
 		return r
 	}
-	is.True(broke(Check(record(deathNoticed+1)), DeadEngine))
-	is.True(!broke(Check(record(deathNoticed)), DeadEngine))
+	is.True(broke(Check(record(deathNoticed+1)), NoWorkForDeadEngine))
+	is.True(!broke(Check(record(deathNoticed)), NoWorkForDeadEngine))
 }
 
 // An engine dies within an answer and the caller gets an error, though another engine
@@ -42,6 +42,6 @@
 func TestEnginesPublishCacheEvents(t *testing.T) {
 	is := is.New(t)
 	fault, _ := FaultNamed("cache events with gaps")
-	_, reach := play(t, Cell{Strikes: []Strike{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
+	_, reach := play(t, Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
 	is.Equal(reach.Missing, "")
 }
--- a/internal/fake/instances.go
+++ b/internal/fake/instances.go
@@ -17,7 +17,7 @@
 	listCalls atomic.Uint64
 }
 
-var _ ports.Instances = (*Instances)(nil)
+var _ ports.InstanceList = (*Instances)(nil)
 
 // NewInstances returns the view of inner that the given node gets.
 func NewInstances(inner *standin.Instances, network *Network, node Endpoint) *Instances {
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -127,22 +127,22 @@
 }
 
 // Read implements ports.Log.
-func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if err := l.sendRequest(ctx); err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	slice, err := l.readOrWait(ctx, stream, from, max, wait)
 	if deliveryErr := l.awaitDelivery(ctx, LogEndpoint, l.node); deliveryErr != nil {
-		return ports.Slice{}, deliveryErr
+		return ports.ReadResult{}, deliveryErr
 	}
 	if err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	return l.tamperSlice(slice), nil
 }
 
 // readOrWait long-polls here instead of in the log, so that the wait uses this node's clock.
-func (l *Log) readOrWait(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) readOrWait(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	appended := l.inner.NextAppend()
 	slice, err := l.inner.Read(ctx, stream, from, max, 0)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
@@ -152,12 +152,12 @@
 	case <-appended:
 	case <-l.clock.After(wait):
 	case <-ctx.Done():
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	return l.inner.Read(ctx, stream, from, max, 0)
 }
 
-func (l *Log) tamperSlice(slice ports.Slice) ports.Slice {
+func (l *Log) tamperSlice(slice ports.ReadResult) ports.ReadResult {
 	_, _, mutate := l.settings()
 	if mutate == nil {
 		return slice
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -20,7 +20,7 @@
 	next time.Time
 }
 
-var _ ports.Weights = (*Weights)(nil)
+var _ ports.WeightStore = (*Weights)(nil)
 
 // modelBytes is the reported size of every model.
 const modelBytes = 16 << 30
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -34,7 +34,7 @@
 	snapshotPolicy snapshot.Policy
 	// instanceList and upstreams are optional: a replacement for instances, and the nodes'
 	// upstream client, nil by default.
-	instanceList ports.Instances
+	instanceList ports.InstanceList
 	upstreams    upstream.Client
 
 	mu     sync.Mutex
@@ -78,7 +78,7 @@
 	f.starts++
 	name := fmt.Sprintf("n%d-%d", i, f.starts)
 	f.mu.Unlock()
-	var instanceList ports.Instances = f.instances
+	var instanceList ports.InstanceList = f.instances
 	if f.instanceList != nil {
 		instanceList = f.instanceList
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -28,10 +28,10 @@
 
 // slowInstances delays each List response by 0.9 s, almost the time that a node waits for it; the
 // response holds the list from before the delay.
-type slowInstances struct{ ports.Instances }
+type slowInstances struct{ ports.InstanceList }
 
 func (l slowInstances) List(ctx context.Context) ([]*platformv1.Instance, error) {
-	list, err := l.Instances.List(ctx)
+	list, err := l.InstanceList.List(ctx)
 	sleep(ctx, 900*time.Millisecond)
 	return list, err
 }
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -316,10 +316,10 @@
 	return l.fleet.log.Append(ctx, stream, data)
 }
 
-func (l *testLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *testLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if !l.fleet.net.reaches(l.address, "") {
 		<-ctx.Done()
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	return l.fleet.log.Read(ctx, stream, from, max, wait)
 }
--- a/recordlog/recent.go
+++ b/recordlog/recent.go
@@ -59,10 +59,10 @@
 // Read returns up to max records from an offset on without waiting; appended is closed
 // once there are more. It fails with ports.ErrAgedOut when the record at from is no
 // longer held.
-func (r *RecentRecords) Read(from uint64, max int) (slice ports.Slice, appended <-chan struct{}, err error) {
+func (r *RecentRecords) Read(from uint64, max int) (slice ports.ReadResult, appended <-chan struct{}, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slice = ports.Slice{Oldest: r.next, Next: r.next}
+	slice = ports.ReadResult{Oldest: r.next, Next: r.next}
 	if len(r.records) > 0 {
 		slice.Oldest = r.records[0].Offset
 	}
--- a/recordlog/source.go
+++ b/recordlog/source.go
@@ -11,7 +11,7 @@
 
 // Slice is the result of one read from a source.
 type Slice struct {
-	ports.Slice
+	ports.ReadResult
 	// Age is how long ago the log itself last answered: 0 when the log was read, more
 	// when the records came through other nodes.
 	Age time.Duration
@@ -42,7 +42,7 @@
 // Read implements Source.
 func (s *LogSource) Read(ctx context.Context, from uint64, max int, wait time.Duration) (Slice, error) {
 	slice, err := s.log.Read(ctx, s.stream, from, max, wait)
-	return Slice{Slice: slice}, err
+	return Slice{ReadResult: slice}, err
 }
 
 // State implements Source. It returns the first usable snapshot in the log.
@@ -54,7 +54,7 @@
 type streamReader struct{ source *LogSource }
 
 // Read implements snapshot.Reader.
-func (r streamReader) Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (r streamReader) Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	slice, err := r.source.Read(ctx, from, max, wait)
-	return slice.Slice, err
+	return slice.ReadResult, err
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -60,10 +60,10 @@
 	member  Peer
 }
 
-func (l memberLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l memberLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if l.cluster.isCutOff(l.member.Address) {
 		<-ctx.Done()
-		return ports.Slice{}, ctx.Err()
+		return ports.ReadResult{}, ctx.Err()
 	}
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	l.cluster.countCrossing(home, l.member.Region, len(slice.Records))
--- a/relay/server.go
+++ b/relay/server.go
@@ -47,7 +47,7 @@
 	return response, nil
 }
 
-func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	idle := s.source.idle.wait()
 	slice, appended, err := s.follower.Recent().Read(from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
--- a/snapshot/finder.go
+++ b/snapshot/finder.go
@@ -24,7 +24,7 @@
 
 // Reader reads records from the log.
 type Reader interface {
-	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error)
+	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error)
 }
 
 // Find reads the log from its oldest record and returns the state of the first usable
@@ -58,7 +58,7 @@
 	return nil, errors.Trace(ErrNoSnapshot)
 }
 
-func scanSlice(collector *Collector, slice ports.Slice, after uint64) *recordv1.FoldState {
+func scanSlice(collector *Collector, slice ports.ReadResult, after uint64) *recordv1.FoldState {
 	for _, r := range slice.Records {
 		batches, err := record.Decode(r.Data)
 		if err != nil {
