--- a/internal/fake/death.go
+++ b/internal/fake/outage.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// EngineOutage is a span within which an engine's process was gone.
+// EngineOutage is a period during which an engine's process was down.
 type EngineOutage struct {
 	Upstream string
 	From     time.Time
-	// Until is zero for an engine that is still gone.
+	// Until is zero while the engine is still down.
 	Until time.Time
 }
 
@@ -18,16 +18,16 @@
 	At       time.Time
 }
 
-// KillEngine ends an engine's process: what it runs is cut, and connections to it
-// are refused until ReviveEngine.
+// KillEngine ends an engine's process: its runs are cut, and connections to it are refused
+// until RestartEngine.
 func (u *Upstreams) KillEngine(engine string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.dead[engine] {
+	if u.down[engine] {
 		return
 	}
-	u.dead[engine] = true
-	u.deaths = append(u.deaths, EngineOutage{Upstream: engine, From: u.clock.Now()})
+	u.down[engine] = true
+	u.outages = append(u.outages, EngineOutage{Upstream: engine, From: u.clock.Now()})
 	for _, run := range u.runs {
 		if run.Upstream == engine && !run.Finished {
 			run.Cancelled = true
@@ -35,65 +35,65 @@
 	}
 }
 
-// RestartEngine starts an engine again with nothing in its memory: no cache, no count
-// of finished requests, and cache events numbered from one.
+// RestartEngine starts an engine again with empty memory: no cache, no usage of finished
+// requests, and cache events numbered from one.
 func (u *Upstreams) RestartEngine(engine string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.dead[engine] {
+	if !u.down[engine] {
 		return
 	}
-	delete(u.dead, engine)
+	delete(u.down, engine)
 	delete(u.caches, engine)
 	delete(u.engines, engine)
 	for _, run := range u.runs {
 		if run.Upstream == engine {
-			delete(u.byID, engine+"/"+run.Request)
+			delete(u.runsByKey, engine+"/"+run.Request)
 		}
 	}
-	for i := range u.deaths {
-		if u.deaths[i].Upstream == engine && u.deaths[i].Until.IsZero() {
-			u.deaths[i].Until = u.clock.Now()
+	for i := range u.outages {
+		if u.outages[i].Upstream == engine && u.outages[i].Until.IsZero() {
+			u.outages[i].Until = u.clock.Now()
 		}
 	}
 }
 
-// BusiestCache names the living engine whose cache told most events, among those
-// given; empty for none.
+// BusiestCache returns the running engine among those given whose cache published the most
+// events; empty for none.
 func (u *Upstreams) BusiestCache(engines []string) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	busiest, most := "", uint64(0)
 	for _, engine := range engines {
-		if cache := u.caches[engine]; cache != nil && cache.sequence > most && !u.dead[engine] {
+		if cache := u.caches[engine]; cache != nil && cache.sequence > most && !u.down[engine] {
 			busiest, most = engine, cache.sequence
 		}
 	}
 	return busiest
 }
 
-// Outages returns the engines' deaths.
+// Outages returns the outages of all engines.
 func (u *Upstreams) Outages() []EngineOutage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]EngineOutage(nil), u.deaths...)
+	return append([]EngineOutage(nil), u.outages...)
 }
 
-// Attempts returns the completions that nodes tried to send.
+// Attempts returns the completions that nodes tried to send to engines.
 func (u *Upstreams) Attempts() []Attempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]Attempt(nil), u.attempts...)
 }
 
-func (u *Upstreams) attempted(engine string, node Endpoint, request string) {
+func (u *Upstreams) recordAttempt(engine string, node Endpoint, request string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.attempts = append(u.attempts, Attempt{Upstream: engine, Node: string(node), Request: request, At: u.clock.Now()})
 }
 
-func (u *Upstreams) isDead(name string) bool {
+func (u *Upstreams) isDown(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dead[name]
+	return u.down[name]
 }
--- a/internal/periodic/pause.go
+++ b/internal/periodic/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d, or until ctx ends.
+// Sleep waits for d on the real clock, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
+// Kind is a kind of fault or planned operation.
 type Kind string
 
-// The kinds, each against one target.
+// The kinds, each applied to one target.
 const (
 	KillNode                Kind = "kill node"
 	KillAll                 Kind = "kill all nodes"
@@ -33,10 +33,10 @@
 var kinds = []Kind{KillNode, KillAll, PauseNode, StopNode, StopNode, StoreUnavailable, StoreDropsResponses, StoreCompacts, NodeStoreSilent, NodeStoreDropsResponses, NodeStoreSlow,
 	UpstreamReset, UpstreamSilent, UpstreamCutsStreams, UpstreamFails, UpstreamSheds, TopUp, NewRoute}
 
-// Step is one fault of a plan.
+// Step is one fault or planned operation of a plan.
 type Step struct {
 	Kind Kind
-	// At is when it begins, Duration how long it lasts.
+	// At is when the step begins, relative to the plan's start, Duration how long it lasts.
 	At, Duration time.Duration
 	// Target is the node or upstream, counted from zero.
 	Target int
@@ -47,25 +47,25 @@
 }
 
 const (
-	// stepEvery is the mean time between two steps, so that they overlap.
-	stepEvery = 700 * time.Millisecond
-	// longestFault is how long a fault lasts at most: the store was seen away for 9 s, and a
-	// run of a seed should see several faults in turn.
-	longestFault = 4 * time.Second
+	// meanStepInterval is the mean time between two steps, short enough that they overlap.
+	meanStepInterval = 700 * time.Millisecond
+	// maxFaultDuration bounds how long a fault lasts: the store was observed unavailable for 9 s,
+	// but a run of a seed should go through several faults in turn.
+	maxFaultDuration = 4 * time.Second
 )
 
-// NewPlan returns the plan of a seed over a time.
+// NewPlan returns the steps that a seed yields for a run of the given length.
 func NewPlan(seed uint64, length time.Duration, nodes, upstreams int) []Step {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var plan []Step
-	for at := time.Second; at < length; at += stepEvery/2 + time.Duration(r.Int64N(int64(stepEvery))) {
+	for at := time.Second; at < length; at += meanStepInterval/2 + time.Duration(r.Int64N(int64(meanStepInterval))) {
 		kind := kinds[r.IntN(len(kinds))]
 		targets := nodes
 		switch kind {
 		case UpstreamReset, UpstreamSilent, UpstreamCutsStreams, UpstreamFails, UpstreamSheds:
 			targets = upstreams
 		}
-		plan = append(plan, Step{Kind: kind, At: at, Duration: time.Duration(r.Int64N(int64(longestFault))), Target: r.IntN(targets)})
+		plan = append(plan, Step{Kind: kind, At: at, Duration: time.Duration(r.Int64N(int64(maxFaultDuration))), Target: r.IntN(targets)})
 	}
 	return plan
 }
