--- a/cmd/lavenderbench/bubble.go
+++ b/cmd/lavenderbench/bubble.go
@@ -8,25 +8,25 @@
 	"testing/synctest"
 )
 
-// inBubbles runs each function in a synctest bubble, where time is virtual, some of
-// them at once, and ends the process with the code that finish returns. Package
-// testing has no other door to a bubble: it wants a test, and ends the process
-// with its own report, which finish forestalls.
-func inBubbles(runs []func(), finish func() int) {
+// runInBubbles runs each function in its own synctest bubble, where time is virtual, up to
+// GOMAXPROCS of them concurrently, and exits the process with the code that finish returns.
+// A bubble can only be started from a test, and package testing would exit the process with
+// its own report if the test returned.
+func runInBubbles(runs []func(), finish func() int) {
 	os.Args = os.Args[:1]
-	all := func(t *testing.T) {
-		limit := make(chan struct{}, runtime.GOMAXPROCS(0))
-		var wait sync.WaitGroup
+	runAll := func(t *testing.T) {
+		slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+		var wg sync.WaitGroup
 		for _, run := range runs {
-			limit <- struct{}{}
-			wait.Go(func() {
-				defer func() { <-limit }()
+			slots <- struct{}{}
+			wg.Go(func() {
+				defer func() { <-slots }()
 				synctest.Test(t, func(*testing.T) { run() })
 			})
 		}
-		wait.Wait()
+		wg.Wait()
 		os.Exit(finish())
 	}
 	testing.Main(func(_, _ string) (bool, error) { return true, nil },
-		[]testing.InternalTest{{Name: "matrix", F: all}}, nil, nil)
+		[]testing.InternalTest{{Name: "matrix", F: runAll}}, nil, nil)
 }
--- a/cmd/lavenderbench/budgets.go
+++ b/cmd/lavenderbench/budgets.go
@@ -11,8 +11,8 @@
 
 type budgetsCmd struct {
 	Seed     uint64        `help:"Seed of the load." default:"1"`
-	Duration time.Duration `help:"Model time." default:"6h"`
-	Rate     float64       `help:"Requests per second over the fleet." default:"10"`
+	Duration time.Duration `help:"Simulated time." default:"6h"`
+	Rate     float64       `help:"Requests per second over the whole fleet." default:"10"`
 }
 
 // Run writes the table to standard output.
--- a/cmd/lavenderbench/capacity.go
+++ b/cmd/lavenderbench/capacity.go
@@ -12,10 +12,10 @@
 )
 
 type capacityCmd struct {
-	JSON bool `name:"json" help:"Print one JSON object."`
+	JSON bool `name:"json" help:"Print the results as one JSON object."`
 }
 
-// Run measures the slopes and computes the roles at the size of two years.
+// Run measures the cost slopes and computes each role's needs at the size expected in two years.
 func (c *capacityCmd) Run() error {
 	measured := capacity.Measure(capacity.TwoYears(), capacity.FullSamples())
 	if c.JSON {
@@ -27,7 +27,7 @@
 	fmt.Fprintln(w, "| Measured slope\t| Value\t| How\t|")
 	fmt.Fprintln(w, "|---\t|---\t|---\t|")
 	for _, s := range measured.Slopes {
-		fmt.Fprintf(w, "| %s\t| %s %s\t| %s\t|\n", s.Name, figure(s.Value), s.Unit, s.How)
+		fmt.Fprintf(w, "| %s\t| %s %s\t| %s\t|\n", s.Name, formatValue(s.Value), s.Unit, s.How)
 	}
 	fmt.Fprintln(w, "\n| Role (computed)\t| Core %\t| Memory MB\t| Bytes/s\t| Appends/s, fleet\t| From\t|")
 	fmt.Fprintln(w, "|---\t|---\t|---\t|---\t|---\t|---\t|")
@@ -42,8 +42,8 @@
 	return errors.Trace(w.Flush())
 }
 
-// figure prints small values with a decimal.
-func figure(value float64) string {
+// formatValue prints values below 10 with two decimals and others with none.
+func formatValue(value float64) string {
 	if value < 10 {
 		return fmt.Sprintf("%.2f", value)
 	}
--- a/cmd/lavenderbench/experiment.go
+++ b/cmd/lavenderbench/experiment.go
@@ -10,17 +10,17 @@
 )
 
 type experimentCmd struct {
-	Routing routingCmd `cmd:"" help:"Upstream choice and admission, side by side with baselines."`
-	Budgets budgetsCmd `cmd:"" help:"Ways of holding prepaid budgets, side by side with baselines."`
+	Routing routingCmd `cmd:"" help:"Compare upstream selection and admission with baselines."`
+	Budgets budgetsCmd `cmd:"" help:"Compare ways of holding prepaid budgets with baselines."`
 
-	Appends appendsCmd `cmd:"" help:"Appends a second and what claims wait, gathered by data centre or not, in virtual time."`
+	Appends appendsCmd `cmd:"" help:"Measure appends per second and the wait of claims, with and without gathering per data centre, in virtual time."`
 
-	Fleet fleetCmd `cmd:"" help:"What a fleet costs without callers, or how fast changes spread."`
+	Fleet fleetCmd `cmd:"" help:"Measure what a fleet costs without callers, or how fast changes propagate."`
 }
 
 type routingCmd struct {
-	Seed  uint64 `help:"Seed of arrivals, engines and picks." default:"1"`
-	Seeds int    `help:"Seeds that are run and pooled." default:"3"`
+	Seed  uint64 `help:"Seed of arrivals, engines and upstream selection." default:"1"`
+	Seeds int    `help:"Number of seeds to run and pool." default:"3"`
 	Out   string `help:"Directory for the report." type:"path" required:""`
 }
 
--- a/cmd/lavenderbench/fleet.go
+++ b/cmd/lavenderbench/fleet.go
@@ -10,12 +10,12 @@
 )
 
 type fleetCmd struct {
-	Sizes   []int         `help:"Numbers of nodes." default:"7,50,200"`
-	Rest    time.Duration `help:"Time before measuring." default:"15s"`
-	Length  time.Duration `help:"Time to measure for." default:"20s"`
-	Changes int           `help:"Changes made at each size; 0 for none." default:"0"`
+	Sizes   []int         `help:"Fleet sizes in nodes." default:"7,50,200"`
+	Rest    time.Duration `help:"Settling time before the measurement." default:"15s"`
+	Length  time.Duration `help:"Duration of the measurement." default:"20s"`
+	Changes int           `help:"Number of changes made at each size; 0 measures the cost without callers instead." default:"0"`
 	Pause   time.Duration `help:"Time between two changes." default:"50ms"`
-	Leaving int           `help:"Upstreams that leave, by the list and by operators each; 0 for none." default:"0"`
+	Leaving int           `help:"Number of upstreams removed through the instance list, and as many drained by operators; 0 disables this measurement." default:"0"`
 	Delay   time.Duration `help:"One-way delay between the two regions, for datagrams and the log." default:"0s"`
 }
 
--- a/cmd/lavenderbench/main.go
+++ b/cmd/lavenderbench/main.go
@@ -1,4 +1,4 @@
-// Command lavenderbench puts load on a fleet and runs experiments.
+// Command lavenderbench generates load on a fleet and runs experiments.
 package main
 
 import (
@@ -11,11 +11,11 @@
 )
 
 type cli struct {
-	Run        runCmd        `cmd:"" help:"Put a seeded open-loop load on a fleet and print what it saw and cost."`
-	Capacity   capacityCmd   `cmd:"" help:"Measure what one more of each thing costs a node, and compute larger sizes."`
-	Matrix     matrixCmd     `cmd:"" help:"Play every fault at every step in virtual time and judge what callers saw."`
-	Soak       soakCmd       `cmd:"" help:"Run nodes as processes, inject faults by a seeded plan and judge what callers and upstreams saw."`
-	Experiment experimentCmd `cmd:"" help:"Compare policies over models, in model time."`
+	Run        runCmd        `cmd:"" help:"Apply a seeded open-loop load to a fleet and print outcomes, latencies and costs."`
+	Capacity   capacityCmd   `cmd:"" help:"Measure the marginal costs of a node, such as memory per budget, and extrapolate to larger sizes."`
+	Matrix     matrixCmd     `cmd:"" help:"Inject every fault at every step in virtual time and check what callers observed."`
+	Soak       soakCmd       `cmd:"" help:"Run nodes as processes, inject faults by a seeded plan and check what callers and upstreams observed."`
+	Experiment experimentCmd `cmd:"" help:"Compare policies in simulations, and measure fleets."`
 }
 
 func main() {
@@ -23,7 +23,7 @@
 	defer stop()
 	var c cli
 	k := kong.Parse(&c, kong.Name("lavenderbench"),
-		kong.Description("Load and experiments for a lavenderpin fleet."),
+		kong.Description("Load generator and experiments for a lavenderpin fleet."),
 		kong.ShortUsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/lavenderbench/matrix.go
+++ b/cmd/lavenderbench/matrix.go
@@ -13,70 +13,70 @@
 )
 
 type matrixCmd struct {
-	Pairs   bool   `help:"Play pairs of faults, drawn from the seeds, in place of single ones."`
-	ReadOn  bool   `help:"Let callers whose node died read on at another one; for pairs at any step."`
-	AnyStep bool   `help:"Draw the steps of pairs from all, whether the history of the seed reaches them or not."`
-	Seeds   int    `help:"How many seeds: pairs to play, or how often to play each single fault." default:"1"`
+	Pairs   bool   `help:"Inject pairs of faults drawn from the seeds instead of single faults."`
+	ReadOn  bool   `help:"Let callers whose node died resume their streams at another node; only for pairs at any step."`
+	AnyStep bool   `help:"Draw the steps of pairs from all steps, whether or not the seed's history reaches them."`
+	Seeds   int    `help:"Number of seeds: the number of pairs, or of runs of each single fault." default:"1"`
 	Seed    uint64 `help:"First seed." default:"1"`
-	Fault   string `help:"Only this fault."`
-	Step    string `help:"Only at this step."`
-	JSON    bool   `name:"json" help:"Print the cells as JSON."`
+	Fault   string `help:"Run only this fault."`
+	Step    string `help:"Inject faults only at this step."`
+	JSON    bool   `name:"json" help:"Print the results as JSON."`
 }
 
-// play is one cell that is played within a bubble.
-type play struct {
+// cellRun is a cell of the matrix and the record of its run in a bubble.
+type cellRun struct {
 	cell   check.Cell
 	record *check.Record
 	reach  check.Reach
 }
 
-// Run plays the cells in virtual time. It ends the process.
+// Run runs the cells in virtual time, prints the results and exits the process.
 func (c *matrixCmd) Run() error {
-	plays, runs, err := c.prepare()
+	cellRuns, runs, err := c.prepare()
 	if err != nil {
 		return err
 	}
-	inBubbles(runs, func() int {
+	runInBubbles(runs, func() int {
 		var results []check.CellResult
-		for _, p := range plays {
-			results = append(results, check.Verdict(p.cell, p.record, p.reach))
+		for _, r := range cellRuns {
+			results = append(results, check.Verdict(r.cell, r.record, r.reach))
 		}
 		return c.print(results)
 	})
 	return nil
 }
 
-// prepare returns the plays and the functions that fill them in.
-func (c *matrixCmd) prepare() ([]*play, []func(), error) {
+// prepare returns the runs, still empty, and the functions that fill them in.
+func (c *matrixCmd) prepare() ([]*cellRun, []func(), error) {
 	if c.Pairs && !c.AnyStep {
-		plays, runs := c.reachedPairs()
-		return plays, runs, nil
+		cellRuns, runs := c.prepareReachedPairs()
+		return cellRuns, runs, nil
 	}
-	cells, err := c.cells()
-	var plays []*play
+	cells, err := c.selectCells()
+	var cellRuns []*cellRun
 	var runs []func()
 	for _, cell := range cells {
-		p := &play{cell: cell}
-		plays = append(plays, p)
-		runs = append(runs, func() { p.record, p.reach = check.Play(fake.NewClock(), p.cell) })
+		r := &cellRun{cell: cell}
+		cellRuns = append(cellRuns, r)
+		runs = append(runs, func() { r.record, r.reach = check.Play(fake.NewClock(), r.cell) })
 	}
-	return plays, runs, err
+	return cellRuns, runs, err
 }
 
-// reachedPairs draws each pair within its own bubble, where its history is played once
-// without faults.
-func (c *matrixCmd) reachedPairs() (plays []*play, runs []func()) {
+// prepareReachedPairs draws each pair in its own bubble, where the seed's history first runs
+// once without faults to find the steps that it reaches.
+func (c *matrixCmd) prepareReachedPairs() (cellRuns []*cellRun, runs []func()) {
 	for i := range c.Seeds {
-		p := &play{}
-		plays = append(plays, p)
+		r := &cellRun{}
+		cellRuns = append(cellRuns, r)
 		runs = append(runs, func() {
-			p.cell, p.record, p.reach = check.PlayReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
+			r.cell, r.record, r.reach = check.PlayReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
 		})
 	}
-	return plays, runs
+	return cellRuns, runs
 }
 
-func (c *matrixCmd) cells() ([]check.Cell, error) {
+func (c *matrixCmd) selectCells() ([]check.Cell, error) {
 	if c.Pairs {
 		cells := check.Pairs(check.DefaultTiming(), c.Seed, c.Seeds)
 		for i := range cells {
@@ -87,8 +87,8 @@
 	var cells []check.Cell
 	for i := range c.Seeds {
 		for _, cell := range check.Singles(check.DefaultTiming(), c.Seed+uint64(i)) {
-			strike := cell.Strikes[0]
-			if (c.Fault == "" || c.Fault == strike.Fault.Name) && (c.Step == "" || c.Step == string(strike.Step)) {
+			injection := cell.Strikes[0]
+			if (c.Fault == "" || c.Fault == injection.Fault.Name) && (c.Step == "" || c.Step == string(injection.Step)) {
 				cells = append(cells, cell)
 			}
 		}
@@ -99,7 +99,7 @@
 	return cells, nil
 }
 
-// print returns the exit code: 1 when a cell is broken.
+// print prints the results and returns the exit code: 1 if any cell is broken.
 func (c *matrixCmd) print(results []check.CellResult) int {
 	broken := 0
 	for _, r := range results {
@@ -113,29 +113,29 @@
 		encoder.SetIndent("", "  ")
 		_ = encoder.Encode(results)
 	case c.Pairs:
-		printList(results)
+		printPairs(results)
 	default:
-		printTable(results)
+		printMatrix(results)
 	}
 	if !c.JSON {
 		printBroken(results)
-		printCount(results)
+		printSummary(results)
 	}
 	return min(broken, 1)
 }
 
-func printList(results []check.CellResult) {
+func printPairs(results []check.CellResult) {
 	for _, r := range results {
 		fmt.Printf("%-9s seed %d: %s at %s + %s at %s\n", r.Status, r.Seed, r.Faults[0], r.Steps[0], r.Faults[1], r.Steps[1])
 	}
 }
 
-// printTable prints faults down and steps across; the worst of several seeds counts.
-func printTable(results []check.CellResult) {
+// printMatrix prints a row per fault and a column per step, with the worst result of all seeds.
+func printMatrix(results []check.CellResult) {
 	worst := map[[2]string]check.Status{}
 	var faults, steps []string
 	for _, r := range results {
-		faults, steps = appendNew(faults, r.Faults[0]), appendNew(steps, r.Steps[0])
+		faults, steps = appendUnique(faults, r.Faults[0]), appendUnique(steps, r.Steps[0])
 		key := [2]string{r.Faults[0], r.Steps[0]}
 		if worst[key] == "" || r.Status == check.Broken || worst[key] == check.NotBuilt {
 			worst[key] = r.Status
@@ -157,9 +157,9 @@
 	_ = w.Flush()
 }
 
-func appendNew(names []string, name string) []string {
-	for _, held := range names {
-		if held == name {
+func appendUnique(names []string, name string) []string {
+	for _, existing := range names {
+		if existing == name {
 			return names
 		}
 	}
@@ -181,10 +181,10 @@
 	}
 }
 
-func printCount(results []check.CellResult) {
-	count := map[check.Status]int{}
+func printSummary(results []check.CellResult) {
+	counts := map[check.Status]int{}
 	for _, r := range results {
-		count[r.Status]++
+		counts[r.Status]++
 	}
-	fmt.Printf("\n%d held, %d broken, %d not built\n", count[check.Held], count[check.Broken], count[check.NotBuilt])
+	fmt.Printf("\n%d held, %d broken, %d not built\n", counts[check.Held], counts[check.Broken], counts[check.NotBuilt])
 }
--- a/cmd/lavenderbench/run.go
+++ b/cmd/lavenderbench/run.go
@@ -16,22 +16,22 @@
 
 type runCmd struct {
 	Seed      uint64        `help:"Seed of arrivals and prompts." default:"1"`
-	Rate      float64       `help:"Requests a second." default:"200"`
-	Duration  time.Duration `help:"How long to send." default:"10s"`
-	Stream    float64       `help:"Share of streamed completions." default:"0.5"`
-	Plain     float64       `help:"Share of plain calls." default:"0.2"`
-	Direct    float64       `help:"Share of completions sent straight to an engine, to compare with." default:"0.25"`
-	TokenTime time.Duration `help:"Embedded engines' time between two tokens." default:"1ms"`
+	Rate      float64       `help:"Requests per second." default:"200"`
+	Duration  time.Duration `help:"How long to send requests." default:"10s"`
+	Stream    float64       `help:"Fraction of completions that are streamed." default:"0.5"`
+	Plain     float64       `help:"Fraction of requests that are plain calls." default:"0.2"`
+	Direct    float64       `help:"Fraction of completions sent directly to an engine for comparison." default:"0.25"`
+	TokenTime time.Duration `help:"Time between two tokens of the embedded engines." default:"1ms"`
 
-	Target  []string `help:"HTTP addresses of nodes; a fleet is embedded when none is given."`
-	Key     string   `help:"Caller's key, with --target." env:"LAVENDERBENCH_KEY"`
-	Model   string   `help:"Model to ask for, with --target."`
+	Target  []string `help:"HTTP addresses of nodes; without any, an embedded fleet is started."`
+	Key     string   `help:"Caller's API key, with --target." env:"LAVENDERBENCH_KEY"`
+	Model   string   `help:"Model to request, with --target."`
 	Service string   `help:"Plain service to call, with --target." default:"orders"`
 
-	JSON bool `name:"json" help:"Print one JSON object."`
+	JSON bool `name:"json" help:"Print the report as one JSON object."`
 }
 
-// Run puts the load on and prints the figures.
+// Run applies the load and prints the report.
 func (c *runCmd) Run(ctx context.Context) error {
 	hlog.SetLevel(hlog.LevelError) // the HTTP library would log every connection
 	report, err := bench.Run(ctx, bench.Options{
@@ -49,18 +49,18 @@
 		fmt.Println(string(encoded))
 		return nil
 	}
-	return printFigures(encoded)
+	return printTable(encoded)
 }
 
-// printFigures prints a flat JSON object as a table.
-func printFigures(encoded []byte) error {
-	var figures map[string]any
-	if err := json.Unmarshal(encoded, &figures); err != nil {
+// printTable prints a flat JSON object as a table.
+func printTable(encoded []byte) error {
+	var values map[string]any
+	if err := json.Unmarshal(encoded, &values); err != nil {
 		return errors.Trace(err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	for _, name := range sortedNames(figures) {
-		fmt.Fprintf(w, "%s\t%v\n", name, figures[name])
+	for _, name := range sortedKeys(values) {
+		fmt.Fprintf(w, "%s\t%v\n", name, values[name])
 	}
 	return errors.Trace(w.Flush())
 }
--- a/cmd/lavenderctl/budgets.go
+++ b/cmd/lavenderctl/budgets.go
@@ -11,25 +11,25 @@
 )
 
 type budgetsCmd struct {
-	Budget string `arg:"" optional:"" help:"Only this budget."`
+	Budget string `arg:"" optional:"" help:"Show only this budget."`
 }
 
-// Run shows the budgets, page by page.
+// Run fetches the budgets page by page and prints them.
 func (c *budgetsCmd) Run(ctx context.Context, root *cli) error {
-	return root.call(ctx, func(conn *connection) error {
+	return root.withConnection(ctx, func(conn *connection) error {
 		w := newTable()
 		fmt.Fprintln(w, "BUDGET\tACCOUNT\tPREPAID\tSPENT\tPOOL\tHOLDER\tGRANTED\tSPENT THERE\tSTATE")
 		request := &operatorv1.BudgetsRequest{Budget: c.Budget}
 		for {
-			answer, err := conn.client.Budgets(conn.ctx, request)
+			response, err := conn.client.Budgets(conn.ctx, request)
 			if err != nil {
 				return errors.Trace(err)
 			}
-			printBudgets(w, answer.GetBudgets())
-			if answer.GetNext() == "" {
+			printBudgets(w, response.GetBudgets())
+			if response.GetNext() == "" {
 				return w.Flush()
 			}
-			request = &operatorv1.BudgetsRequest{After: answer.GetNext()}
+			request = &operatorv1.BudgetsRequest{After: response.GetNext()}
 		}
 	})
 }
--- a/cmd/lavenderctl/change.go
+++ b/cmd/lavenderctl/change.go
@@ -14,9 +14,9 @@
 )
 
 type topUpCmd struct {
-	Budget string `arg:"" help:"Budget."`
-	Tokens uint64 `arg:"" help:"Tokens to add."`
-	ID     string `help:"Id that makes a repeated call harmless; made up when empty."`
+	Budget string `arg:"" help:"Name of the budget."`
+	Tokens uint64 `arg:"" help:"Number of tokens to add."`
+	ID     string `help:"Idempotency ID, under which a retry adds the tokens only once; generated when empty."`
 }
 
 // Run adds the tokens.
@@ -24,55 +24,55 @@
 	if c.ID == "" {
 		c.ID = uuid.NewString()
 	}
-	return root.call(ctx, func(conn *connection) error {
+	return root.withConnection(ctx, func(conn *connection) error {
 		topUp := &operatorv1.TopUp{Id: c.ID, Budget: c.Budget, Tokens: c.Tokens}
-		answer, err := conn.client.TopUp(conn.ctx, &operatorv1.TopUpRequest{TopUp: topUp})
+		response, err := conn.client.TopUp(conn.ctx, &operatorv1.TopUpRequest{TopUp: topUp})
 		if err != nil {
-			return errors.Annotatef(err, "top-up %s; the same --id may be sent again", c.ID)
+			return errors.Annotatef(err, "top-up %s; retry with the same --id", c.ID)
 		}
-		fmt.Printf("top-up %s in force at %d\n", c.ID, answer.GetVersion())
+		fmt.Printf("top-up %s took effect at version %d\n", c.ID, response.GetVersion())
 		return nil
 	})
 }
 
 type deleteCmd struct {
-	Kind string `arg:"" help:"account, budget, service, upstream or operator_token."`
+	Kind string `arg:"" help:"Kind of the resource: account, budget, service, upstream or operator_token."`
 	Name string `arg:"" help:"Name of the resource."`
 }
 
-// Run deletes the resource at the version it has now.
+// Run deletes the resource, provided that its version doesn't change meanwhile.
 func (c *deleteCmd) Run(ctx context.Context, root *cli) error {
 	key := config.Key{Kind: config.Kind(c.Kind), Name: c.Name}
-	return root.change(ctx, key, func(change *operatorv1.Change) { change.Delete = true })
+	return root.changeResource(ctx, key, func(change *operatorv1.Change) { change.Delete = true })
 }
 
 type drainCmd struct {
-	Upstream string `arg:"" help:"Upstream."`
-	Undo     bool   `help:"Put it back into service."`
+	Upstream string `arg:"" help:"Name of the upstream."`
+	Undo     bool   `help:"Put the upstream back into service."`
 }
 
-// Run drains the upstream.
+// Run drains the upstream, or ends its draining with --undo.
 func (c *drainCmd) Run(ctx context.Context, root *cli) error {
 	key := config.Key{Kind: config.KindUpstream, Name: c.Upstream}
-	return root.change(ctx, key, func(change *operatorv1.Change) {
+	return root.changeResource(ctx, key, func(change *operatorv1.Change) {
 		change.GetResource().GetUpstream().Draining = !c.Undo
 	})
 }
 
-// change reads a resource, edits it and sends it against the version read.
-func (c *cli) change(ctx context.Context, key config.Key, edit func(*operatorv1.Change)) error {
-	return c.call(ctx, func(conn *connection) error {
-		held, err := fleetfile.HeldOne(conn.ctx, conn.client, key)
+// changeResource reads a resource, edits it and applies it with the version read as its base.
+func (c *cli) changeResource(ctx context.Context, key config.Key, edit func(*operatorv1.Change)) error {
+	return c.withConnection(ctx, func(conn *connection) error {
+		current, err := fleetfile.HeldOne(conn.ctx, conn.client, key)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		change := &operatorv1.Change{BaseVersion: held.GetVersion(), Resource: proto.Clone(held.GetResource()).(*operatorv1.Resource)}
+		change := &operatorv1.Change{BaseVersion: current.GetVersion(), Resource: proto.Clone(current.GetResource()).(*operatorv1.Resource)}
 		edit(change)
-		answer, err := conn.client.Apply(conn.ctx, &operatorv1.ApplyRequest{ChangeId: uuid.NewString(), Changes: []*operatorv1.Change{change}})
+		response, err := conn.client.Apply(conn.ctx, &operatorv1.ApplyRequest{ChangeId: uuid.NewString(), Changes: []*operatorv1.Change{change}})
 		if err != nil {
 			return errors.Trace(err)
 		}
-		fmt.Printf("%s changed at version %d\n", key, answer.GetVersion())
+		fmt.Printf("%s changed at version %d\n", key, response.GetVersion())
 		return nil
 	})
 }
--- a/cmd/lavenderctl/file.go
+++ b/cmd/lavenderctl/file.go
@@ -12,13 +12,13 @@
 	"lavenderpin.dev/lavenderpin/fleetfile"
 )
 
-// fleetFile is the flag that several commands take.
-type fleetFile struct {
+// fleetFileFlags are the flags that apply and diff share.
+type fleetFileFlags struct {
 	File  string `short:"f" help:"Fleet file (protojson of operator.v1.Fleet)." type:"existingfile" required:""`
-	Prune bool   `help:"Delete what the file doesn't name, but for drains, and for operator tokens when the file declares none."`
+	Prune bool   `help:"Delete resources that the file doesn't declare, except drains, and except operator tokens when the file declares none."`
 }
 
-func (f *fleetFile) read() (*fleetfile.File, error) {
+func (f *fleetFileFlags) read() (*fleetfile.File, error) {
 	data, err := os.ReadFile(f.File)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -27,8 +27,8 @@
 }
 
 type applyCmd struct {
-	fleetFile
-	Check bool `help:"Only check the file."`
+	fleetFileFlags
+	Check bool `help:"Only validate the file."`
 }
 
 // Run applies the file.
@@ -38,37 +38,37 @@
 		return err
 	}
 	if c.Check {
-		fmt.Printf("%s holds %d resources and %d top-ups, all well-formed\n", c.File, len(file.Resources), len(file.TopUps))
+		fmt.Printf("%s is valid: %d resources and %d top-ups\n", c.File, len(file.Resources), len(file.TopUps))
 		return nil
 	}
-	return root.call(ctx, func(conn *connection) error {
+	return root.withConnection(ctx, func(conn *connection) error {
 		outcome, err := fleetfile.Apply(conn.ctx, conn.client, file, c.Prune)
 		for _, step := range outcome.Plan {
 			fmt.Printf("%s %s at version %d\n", step.Action, step.Key, outcome.Version)
 		}
-		fmt.Printf("%d changed, %d top-ups in force\n", len(outcome.Plan), outcome.TopUps)
+		fmt.Printf("%d resources changed, %d top-ups in effect\n", len(outcome.Plan), outcome.TopUps)
 		return err
 	})
 }
 
-type diffCmd struct{ fleetFile }
+type diffCmd struct{ fleetFileFlags }
 
-// Run shows what applying the file would change, and sends nothing.
+// Run shows what applying the file would change, without changing anything.
 func (c *diffCmd) Run(ctx context.Context, root *cli) error {
 	file, err := c.read()
 	if err != nil {
 		return err
 	}
-	return root.call(ctx, func(conn *connection) error {
-		held, _, err := fleetfile.Held(conn.ctx, conn.client)
+	return root.withConnection(ctx, func(conn *connection) error {
+		current, _, err := fleetfile.Held(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		plan := fleetfile.NewPlan(held, file, c.Prune)
+		plan := fleetfile.NewPlan(current, file, c.Prune)
 		for _, step := range plan {
 			printStep(step)
 		}
-		fmt.Printf("%d would change; %d top-ups would be sent, and count once each\n", len(plan), len(file.TopUps))
+		fmt.Printf("%d resources would change; %d top-ups would be sent, each of which takes effect only once\n", len(plan), len(file.TopUps))
 		return nil
 	})
 }
@@ -76,10 +76,10 @@
 func printStep(step fleetfile.Step) {
 	fmt.Printf("%s %s\n", step.Action, step.Key)
 	if step.Held != nil {
-		fmt.Printf("  in force: %s\n", oneLine(step.Held))
+		fmt.Printf("  current: %s\n", oneLine(step.Held))
 	}
 	if step.Action != fleetfile.ActionDelete {
-		fmt.Printf("  wanted:   %s\n", oneLine(step.Change.GetResource()))
+		fmt.Printf("  desired: %s\n", oneLine(step.Change.GetResource()))
 	}
 }
 
@@ -93,14 +93,14 @@
 
 type exportCmd struct{}
 
-// Run prints the resources in force as a fleet file.
+// Run prints the current resources as a fleet file.
 func (c *exportCmd) Run(ctx context.Context, root *cli) error {
-	return root.call(ctx, func(conn *connection) error {
-		held, _, err := fleetfile.Held(conn.ctx, conn.client)
+	return root.withConnection(ctx, func(conn *connection) error {
+		current, _, err := fleetfile.Held(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		fmt.Println(protojson.Format(fleetfile.Export(held)))
+		fmt.Println(protojson.Format(fleetfile.Export(current)))
 		return nil
 	})
 }
--- a/cmd/lavenderctl/keys.go
+++ b/cmd/lavenderctl/keys.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	authorityName = "authority"
-	secretMode    = 0o600
-	folderMode    = 0o700
+	authorityBaseName = "authority"
+	keyFileMode       = 0o600
+	keyDirMode        = 0o700
 )
 
 type keysCmd struct {
-	Authority authorityCmd `cmd:"" help:"Make a fleet's authority."`
-	Issue     issueCmd     `cmd:"" help:"Make a node's certificate."`
-	Hash      hashCmd      `cmd:"" help:"Print the stored form of a key or token."`
+	Authority authorityCmd `cmd:"" help:"Create a fleet's certificate authority."`
+	Issue     issueCmd     `cmd:"" help:"Create a node's certificate."`
+	Hash      hashCmd      `cmd:"" help:"Print the hash under which a key or token is stored."`
 }
 
 type authorityCmd struct {
-	Out      string        `help:"Folder for authority.pem and authority.key; made when missing." type:"path" required:""`
-	Validity time.Duration `help:"How long it is valid." default:"43800h"`
+	Out      string        `help:"Directory for authority.pem and authority.key; created if missing." type:"path" required:""`
+	Validity time.Duration `help:"Validity period of the authority." default:"43800h"`
 }
 
-// Run makes the authority. One that is there already is kept: with another in its
-// place no node could be given a certificate that the running ones accept.
+// Run creates the authority. It never replaces an existing one: the running nodes would
+// reject every certificate that the new authority issues.
 func (c *authorityCmd) Run() error {
-	if _, err := os.Stat(filepath.Join(c.Out, authorityName+".key")); err == nil {
-		return errors.AlreadyExistsf("an authority in %s", c.Out)
+	if _, err := os.Stat(filepath.Join(c.Out, authorityBaseName+".key")); err == nil {
+		return errors.AlreadyExistsf("certificate authority in %s", c.Out)
 	}
-	if err := os.MkdirAll(c.Out, folderMode); err != nil {
+	if err := os.MkdirAll(c.Out, keyDirMode); err != nil {
 		return errors.Trace(err)
 	}
 	pair, err := tlskeys.NewAuthority(time.Now(), c.Validity)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	return writePair(c.Out, authorityName, pair)
+	return writePair(c.Out, authorityBaseName, pair)
 }
 
 type issueCmd struct {
-	Dir      string        `help:"Folder with authority.pem and authority.key." type:"existingdir" required:""`
-	Name     string        `help:"Name of the files to write." required:""`
-	Validity time.Duration `help:"How long it is valid." default:"8760h"`
+	Dir      string        `help:"Directory with authority.pem and authority.key." type:"existingdir" required:""`
+	Name     string        `help:"Base name of the files to write." required:""`
+	Validity time.Duration `help:"Validity period of the certificate." default:"8760h"`
 }
 
-// Run makes the certificate.
+// Run creates the certificate and its private key.
 func (c *issueCmd) Run() error {
 	var authority tlskeys.Pair
 	var err error
-	if authority.Cert, err = os.ReadFile(filepath.Join(c.Dir, authorityName+".pem")); err != nil {
+	if authority.Cert, err = os.ReadFile(filepath.Join(c.Dir, authorityBaseName+".pem")); err != nil {
 		return errors.Trace(err)
 	}
-	if authority.Key, err = os.ReadFile(filepath.Join(c.Dir, authorityName+".key")); err != nil {
+	if authority.Key, err = os.ReadFile(filepath.Join(c.Dir, authorityBaseName+".key")); err != nil {
 		return errors.Trace(err)
 	}
 	pair, err := authority.Issue(time.Now(), c.Validity)
@@ -70,7 +70,7 @@
 
 func writePair(dir, name string, pair tlskeys.Pair) error {
 	for suffix, data := range map[string][]byte{".pem": pair.Cert, ".key": pair.Key} {
-		if err := os.WriteFile(filepath.Join(dir, name+suffix), data, secretMode); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name+suffix), data, keyFileMode); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -81,7 +81,7 @@
 	Secret string `arg:"" help:"Key or token."`
 }
 
-// Run prints the sum.
+// Run prints the hash.
 func (c *hashCmd) Run() error {
 	fmt.Println(config.HashKey(c.Secret))
 	return nil
--- a/cmd/lavenderctl/keys_test.go
+++ b/cmd/lavenderctl/keys_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// An operator follows the quick start on a fresh machine, where the folder for keys
-// isn't there yet, and later runs the first command again. The second run must not
-// replace the authority: running nodes would refuse every certificate made by the new one.
-func TestAuthorityIsMadeOnce(t *testing.T) {
+// An operator follows the quick start on a fresh machine, where the key directory doesn't
+// exist yet, and later runs the first command again. The second run must not replace the
+// authority: the running nodes would reject every certificate that the new one issues.
+func TestExistingAuthorityIsKept(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "keys")
 	authority := authorityCmd{Out: dir, Validity: time.Hour}
--- a/cmd/lavenderctl/logs.go
+++ b/cmd/lavenderctl/logs.go
@@ -9,11 +9,11 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// readLogs reads the events out of log files, or out of standard input without any.
+// readLogs reads the events from log files, or from standard input if none are given.
 func readLogs(files []string) ([]event.Line, error) {
 	if len(files) == 0 {
 		lines, skipped, err := event.ReadLog(os.Stdin)
-		noteSkipped("standard input", skipped)
+		reportSkipped("standard input", skipped)
 		return lines, errors.Trace(err)
 	}
 	var all []event.Line
@@ -23,18 +23,18 @@
 			return nil, errors.Trace(err)
 		}
 		lines, skipped, err := event.ReadLog(file)
-		_ = file.Close() // only read
+		_ = file.Close() // opened for reading only
 		if err != nil {
 			return nil, errors.Annotate(err, name)
 		}
-		noteSkipped(name, skipped)
+		reportSkipped(name, skipped)
 		all = append(all, lines...)
 	}
 	return all, nil
 }
 
-func noteSkipped(name string, skipped int) {
+func reportSkipped(name string, skipped int) {
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines are no events\n", name, skipped)
+		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not events\n", name, skipped)
 	}
 }
--- a/cmd/lavenderctl/main.go
+++ b/cmd/lavenderctl/main.go
@@ -1,4 +1,4 @@
-// Command lavenderctl is the operators' tool: it speaks to any node of the fleet.
+// Command lavenderctl is the operators' command-line tool; it talks to any node of the fleet.
 package main
 
 import (
@@ -22,28 +22,28 @@
 type cli struct {
 	Address   string        `help:"IP:port of any node's operator API." env:"LAVENDERCTL_ADDRESS" default:"127.0.0.1:7003"`
 	Token     string        `help:"Operator token." env:"LAVENDERCTL_TOKEN"`
-	Authority string        `help:"PEM file of the fleet's authority, to check the node by." env:"LAVENDERCTL_AUTHORITY" type:"existingfile"`
-	Plaintext bool          `help:"Speak without TLS, for trials on one machine." env:"LAVENDERCTL_PLAINTEXT"`
-	Timeout   time.Duration `help:"Longest time for one call." env:"LAVENDERCTL_TIMEOUT" default:"15s"`
+	Authority string        `help:"PEM file of the fleet's certificate authority, which verifies the node." env:"LAVENDERCTL_AUTHORITY" type:"existingfile"`
+	Plaintext bool          `help:"Connect without TLS, for local testing only." env:"LAVENDERCTL_PLAINTEXT"`
+	Timeout   time.Duration `help:"Time limit for one command's calls." env:"LAVENDERCTL_TIMEOUT" default:"15s"`
 
-	Apply    applyCmd    `cmd:"" help:"Make the fleet hold what a declarative file says."`
-	Diff     diffCmd     `cmd:"" help:"Show what applying a file would change, and change nothing."`
-	Export   exportCmd   `cmd:"" help:"Print what is in force as a fleet file."`
+	Apply    applyCmd    `cmd:"" help:"Apply a declarative fleet file."`
+	Diff     diffCmd     `cmd:"" help:"Show what applying a file would change, without changing anything."`
+	Export   exportCmd   `cmd:"" help:"Print the current resources as a fleet file."`
 	TopUp    topUpCmd    `cmd:"" name:"topup" help:"Add prepaid tokens to a budget."`
 	Delete   deleteCmd   `cmd:"" help:"Delete a resource."`
-	Drain    drainCmd    `cmd:"" help:"Take an upstream out of service, or back in with --undo."`
-	List     listCmd     `cmd:"" help:"List the resources in force."`
+	Drain    drainCmd    `cmd:"" help:"Take an upstream out of service, or put it back with --undo."`
+	List     listCmd     `cmd:"" help:"List the current resources."`
 	Watch    watchCmd    `cmd:"" help:"Show resources as they take effect."`
 	Budgets  budgetsCmd  `cmd:"" help:"Show budgets: prepaid, spent, pool and shares."`
 	Nodes    nodesCmd    `cmd:"" help:"Show the fleet as a node sees it."`
 	Timeline timelineCmd `cmd:"" help:"Show the events of all nodes in causal order."`
-	Explain  explainCmd  `cmd:"" help:"Tell one request's story."`
-	Story    storyCmd    `cmd:"" help:"Tell a request's story from log files or standard input."`
-	Lost     lostCmd     `cmd:"" help:"Tell from log files what callers lost, by time and cause."`
-	Keys     keysCmd     `cmd:"" help:"Make keys for the fleet's mutual TLS."`
+	Explain  explainCmd  `cmd:"" help:"Explain what happened to one request."`
+	Story    storyCmd    `cmd:"" help:"Explain the events of a request from log files or standard input."`
+	Lost     lostCmd     `cmd:"" help:"Report from log files which requests callers lost, by time and cause."`
+	Keys     keysCmd     `cmd:"" help:"Create keys for the fleet's mutual TLS."`
 }
 
-// connection reaches the operator API with the operator's token.
+// connection is a client of the operator API, with the operator's token in ctx.
 type connection struct {
 	ctx    context.Context
 	client operatorv1.OperatorServiceClient
@@ -68,14 +68,14 @@
 		return insecure.NewCredentials(), nil
 	}
 	if c.Authority == "" {
-		return nil, errors.New("--authority is needed to check the node, or --plaintext")
+		return nil, errors.New("--authority is required to verify the node, unless --plaintext is set")
 	}
 	creds, err := credentials.NewClientTLSFromFile(c.Authority, tlskeys.ServerName)
 	return creds, errors.Annotate(err, "authority")
 }
 
-// call runs one unary call within the time limit.
-func (c *cli) call(ctx context.Context, do func(*connection) error) error {
+// withConnection runs fn on a new connection, within the time limit.
+func (c *cli) withConnection(ctx context.Context, fn func(*connection) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	conn, err := c.connect(ctx)
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer conn.close()
-	return do(conn)
+	return fn(conn)
 }
 
 func main() {
--- a/cmd/lavenderctl/show.go
+++ b/cmd/lavenderctl/show.go
@@ -19,7 +19,7 @@
 
 // Run lists the resources.
 func (c *listCmd) Run(ctx context.Context, root *cli) error {
-	return root.call(ctx, func(conn *connection) error {
+	return root.withConnection(ctx, func(conn *connection) error {
 		resources, offset, err := fleetfile.Held(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
@@ -43,7 +43,7 @@
 
 type watchCmd struct{}
 
-// Run shows changes until interrupted.
+// Run prints changes until interrupted.
 func (c *watchCmd) Run(ctx context.Context, root *cli) error {
 	conn, err := root.connect(ctx)
 	if err != nil {
@@ -70,14 +70,14 @@
 
 // Run shows the nodes.
 func (c *nodesCmd) Run(ctx context.Context, root *cli) error {
-	return root.call(ctx, func(conn *connection) error {
-		answer, err := conn.client.Nodes(conn.ctx, &operatorv1.NodesRequest{})
+	return root.withConnection(ctx, func(conn *connection) error {
+		response, err := conn.client.Nodes(conn.ctx, &operatorv1.NodesRequest{})
 		if err != nil {
 			return errors.Trace(err)
 		}
 		w := newTable()
 		fmt.Fprintln(w, "INCARNATION\tSTATE\tREGION\tDATA CENTRE\tHTTP\tOPERATOR\tPEER")
-		for _, n := range answer.GetNodes() {
+		for _, n := range response.GetNodes() {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n.GetIncarnation(), n.GetState(), n.GetRegion(), n.GetDataCentre(),
 				n.GetHttpAddress(), n.GetOperatorAddress(), n.GetPeerAddress())
 		}
--- a/cmd/lavenderctl/story.go
+++ b/cmd/lavenderctl/story.go
@@ -10,11 +10,11 @@
 )
 
 type storyCmd struct {
-	ID    string   `arg:"" help:"Id of a request, an upstream, an account or a node."`
-	Files []string `arg:"" optional:"" help:"Log files of any number of nodes; standard input without any." type:"existingfile"`
+	ID    string   `arg:"" help:"ID of a request, an upstream, an account or a node."`
+	Files []string `arg:"" optional:"" help:"Log files of any number of nodes; standard input if none are given." type:"existingfile"`
 }
 
-// Run tells what the logs say of an id, in plain sentences.
+// Run prints the log events that concern an ID as plain sentences.
 func (c *storyCmd) Run() error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
@@ -25,7 +25,7 @@
 		fmt.Printf("%s %s: %s\n", l.At.Format(time.RFC3339Nano), l.Node, l.Sentence())
 	}
 	if len(story) == 0 {
-		return errors.Errorf("no line carries %q", c.ID)
+		return errors.Errorf("no log line contains %q", c.ID)
 	}
 	return nil
 }
--- a/cmd/lavenderedge/metrics.go
+++ b/cmd/lavenderedge/metrics.go
@@ -9,7 +9,8 @@
 	"lavenderpin.dev/lavenderpin/event"
 )
 
-// serveMetrics serves the metrics on a port of their own, if one is set.
+// serveMetrics serves the metrics on a separate port, if one is set. A port that can't be
+// opened is recorded as an event and doesn't stop the node.
 func (p *process) serveMetrics() {
 	if p.metricsPort == 0 {
 		return
@@ -22,5 +23,5 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", expvar.Handler())
-	go func() { _ = p.server(mux).Serve(listener) }() // ends with the process
+	go func() { _ = p.newServer(mux).Serve(listener) }() // until the process exits
 }
--- a/cmd/lavenderedge/metrics_test.go
+++ b/cmd/lavenderedge/metrics_test.go
@@ -24,13 +24,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the port is wanted, not the listener
+	defer func() { _ = l.Close() }() // only the port number is needed
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// Monitoring that can't fetch a node's figures leaves an incident without them; a port that is
-// taken must not keep the node from serving.
-func TestServesMetricsOnTheirOwnPort(t *testing.T) {
+// Guards against a node whose metrics can't be scraped during an incident, and against a node
+// that doesn't serve because its metrics port is already in use.
+func TestServesMetricsOnSeparatePort(t *testing.T) {
 	is := is.New(t)
 	expvar.NewInt("metrics_test").Set(7)
 	p := &process{settings: platform.Settings{IP: "127.0.0.1"}, metricsPort: freePort(t),
@@ -42,9 +42,9 @@
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	var figures map[string]json.RawMessage
-	is.NoErr(json.Unmarshal(raw, &figures))
-	is.Equal(string(figures["metrics_test"]), "7")
-	p.serveMetrics() // the port is taken now
+	var metrics map[string]json.RawMessage
+	is.NoErr(json.Unmarshal(raw, &metrics))
+	is.Equal(string(metrics["metrics_test"]), "7")
+	p.serveMetrics() // the port is in use now
 	is.Equal(p.events.Counts()[event.MetricsAbsent.Kind().Name], uint64(1))
 }
--- a/cmd/lavenderedge/run.go
+++ b/cmd/lavenderedge/run.go
@@ -36,35 +36,35 @@
 )
 
 const (
-	// memoryShare is the part of the instance's memory that the heap may take before
-	// garbage is collected harder.
-	memoryShare = 0.5
-	// eventRing is how many events are held for the time line.
-	eventRing = 256
-	// addressTTL is how long callers keep addresses: shorter than the platform allows,
-	// so that a leaving node is soon forgotten.
+	// memoryLimitFraction is the fraction of the instance's memory that the Go runtime may use
+	// before the garbage collector runs more often.
+	memoryLimitFraction = 0.5
+	// eventCapacity is how many events are kept for the timeline.
+	eventCapacity = 256
+	// addressTTL is how long callers may cache addresses: shorter than the platform allows,
+	// so that they soon stop using a node that shuts down.
 	addressTTL = 2 * time.Second
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout limits the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes connections that no caller uses any more. Callers may reuse
-	// one for four fifths of the operators' limit, which is below this.
+	// idleTimeout closes idle connections. Callers may reuse one for four fifths of the
+	// operators' limit, which is below this value.
 	idleTimeout = 90 * time.Second
-	// maxHeaderBytes bounds a request's head.
+	// maxHeaderBytes limits the size of a request's headers.
 	maxHeaderBytes = 64 << 10
 )
 
-// process is one node's process.
+// process holds the node that this process runs, and its servers and clients.
 type process struct {
 	settings platform.Settings
-	// metricsPort serves the metrics alone; 0 for none.
+	// metricsPort serves only the metrics; 0 disables it.
 	metricsPort int
 	events      *event.Recorder
 	clock       bootclock.System
 	node        *edgenode.Node
-	sender      *platform.Upstreams
-	peers       *httpwire.Client
+	upstreams   *platform.Upstreams
+	peerClient  *httpwire.Client
 	frontend    *http.Server
-	open        openRequests
+	inFlight    inFlightRequests
 }
 
 func run(c cli) error {
@@ -76,18 +76,18 @@
 		fmt.Println("settings are valid")
 		return nil
 	}
-	lines := logsink.New(os.Stdout)
-	defer func() { _ = lines.Close() }()
-	p := &process{settings: settings, metricsPort: c.MetricsPort, events: newRecorder(settings, lines)}
+	logWriter := logsink.New(os.Stdout)
+	defer func() { _ = logWriter.Close() }()
+	p := &process{settings: settings, metricsPort: c.MetricsPort, events: newRecorder(settings, logWriter)}
 	if settings.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.Limits.MemoryMB) * (1 << 20)))
 	}
 	return p.run(c.Config)
 }
 
-func newRecorder(settings platform.Settings, lines *logsink.Writer) *event.Recorder {
-	logger := log.With(log.NewLogfmtLogger(lines), "ts", log.DefaultTimestampUTC)
-	return event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), settings.Node, eventRing, logger)
+func newRecorder(settings platform.Settings, logWriter *logsink.Writer) *event.Recorder {
+	logger := log.With(log.NewLogfmtLogger(logWriter), "ts", log.DefaultTimestampUTC)
+	return event.NewRecorder(event.NewHLC(clockwork.NewRealClock()), settings.Node, eventCapacity, logger)
 }
 
 func (p *process) run(path string) error {
@@ -98,25 +98,25 @@
 	p.events.Record(event.NodeStarting, "incarnation", incarnation, "data_centre", p.settings.DataCentre, "memory_mb", p.settings.Limits.MemoryMB, "cores", p.settings.Limits.Cores, "link_mbps", p.settings.Limits.LinkMbps, "boot_clock", start.Boot, "boot", start.BootID)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	begun := make(chan error, 1)
-	go func() { begun <- p.begin(ctx, incarnation, start) }()
+	started := make(chan error, 1)
+	go func() { started <- p.startNode(ctx, incarnation, start) }()
 	for {
 		select {
-		case err := <-begun:
+		case err := <-started:
 			if err != nil {
 				return errors.Trace(err)
 			}
-			begun = nil
+			started = nil
 			p.events.Record(event.NodeServing, "frontend", p.settings.Frontend)
 		case s := <-signals:
 			if s == syscall.SIGHUP {
 				p.reload(path)
 				continue
 			}
-			if begun != nil {
-				return nil // nothing was served yet
+			if started != nil {
+				return nil // the node hasn't served any request yet
 			}
-			p.leave()
+			p.drain()
 			return nil
 		}
 	}
@@ -132,7 +132,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// bootID names the instance's boot; empty where the kernel doesn't tell.
+// bootID returns the ID of the instance's boot, or "" if the kernel doesn't provide one.
 func bootID() string {
 	raw, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -141,20 +141,20 @@
 	return strings.TrimSpace(string(raw))
 }
 
-// begin starts the node and its listeners.
-func (p *process) begin(ctx context.Context, incarnation string, start prepaid.ProcessStart) error {
+// startNode starts the node and its listeners.
+func (p *process) startNode(ctx context.Context, incarnation string, start prepaid.ProcessStart) error {
 	store := platform.NewStore(p.settings.Store.Address, p.clock)
 	calls := expvar.NewMap("store_calls")
 	store.OnCall = func(call string, status int) { calls.Add(fmt.Sprintf("%s_%d", call, status), 1) }
 	dials := expvar.NewInt("upstream_connections_made")
-	p.peers = httpwire.NewClient(httpwire.Options{Clock: p.clock, DialTimeout: peerDialTimeout})
-	p.sender = platform.NewUpstreams(p.clock, func() { dials.Add(1) })
+	p.peerClient = httpwire.NewClient(httpwire.Options{Clock: p.clock, DialTimeout: peerDialTimeout})
+	p.upstreams = platform.NewUpstreams(p.clock, func() { dials.Add(1) })
 	node, err := edgenode.Start(ctx, edgenode.Settings{
 		Node: p.settings.Node, Incarnation: incarnation, Start: start,
-		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacity(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
+		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacityPercent(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
 		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RepeatRatio, Extra: p.settings.Bounds.RepeatExtra, Window: p.settings.Bounds.RepeatWindow},
 	}, edgenode.Deps{
-		Clock: p.clock, WallClock: p.clocks().Wall, Upstreams: p.sender, Lending: &lending.Client{Wire: p.peers}, Peers: &peerfetch.Client{HTTP: p.peers}, Events: p.events, Metrics: gateway.NewMetrics(true),
+		Clock: p.clock, WallClock: p.clocks().Wall, Upstreams: p.upstreams, Lending: &lending.Client{Wire: p.peerClient}, Peers: &peerfetch.Client{HTTP: p.peerClient}, Events: p.events, Metrics: gateway.NewMetrics(true),
 		Topics: edgenode.Topics{Operators: store.Operators(), Upstreams: store.Upstreams(), Presence: store.Topic("presence"),
 			Spend: store.Topic("spend"), Ledger: store.Topic("ledger"), Grants: store.Topic("grants")},
 		DecodeConfig: platform.DecodeConfig, DecodeUpstream: platform.DecodeUpstream,
@@ -169,65 +169,65 @@
 	return p.listen()
 }
 
-// sweepEvery is how often kept connections that nobody used are closed.
-const sweepEvery = time.Second
+// sweepInterval is how often unused pooled connections are closed.
+const sweepInterval = time.Second
 
 func (p *process) sweep(ctx context.Context) {
-	periodic.Run(ctx, clockwork.NewRealClock(), sweepEvery, func(context.Context) {
-		p.sender.Sweep()
-		p.peers.Sweep()
+	periodic.Run(ctx, clockwork.NewRealClock(), sweepInterval, func(context.Context) {
+		p.upstreams.Sweep()
+		p.peerClient.Sweep()
 	})
 }
 
-// A usual instance has 0.4 of a core and needs 50 Mbit/s to use it on prompts of 12 KB.
+// The reference instance has 0.4 of a core and needs 50 Mbit/s to use it fully on 12 KB prompts.
 const (
-	usualCores    = 0.4
-	usualLinkMbps = 50
+	referenceCores    = 0.4
+	referenceLinkMbps = 50
 )
 
-// capacity is what the instance can carry, in hundredths of a usual one: what it has
-// least of decides.
-func capacity(l platform.MachineLimits) int {
-	return max(1, int(100*min(l.Cores/usualCores, l.LinkMbps/usualLinkMbps)))
+// capacityPercent returns the instance's capacity in percent of the reference instance,
+// limited by its scarcer resource.
+func capacityPercent(l platform.MachineLimits) int {
+	return max(1, int(100*min(l.Cores/referenceCores, l.LinkMbps/referenceLinkMbps)))
 }
 
-// peerDialTimeout bounds a new connection to another node: a round trip between regions.
+// peerDialTimeout limits connecting to another node: one round trip between regions.
 const peerDialTimeout = 150 * time.Millisecond
 
-// peerAddress is where other nodes connect: the first of the ports that are free for it.
+// peerAddress returns the address where other nodes connect, on the first port reserved for it.
 func (p *process) peerAddress() string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.PeerPorts[0]))
 }
 
 func (p *process) listen() error {
 	handler := &platform.Frontend{Gateway: p.node.Gateway(), Catalog: p.node.Catalog(), Clock: p.clock, Node: p.node}
-	p.frontend = p.server(p.open.count(handler))
+	p.frontend = p.newServer(p.inFlight.count(handler))
 	directory := &platform.Directory{Node: p.node, TTL: min(addressTTL, p.settings.Bounds.AddressTTL)}
 	for _, l := range []struct {
 		address string
 		server  *http.Server
 	}{
 		{p.settings.Frontend, p.frontend},
-		{p.peerAddress(), p.server(p.node.PeerRoutes())},
-		{p.settings.Directory, p.server(directory.Routes())},
-		{p.settings.Ready, p.server(platform.ReadyRoutes(p.node, expvar.Handler()))},
+		{p.peerAddress(), p.newServer(p.node.PeerRoutes())},
+		{p.settings.Directory, p.newServer(directory.Routes())},
+		{p.settings.Ready, p.newServer(platform.ReadyRoutes(p.node, expvar.Handler()))},
 	} {
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		go func() { _ = l.server.Serve(listener) }() // ends with the process
+		go func() { _ = l.server.Serve(listener) }() // until the process exits
 	}
 	return nil
 }
 
-func (p *process) server(handler http.Handler) *http.Server {
+func (p *process) newServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(discard{}, "", 0)}
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(discardWriter{}, "", 0)}
 }
 
-// discard drops the HTTP server's own lines: it writes one for each connection that a
-// caller breaks off, and the node's events tell of these with the request's id.
-type discard struct{}
+// discardWriter drops the HTTP server's own log: it writes a line for each connection that a
+// caller aborts, and the node's events record these with the request ID.
+type discardWriter struct{}
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/cmd/lavenderpin/dev.go
+++ b/cmd/lavenderpin/dev.go
@@ -17,7 +17,7 @@
 	Verbose   bool          `help:"Show the nodes' logs."`
 }
 
-// Run serves until a signal ends ctx.
+// Run serves until a signal cancels ctx.
 func (c *devCmd) Run(ctx context.Context) error {
 	logger := log.NewNopLogger()
 	if c.Verbose {
@@ -41,11 +41,11 @@
 		return errors.Trace(err)
 	}
 	address := fleet.Daemons[0].Node().Settings().HTTPAddress
-	fmt.Printf("A fleet of %d nodes serves. Try:\n\n", len(fleet.Daemons))
+	fmt.Printf("A fleet of %d nodes is serving. Try:\n\n", len(fleet.Daemons))
 	fmt.Printf("curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n", address, devfleet.AccountKey,
 		`{"model":"`+devfleet.Model+`","stream":true,"max_tokens":32,"messages":[{"role":"user","content":"which price looks wrong in this basket"}]}`)
 	fmt.Printf("lavenderctl --plaintext --address %s --token %s budgets\n\n", fleet.Daemons[0].Node().Settings().OperatorAddress, devfleet.OperatorToken)
-	fmt.Println("Ctrl-C stops it.")
+	fmt.Println("Press Ctrl-C to stop.")
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/lavenderpin/main.go
+++ b/cmd/lavenderpin/main.go
@@ -1,5 +1,5 @@
-// Command lavenderpin runs one node of the fleet, or with "dev" a whole small
-// fleet in one process on embedded stand-ins.
+// Command lavenderpin runs one node of the fleet or, with "dev", a small fleet in one
+// process with embedded stand-ins.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 type cli struct {
 	Serve serveCmd `cmd:"" default:"withargs" help:"Run one node of the fleet."`
-	Dev   devCmd   `cmd:"" help:"Run a small fleet in one process on embedded stand-ins and print a request to try."`
+	Dev   devCmd   `cmd:"" help:"Run a small fleet in one process with embedded stand-ins and print an example request."`
 }
 
 func main() {
@@ -24,7 +24,7 @@
 	hlog.SetLevel(hlog.LevelError) // the HTTP library would log every connection
 	var c cli
 	k := kong.Parse(&c, kong.Name("lavenderpin"),
-		kong.Description("A router node before LLM engines and plain services, paid from prepaid token budgets."),
+		kong.Description("A router node in front of LLM engines and plain services, charging prepaid token budgets."),
 		kong.ShortUsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/lavenderpin/processes_test.go
+++ b/cmd/lavenderpin/processes_test.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	testToken = "process-operator"
-	pollEvery = 20 * time.Millisecond
-	// rightOf is the nodes' right to spend, short so that a pause outlasts it.
-	rightOf   = 3 * time.Second
-	heartbeat = 500 * time.Millisecond
+	operatorToken = "process-operator"
+	pollInterval  = 20 * time.Millisecond
+	// spendRight is the nodes' --spend-right, short so that a pause outlasts it.
+	spendRight = 3 * time.Second
+	heartbeat  = 500 * time.Millisecond
 )
 
-// process is one program that the test started; it is ended by its own id.
+// process is a program that the test started; it is signalled by its own process ID.
 type process struct {
 	t    *testing.T
 	path string
@@ -60,24 +60,24 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// nodeProcess is a node with its addresses.
+// nodeProcess is a node's process with the addresses that it listens on.
 type nodeProcess struct {
 	process
 	http, operator, peer string
 }
 
-// processFleet is a fleet of separate processes over loopback. The plain service
-// stands in the test, which counts what it runs.
+// processFleet is a fleet of separate processes over loopback. The plain service runs in
+// the test process, so that the test can count its executions.
 type processFleet struct {
-	t        *testing.T
-	dir      string
-	platform string
-	nodes    []*nodeProcess
-	plain    *standin.Service
-	ups      []*operatorv1.Upstream
+	t            *testing.T
+	dir          string
+	platform     string
+	nodes        []*nodeProcess
+	plainService *standin.Service
+	upstreams    []*operatorv1.Upstream
 }
 
-func build(t *testing.T, dir string, names ...string) {
+func buildPrograms(t *testing.T, dir string, names ...string) {
 	t.Helper()
 	is := is.New(t)
 	for _, name := range names {
@@ -89,9 +89,9 @@
 	}
 }
 
-// ownLoopback is a loopback IP number that only this test process listens on, so that
-// no other test can take a port between its choice and its use by a started process.
-func ownLoopback() string {
+// loopbackIP returns a loopback IP address derived from the process ID, which only this test
+// process uses, so that no other test can take a port before a started process binds it.
+func loopbackIP() string {
 	pid := os.Getpid()
 	return net.IPv4(127, 1+byte(pid>>16), byte(pid>>8), byte(pid)).String()
 }
@@ -100,7 +100,7 @@
 func freePort(t *testing.T) string {
 	t.Helper()
 	is := is.New(t)
-	tcp, err := net.Listen("tcp", net.JoinHostPort(ownLoopback(), "0"))
+	tcp, err := net.Listen("tcp", net.JoinHostPort(loopbackIP(), "0"))
 	is.NoErr(err)
 	defer func() { _ = tcp.Close() }()
 	udp, err := net.ListenPacket("udp", tcp.Addr().String())
@@ -109,22 +109,22 @@
 	return tcp.Addr().String()
 }
 
-func startProcesses(t *testing.T) *processFleet {
+func startProcessFleet(t *testing.T) *processFleet {
 	t.Helper()
 	f := &processFleet{t: t, dir: t.TempDir()}
-	build(t, f.dir, "lavenderpin", "lavenderstub")
-	f.writeKeys("node-0", "node-1", "node-2")
+	buildPrograms(t, f.dir, "lavenderpin", "lavenderstub")
+	f.writeCertificates("node-0", "node-1", "node-2")
 	f.platform = freePort(t)
-	f.stub("platform", "--listen", f.platform)
+	f.startStub("platform", "--listen", f.platform)
 	regions := []string{"gulf-maine", "gulf-maine", "southern-new-england"}
 	for i, region := range []string{"gulf-maine", "southern-new-england"} {
-		at := freePort(t)
-		f.stub("engine", "--listen", at, "--token-time", "5ms")
-		f.ups = append(f.ups, &operatorv1.Upstream{Name: "engine-" + region, Service: "chat", Address: at, Region: region, DataCentre: regions[i] + "-a"})
+		address := freePort(t)
+		f.startStub("engine", "--listen", address, "--token-time", "5ms")
+		f.upstreams = append(f.upstreams, &operatorv1.Upstream{Name: "engine-" + region, Service: "chat", Address: address, Region: region, DataCentre: regions[i] + "-a"})
 	}
-	f.startPlain()
+	f.startPlainService()
 	for i, region := range regions {
-		f.nodes = append(f.nodes, f.node(i, region))
+		f.nodes = append(f.nodes, f.newNode(i, region))
 	}
 	for _, n := range f.nodes {
 		n.start()
@@ -133,7 +133,7 @@
 	return f
 }
 
-func (f *processFleet) writeKeys(names ...string) {
+func (f *processFleet) writeCertificates(names ...string) {
 	is := is.New(f.t)
 	authority, err := tlskeys.NewAuthority(time.Now(), time.Hour)
 	is.NoErr(err)
@@ -146,68 +146,68 @@
 	}
 }
 
-func (f *processFleet) stub(args ...string) {
+func (f *processFleet) startStub(args ...string) {
 	p := &process{t: f.t, path: filepath.Join(f.dir, "lavenderstub"), args: args}
 	p.start()
-	f.awaitDial(args[2])
+	f.awaitListening(args[2])
 }
 
-func (f *processFleet) startPlain() {
+func (f *processFleet) startPlainService() {
 	is := is.New(f.t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	f.plain = standin.NewService(listener, time.Millisecond)
-	go func() { _ = f.plain.Run() }()
-	f.t.Cleanup(f.plain.Close)
-	f.ups = append(f.ups, &operatorv1.Upstream{Name: "plain", Service: "orders", Address: listener.Addr().String(),
+	f.plainService = standin.NewService(listener, time.Millisecond)
+	go func() { _ = f.plainService.Run() }()
+	f.t.Cleanup(f.plainService.Close)
+	f.upstreams = append(f.upstreams, &operatorv1.Upstream{Name: "plain", Service: "orders", Address: listener.Addr().String(),
 		Region: "gulf-maine", DataCentre: "gulf-maine-a"})
 }
 
-func (f *processFleet) node(i int, region string) *nodeProcess {
+func (f *processFleet) newNode(i int, region string) *nodeProcess {
 	n := &nodeProcess{http: freePort(f.t), operator: freePort(f.t), peer: freePort(f.t)}
 	name := filepath.Join(f.dir, "node-"+string(rune('0'+i)))
 	n.process = process{t: f.t, path: filepath.Join(f.dir, "lavenderpin"), args: []string{
 		"serve", "--region", region, "--data-centre", region + "-a", "--http", n.http, "--operator", n.operator, "--peer", n.peer,
 		"--platform", f.platform, "--authority", filepath.Join(f.dir, "authority.pem"), "--cert", name + ".pem", "--key", name + ".key",
 		"--operator-plaintext", "--token-secret", "a secret of the process test, 32 bytes",
-		"--bootstrap-token-hash", config.HashKey(testToken), "--heartbeat", heartbeat.String(), "--spend-right", rightOf.String(),
+		"--bootstrap-token-hash", config.HashKey(operatorToken), "--heartbeat", heartbeat.String(), "--spend-right", spendRight.String(),
 		"--address-lifetime", "500ms", "--claim-chunk", "2000",
 	}}
 	return n
 }
 
-func (f *processFleet) awaitDial(address string) {
+func (f *processFleet) awaitListening(address string) {
 	for {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			_ = conn.Close()
 			return
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// awaitServing waits until every node says that it serves; the test's own time
-// limit ends the wait.
+// awaitServing waits until every node reports that it serves; only the test's timeout
+// bounds the wait.
 func (f *processFleet) awaitServing() {
 	for _, n := range f.nodes {
-		for !healthy(n.http) {
-			time.Sleep(pollEvery)
+		for !isHealthy(n.http) {
+			time.Sleep(pollInterval)
 		}
 	}
 }
 
-func healthy(address string) bool {
+func isHealthy(address string) bool {
 	client := http.Client{Timeout: time.Second}
-	answer, err := client.Get("http://" + address + "/healthz")
+	response, err := client.Get("http://" + address + "/healthz")
 	if err != nil {
 		return false
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	_ = response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-func (f *processFleet) operatorOf(n *nodeProcess) operatorv1.OperatorServiceClient {
+func (f *processFleet) operatorClient(n *nodeProcess) operatorv1.OperatorServiceClient {
 	is := is.New(f.t)
 	conn, err := grpc.NewClient("passthrough:///"+n.operator, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	is.NoErr(err)
--- a/cmd/lavenderpin/resume_test.go
+++ b/cmd/lavenderpin/resume_test.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// answerWords makes an answer that takes about a second at the engines' pace.
-	answerWords = 200
-	// readBeforeKill is how many events a caller has when its node dies.
-	readBeforeKill = 20
-	doneMarker     = "[DONE]"
+	// responseWords makes a response that takes about one second at the engines' token rate.
+	responseWords = 200
+	// eventsBeforeKill is how many events a caller has received when its node is killed.
+	eventsBeforeKill = 20
+	doneMarker       = "[DONE]"
 )
 
-// callerStream is an answer as its caller gathers it over several connections.
-type callerStream struct {
-	lines  *bufio.Scanner
-	text   strings.Builder
-	lastID string
-	tokens uint64
-	events int
-	done   bool
-	failed string
+// resumableStream is a streamed response that its caller collects over several connections.
+type resumableStream struct {
+	lines   *bufio.Scanner
+	text    strings.Builder
+	lastID  string
+	tokens  uint64
+	events  int
+	done    bool
+	failure string
 }
 
-// connect reads on from another connection.
-func (s *callerStream) connect(body io.Reader) { s.lines = bufio.NewScanner(body) }
+// connect continues the stream on another connection.
+func (s *resumableStream) connect(body io.Reader) { s.lines = bufio.NewScanner(body) }
 
-// read takes events until the answer or the connection ends, or until limit events. An
-// event counts with the empty line that ends it: one cut before is not had.
-func (s *callerStream) read(limit int) {
+// read reads events until the response or the connection ends, or until s.events reaches
+// limit. An event counts only once its terminating empty line is read.
+func (s *resumableStream) read(limit int) {
 	fields := map[string]string{}
 	for s.events < limit && !s.done && s.lines.Scan() {
 		if s.lines.Text() != "" {
@@ -50,18 +50,18 @@
 		if id, numbered := fields["id"]; numbered {
 			s.lastID = id
 		}
-		s.take(fields["event"], fields["data"])
+		s.handleEvent(fields["event"], fields["data"])
 		clear(fields)
 	}
 }
 
-func (s *callerStream) take(kind, data string) {
+func (s *resumableStream) handleEvent(name, data string) {
 	switch {
 	case data == doneMarker:
 		s.done = true
 		return
-	case kind == "error":
-		s.failed = data
+	case name == "error":
+		s.failure = data
 		return
 	}
 	s.events++
@@ -77,7 +77,7 @@
 		} `json:"usage"`
 	}
 	if json.Unmarshal([]byte(data), &chunk) != nil {
-		s.failed = data
+		s.failure = data
 		return
 	}
 	for _, c := range chunk.Choices {
@@ -88,8 +88,8 @@
 	}
 }
 
-// ask sends a caller's request and returns the answer, whose body the caller closes.
-func ask(method, url, body, lastID string) (*http.Response, error) {
+// sendRequest sends a request with the test account's key. The caller closes the response body.
+func sendRequest(method, url, body, lastID string) (*http.Response, error) {
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -101,52 +101,51 @@
 	return http.DefaultClient.Do(request)
 }
 
-// A node is killed while a caller reads a stream from it. The caller takes the last
-// event id that it got to another node, in the other region, and reads on there. It gets
-// each word once and the end, and its account is billed for one answer: a user would
-// notice words missing or twice, or a bill for two.
-func TestCallerResumesAtAnotherProcess(t *testing.T) {
+// A node is killed while a caller reads a stream from it, and the caller resumes at a node in
+// the other region with the last event ID that it received. Guards against missing or
+// repeated words, a missing end, and an account billed for two responses.
+func TestCallerResumesStreamAtAnotherProcess(t *testing.T) {
 	is := is.New(t)
-	f := startProcesses(t)
-	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+testToken)
-	f.declare(ctx)
+	f := startProcessFleet(t)
+	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+operatorToken)
+	f.applyConfig(ctx)
 
 	var words []string
-	for i := range answerWords {
+	for i := range responseWords {
 		words = append(words, fmt.Sprintf("w%d", i))
 	}
 	prompt := strings.Join(words, " ")
-	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, answerWords, prompt)
-	caller := &callerStream{}
-	first, err := ask("POST", "http://"+f.nodes[1].http+"/v1/chat/completions", body, "")
+	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, responseWords, prompt)
+	stream := &resumableStream{}
+	first, err := sendRequest("POST", "http://"+f.nodes[1].http+"/v1/chat/completions", body, "")
 	is.NoErr(err)
 	is.Equal(first.StatusCode, http.StatusOK)
-	caller.connect(first.Body)
-	caller.read(readBeforeKill)
+	stream.connect(first.Body)
+	stream.read(eventsBeforeKill)
 	f.nodes[1].kill()
-	caller.read(answerWords * 2) // what was on its way
+	stream.read(responseWords * 2) // events already in transit
 	_ = first.Body.Close()
-	is.True(!caller.done) // the death must fall within the answer
-	is.True(caller.lastID != "")
-	had := caller.events
+	is.True(!stream.done) // the kill must interrupt the response
+	is.True(stream.lastID != "")
+	eventsBefore := stream.events
 
-	rest, err := ask("GET", "http://"+f.nodes[2].http+"/v1/streams", "", caller.lastID)
+	rest, err := sendRequest("GET", "http://"+f.nodes[2].http+"/v1/streams", "", stream.lastID)
 	is.NoErr(err)
 	is.Equal(rest.StatusCode, http.StatusOK)
-	caller.connect(rest.Body)
-	caller.read(answerWords * 2)
+	stream.connect(rest.Body)
+	stream.read(responseWords * 2)
 	_ = rest.Body.Close()
-	is.Equal(caller.failed, "")
-	is.True(caller.done)
-	is.Equal(caller.text.String(), prompt+" ")
-	is.Equal(caller.tokens, uint64(2*answerWords))
+	is.Equal(stream.failure, "")
+	is.True(stream.done)
+	is.Equal(stream.text.String(), prompt+" ")
+	is.Equal(stream.tokens, uint64(2*responseWords))
 
 	f.nodes[1].start()
 	f.awaitServing()
-	for f.budget(ctx, f.nodes[0]).GetSpent() == 0 {
-		time.Sleep(pollEvery) // until the dead node's request is settled
+	for f.budgetState(ctx, f.nodes[0]).GetSpent() == 0 {
+		time.Sleep(pollInterval) // until the killed node's request is settled
 	}
-	state := f.awaitAgreement(ctx)
-	is.Equal(state.GetSpent(), caller.tokens)
-	t.Logf("%d events before the death, %d in all, spent %d", had, caller.events, state.GetSpent())
+	state := f.awaitConvergence(ctx)
+	is.Equal(state.GetSpent(), stream.tokens)
+	t.Logf("%d events before the kill, %d in total, spent %d tokens", eventsBefore, stream.events, state.GetSpent())
 }
--- a/cmd/lavenderpin/serve.go
+++ b/cmd/lavenderpin/serve.go
@@ -21,26 +21,26 @@
 	HTTP       string `help:"IP:port for callers." env:"LAVENDERPIN_HTTP" required:""`
 	Operator   string `help:"IP:port for operators (gRPC)." env:"LAVENDERPIN_OPERATOR" required:""`
 	Peer       string `help:"IP:port for other nodes (QUIC over UDP)." env:"LAVENDERPIN_PEER" required:""`
-	Admin      string `help:"IP:port for figures (expvar); none when empty." env:"LAVENDERPIN_ADMIN"`
+	Admin      string `help:"IP:port for metrics (expvar); disabled when empty." env:"LAVENDERPIN_ADMIN"`
 	Platform   string `help:"IP:port of the platform's services." env:"LAVENDERPIN_PLATFORM" required:""`
 
-	Authority string `help:"PEM file of the fleet's authority." env:"LAVENDERPIN_AUTHORITY" type:"existingfile" required:""`
+	Authority string `help:"PEM file of the fleet's certificate authority." env:"LAVENDERPIN_AUTHORITY" type:"existingfile" required:""`
 	Cert      string `help:"PEM file of this node's certificate." env:"LAVENDERPIN_CERT" type:"existingfile" required:""`
-	Key       string `help:"PEM file of this node's key." env:"LAVENDERPIN_KEY" type:"existingfile" required:""`
+	Key       string `help:"PEM file of this node's private key." env:"LAVENDERPIN_KEY" type:"existingfile" required:""`
 
-	OperatorPlaintext  bool          `help:"Serve operators without TLS, for trials on one machine." env:"LAVENDERPIN_OPERATOR_PLAINTEXT"`
-	TokenSecret        string        `help:"Secret of at least 32 bytes, the same on all nodes: it signs tickets and the event ids with which callers resume a stream. Without it both are good at one node alone." env:"LAVENDERPIN_TOKEN_SECRET"`
-	BootstrapTokenHash string        `help:"Hash of an operator token (lavenderctl keys hash) that works until a stored one exists." env:"LAVENDERPIN_BOOTSTRAP_TOKEN_HASH"`
+	OperatorPlaintext  bool          `help:"Serve operators without TLS, for local testing only." env:"LAVENDERPIN_OPERATOR_PLAINTEXT"`
+	TokenSecret        string        `help:"Secret of at least 32 bytes, the same on all nodes. It signs call tickets and the event IDs with which callers resume a stream. Without it both are valid only at the node that issued them." env:"LAVENDERPIN_TOKEN_SECRET"`
+	BootstrapTokenHash string        `help:"Hash of an operator token (see lavenderctl keys hash) that is accepted until an operator token is stored." env:"LAVENDERPIN_BOOTSTRAP_TOKEN_HASH"`
 	Heartbeat          time.Duration `help:"Time between heartbeats in the log." default:"5s" env:"LAVENDERPIN_HEARTBEAT"`
-	LeaseTerm          time.Duration `help:"How long a lease for a singular job lasts without renewal." default:"15s" env:"LAVENDERPIN_LEASE_TERM"`
-	BudgetPolicy       string        `help:"endurance: few false refusals in cuts and outages. thrift: little money frozen by crashes, no spend that only one node knows of." default:"endurance" enum:"endurance,thrift" env:"LAVENDERPIN_BUDGET_POLICY"`
-	SpendRight         time.Duration `help:"How long the node may spend after its last heartbeat in the log: the longest store outage or region cut that it rides out, and the longest time that a crash freezes its shares. 0 takes the budget policy's." default:"0s" env:"LAVENDERPIN_SPEND_RIGHT"`
-	ClaimChunk         uint64        `help:"Least tokens claimed from a budget at a time." default:"20000" env:"LAVENDERPIN_CLAIM_CHUNK"`
-	AddressLifetime    time.Duration `help:"How long callers may keep an address handed out." default:"10s" env:"LAVENDERPIN_ADDRESS_LIFETIME"`
-	DrainTimeout       time.Duration `help:"Longest graceful stop." default:"5m" env:"LAVENDERPIN_DRAIN_TIMEOUT"`
+	LeaseTerm          time.Duration `help:"How long a singleton job's lease lasts without renewal." default:"15s" env:"LAVENDERPIN_LEASE_TERM"`
+	BudgetPolicy       string        `help:"endurance: few false refusals during network partitions and outages. thrift: few prepaid tokens frozen by crashes, and no spend known to one node alone." default:"endurance" enum:"endurance,thrift" env:"LAVENDERPIN_BUDGET_POLICY"`
+	SpendRight         time.Duration `help:"How long the node may spend after its last heartbeat in the log. It is the longest store outage or region partition that the node tolerates, and the longest time that a crash freezes its shares. 0 uses the budget policy's value." default:"0s" env:"LAVENDERPIN_SPEND_RIGHT"`
+	ClaimChunk         uint64        `help:"Minimum number of tokens claimed from a budget at a time." default:"20000" env:"LAVENDERPIN_CLAIM_CHUNK"`
+	AddressLifetime    time.Duration `help:"How long callers may cache an address that they resolved." default:"10s" env:"LAVENDERPIN_ADDRESS_LIFETIME"`
+	DrainTimeout       time.Duration `help:"Maximum duration of a graceful shutdown." default:"5m" env:"LAVENDERPIN_DRAIN_TIMEOUT"`
 }
 
-// Run serves until a signal ends ctx.
+// Run serves until a signal cancels ctx.
 func (c *serveCmd) Run(ctx context.Context) error {
 	settings := node.DefaultSettings()
 	settings.Region = c.Region
--- a/cmd/lavenderpin/survive_test.go
+++ b/cmd/lavenderpin/survive_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	processBudget  = "crew-budget"
-	processPrepaid = 500_000
+	testBudget    = "crew-budget"
+	prepaidTokens = 500_000
 )
 
-func (f *processFleet) declare(ctx context.Context) {
+func (f *processFleet) applyConfig(ctx context.Context) {
 	is := is.New(f.t)
 	file, err := fleetfile.FromMessage(&operatorv1.Fleet{
 		Accounts: []*operatorv1.Account{{Name: "crew", KeySha256: []string{config.HashKey("crew-key")}}},
@@ -28,58 +28,58 @@
 			{Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"m"}},
 			{Name: "orders", Kind: operatorv1.ServiceKind_SERVICE_KIND_PLAIN, Calls: []*operatorv1.Call{{Method: "POST", Path: "/", Tokens: 5}}},
 		},
-		Budgets:   []*operatorv1.Budget{{Name: processBudget, Account: "crew", Services: []string{"chat", "orders"}}},
-		Upstreams: f.ups,
-		TopUps:    []*operatorv1.TopUp{{Id: "first", Budget: processBudget, Tokens: processPrepaid}},
+		Budgets:   []*operatorv1.Budget{{Name: testBudget, Account: "crew", Services: []string{"chat", "orders"}}},
+		Upstreams: f.upstreams,
+		TopUps:    []*operatorv1.TopUp{{Id: "first", Budget: testBudget, Tokens: prepaidTokens}},
 	})
 	is.NoErr(err)
-	_, err = fleetfile.Apply(ctx, f.operatorOf(f.nodes[0]), file, false)
+	_, err = fleetfile.Apply(ctx, f.operatorClient(f.nodes[0]), file, false)
 	is.NoErr(err)
 	for _, n := range f.nodes {
-		for f.budget(ctx, n).GetPrepaid() == 0 {
-			time.Sleep(pollEvery)
+		for f.budgetState(ctx, n).GetPrepaid() == 0 {
+			time.Sleep(pollInterval)
 		}
 	}
 }
 
-// budget returns the budget as a node folds it; nil while the node doesn't answer.
-func (f *processFleet) budget(ctx context.Context, n *nodeProcess) *operatorv1.BudgetState {
-	answer, err := f.operatorOf(n).Budgets(ctx, &operatorv1.BudgetsRequest{Budget: processBudget})
-	if err != nil || len(answer.GetBudgets()) == 0 {
+// budgetState returns the budget as a node sees it, or nil while the node doesn't respond.
+func (f *processFleet) budgetState(ctx context.Context, n *nodeProcess) *operatorv1.BudgetState {
+	response, err := f.operatorClient(n).Budgets(ctx, &operatorv1.BudgetsRequest{Budget: testBudget})
+	if err != nil || len(response.GetBudgets()) == 0 {
 		return nil
 	}
-	return answer.GetBudgets()[0]
+	return response.GetBudgets()[0]
 }
 
-// awaitAgreement waits until all nodes fold the same spend and none changes.
-func (f *processFleet) awaitAgreement(ctx context.Context) *operatorv1.BudgetState {
+// awaitConvergence waits until all nodes report the same spend and it no longer changes.
+func (f *processFleet) awaitConvergence(ctx context.Context) *operatorv1.BudgetState {
 	var last uint64
-	for same := 0; same < 25; {
-		states := map[uint64]bool{}
+	for stable := 0; stable < 25; {
+		spends := map[uint64]bool{}
 		for _, n := range f.nodes {
-			states[f.budget(ctx, n).GetSpent()] = true
+			spends[f.budgetState(ctx, n).GetSpent()] = true
 		}
-		spent := f.budget(ctx, f.nodes[0]).GetSpent()
-		if len(states) == 1 && spent == last {
-			same++
+		spent := f.budgetState(ctx, f.nodes[0]).GetSpent()
+		if len(spends) == 1 && spent == last {
+			stable++
 		} else {
-			same = 0
+			stable = 0
 		}
 		last = spent
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return f.budget(ctx, f.nodes[0])
+	return f.budgetState(ctx, f.nodes[0])
 }
 
-// One node is killed with streams open and replaced, another is stopped for longer
-// than its right to spend and goes on afterwards, while callers keep asking all
-// three. A caller may lose a connection; nobody may get half an answer as a whole
-// one, no order may be filed twice, and the budget may not be overspent.
+// One node is killed with streams open and restarted, and another is paused for longer than
+// its right to spend and then resumed, while callers keep sending to all three. A caller may
+// lose a connection, but no truncated or mixed-up response may pass for a complete one, no
+// order may run twice, and the budget may not be overspent.
 func TestProcessesSurviveKillAndPause(t *testing.T) {
 	is := is.New(t)
-	f := startProcesses(t)
-	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+testToken)
-	f.declare(ctx)
+	f := startProcessFleet(t)
+	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+operatorToken)
+	f.applyConfig(ctx)
 
 	var targets []string
 	for _, n := range f.nodes {
@@ -99,7 +99,7 @@
 	f.nodes[2].signal(syscall.SIGSTOP)
 	time.Sleep(time.Second)
 	f.nodes[1].start()
-	time.Sleep(2 * rightOf)
+	time.Sleep(2 * spendRight)
 	f.nodes[2].signal(syscall.SIGCONT)
 	report := <-reports
 	f.awaitServing()
@@ -108,13 +108,13 @@
 	is.True(report.OK > 0)
 	is.Equal(report.Truncated, 0)
 	is.Equal(report.Crossed, 0)
-	for order, runs := range f.plain.Runs() {
+	for order, runs := range f.plainService.Runs() {
 		if runs != 1 {
 			t.Errorf("order %s ran %d times", order, runs)
 		}
 	}
-	state := f.awaitAgreement(ctx)
-	is.True(state.GetSpent() <= processPrepaid)
-	is.Equal(state.GetPrepaid(), uint64(processPrepaid))
-	t.Logf("spent %d, answered whole %d", state.GetSpent(), report.AnsweredTokens)
+	state := f.awaitConvergence(ctx)
+	is.True(state.GetSpent() <= prepaidTokens)
+	is.Equal(state.GetPrepaid(), uint64(prepaidTokens))
+	t.Logf("spent %d tokens, %d in complete responses", state.GetSpent(), report.AnsweredTokens)
 }
--- a/cmd/lavenderstub/main.go
+++ b/cmd/lavenderstub/main.go
@@ -20,18 +20,18 @@
 )
 
 type cli struct {
-	Platform platformCmd `cmd:"" help:"Run log, instance list and weight store."`
+	Platform platformCmd `cmd:"" help:"Run the platform: log, instance list and weight store."`
 	Engine   engineCmd   `cmd:"" help:"Run a model engine."`
 	Service  serviceCmd  `cmd:"" help:"Run a plain service."`
 }
 
 type platformCmd struct {
 	Listen string        `help:"IP:port to serve on." required:""`
-	Delay  time.Duration `help:"Time that each call to the log takes at least."`
-	Keep   int           `help:"Records that each stream keeps; 0 for all."`
+	Delay  time.Duration `help:"Minimum duration of each call to the log."`
+	Keep   int           `help:"Number of records that each stream keeps; 0 keeps all."`
 }
 
-// Run serves until a signal ends ctx.
+// Run serves until a signal cancels ctx.
 func (c *platformCmd) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -51,16 +51,16 @@
 type engineCmd struct {
 	Listen    string        `help:"IP:port to serve on." required:""`
 	TokenTime time.Duration `help:"Time between two tokens." default:"10ms"`
-	CutAfter  int           `help:"End each stream after so many tokens without its terminal marker; 0 never."`
-	Cross     int           `help:"Answer every nth request under another id; 0 never."`
-	Duplicate int           `help:"Send every nth chunk twice; 0 never."`
-	Swap      int           `help:"Send every nth chunk after the one that follows it; 0 never."`
-	Forget    bool          `help:"Keep no stream for readers that come later."`
+	CutAfter  int           `help:"End each stream after this many tokens without the terminal marker; 0 disables it."`
+	Cross     int           `help:"Respond to every nth request with a different request ID; 0 disables it."`
+	Duplicate int           `help:"Send every nth chunk twice; 0 disables it."`
+	Swap      int           `help:"Send every nth chunk after the one that follows it; 0 disables it."`
+	Forget    bool          `help:"Keep no streams for callers that resume."`
 
-	IgnoreFencing bool `help:"Take orders with an old fencing number."`
+	IgnoreFencing bool `help:"Accept orders with an outdated fencing number."`
 }
 
-// Run serves until a signal ends ctx.
+// Run serves until a signal cancels ctx.
 func (c *engineCmd) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -75,10 +75,10 @@
 
 type serviceCmd struct {
 	Listen string        `help:"IP:port to serve on." required:""`
-	Delay  time.Duration `help:"Time that each call takes."`
+	Delay  time.Duration `help:"Duration of each call."`
 }
 
-// Run serves until a signal ends ctx.
+// Run serves until a signal cancels ctx.
 func (c *serviceCmd) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -96,7 +96,7 @@
 	hlog.SetLevel(hlog.LevelError) // the HTTP library would log every connection
 	var c cli
 	k := kong.Parse(&c, kong.Name("lavenderstub"),
-		kong.Description("Stand-ins for what surrounds a lavenderpin fleet. For tests and measurements only."),
+		kong.Description("Stand-ins for the systems around a lavenderpin fleet, for tests and measurements only."),
 		kong.ShortUsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
