--- a/admission/controller.go
+++ b/admission/controller.go
@@ -72,7 +72,7 @@
 // contextError distinguishes a passed deadline from a canceled request.
 func contextError(ctx context.Context) error {
 	if ctx.Err() == context.DeadlineExceeded {
-		return result.New(result.Overloaded, "the deadline passed while the request waited").After(minRetryAfter)
+		return result.New(result.Overloaded, "the deadline passed while the request waited").WithRetryAfter(minRetryAfter)
 	}
 	return result.New(result.CallerGone, "the caller left while its request waited")
 }
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -95,7 +95,7 @@
 // queueingError returns why the request must be refused immediately, or nil if it may wait.
 func (s *Scheduler) queueingError(r *Request, now time.Time) error {
 	if d := r.Params.Deadline; !d.IsZero() && !d.After(now) {
-		return result.New(result.Overloaded, "the deadline for the first token has passed").After(minRetryAfter)
+		return result.New(result.Overloaded, "the deadline for the first token has passed").WithRetryAfter(minRetryAfter)
 	}
 	wait := s.expectedWait(r, now)
 	allowed := r.waitDeadline(s.waitPolicy.maxWait(r.belowShare)).Sub(now)
@@ -127,7 +127,7 @@
 
 func overloadedError(r *Request, after time.Duration) error {
 	after = min(max(after, minRetryAfter), maxRetryAfter)
-	return result.New(result.Overloaded, "service %s can't begin the request in time", r.Params.Service).After(after)
+	return result.New(result.Overloaded, "service %s can't begin the request in time", r.Params.Service).WithRetryAfter(after)
 }
 
 // expectedWait returns how long the request would wait, from the account's backlog and its
--- a/allotment/planner_test.go
+++ b/allotment/planner_test.go
@@ -48,7 +48,7 @@
 }
 
 func newNode(topics Topics, clock *bootclock.Fake, name, incarnation string) *node {
-	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
+	share := prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.WallClock()}, prepaid.Holder{Node: name, Region: "r", Incarnation: incarnation, BootID: "boot"})
 	events := recorder()
 	return &node{share: share,
 		reporter: NewReporter(share, topics.Spend, name, incarnation, nil, events),
@@ -100,9 +100,9 @@
 	first, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	ledger := topics.Ledger.(*memtopic.Topic)
-	ledger.Lose = true
+	ledger.DropResponses = true
 	is.True(first.round(ctx) != nil)
-	ledger.Lose = false
+	ledger.DropResponses = false
 	second, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(second.round(ctx))
@@ -184,7 +184,7 @@
 		is := is.New(t)
 		topics := newTopics()
 		spend := topics.Spend.(*memtopic.Topic)
-		spend.Gate = make(chan struct{})
+		spend.AppendGate = make(chan struct{})
 		n := newNode(topics, &bootclock.Fake{}, "n1", "i1")
 		const callers = 20
 		results := make(chan error, callers)
@@ -192,7 +192,7 @@
 			go func() { results <- n.reporter.Report(context.Background()) }()
 		}
 		synctest.Wait()
-		close(spend.Gate)
+		close(spend.AppendGate)
 		for range callers {
 			is.NoErr(<-results)
 		}
--- a/bootclock/clock.go
+++ b/bootclock/clock.go
@@ -31,14 +31,14 @@
 // Now returns the time that the test set.
 func (f *Fake) Now() time.Duration { return time.Duration(f.now.Load()) }
 
-// TimeOfDay returns a time of day that goes on along with the clock.
-func (f *Fake) TimeOfDay() FakeTimeOfDay { return FakeTimeOfDay{f} }
+// WallClock returns a time of day that goes on along with the clock.
+func (f *Fake) WallClock() FakeWallClock { return FakeWallClock{f} }
 
-// FakeTimeOfDay is the time of day of a Fake.
-type FakeTimeOfDay struct{ clock *Fake }
+// FakeWallClock is the time of day of a Fake.
+type FakeWallClock struct{ clock *Fake }
 
 // Now returns a fixed date plus the clock's reading.
-func (t FakeTimeOfDay) Now() time.Time { return time.Unix(1e9, 0).Add(t.clock.Now()) }
+func (t FakeWallClock) Now() time.Time { return time.Unix(1e9, 0).Add(t.clock.Now()) }
 
 // Advance moves the clock forward.
 func (f *Fake) Advance(d time.Duration) { f.now.Add(int64(d)) }
--- a/budget/borrower.go
+++ b/budget/borrower.go
@@ -44,7 +44,7 @@
 // from before the call, so it ends on this node before it ends on the lender.
 func (p *borrowedPart) checkRight() error {
 	if p.right.remaining() <= 0 {
-		return result.New(result.SpendRightLapsed, "the lender's right to spend has lapsed").After(spendRightRetryAfter)
+		return result.New(result.SpendRightLapsed, "the lender's right to spend has lapsed").WithRetryAfter(spendRightRetryAfter)
 	}
 	return nil
 }
--- a/budget/holder.go
+++ b/budget/holder.go
@@ -64,7 +64,7 @@
 // checkRight returns an error if the right to spend has lapsed.
 func (h *ShareHolder) checkRight() error {
 	if h.RightRemaining() <= 0 {
-		return result.New(result.SpendRightLapsed, "the right to spend has lapsed").After(spendRightRetryAfter)
+		return result.New(result.SpendRightLapsed, "the right to spend has lapsed").WithRetryAfter(spendRightRetryAfter)
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 		return err
 	}
 	if h.settlements.len() >= maxPendingSettlements {
-		return result.New(result.SettlementBacklog, "%d settlements wait for the log", maxPendingSettlements).After(spendRightRetryAfter)
+		return result.New(result.SettlementBacklog, "%d settlements wait for the log", maxPendingSettlements).WithRetryAfter(spendRightRetryAfter)
 	}
 	return nil
 }
--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -297,9 +297,9 @@
 	case line.Pool+open+frozen < tokens:
 		return result.New(result.BudgetSpent, "budget %s has %d tokens left, the request needs %d", budget, line.Pool+open+frozen, tokens)
 	case attempt.unreachable > 0 || !r.config.LogReachable() || frozen > 0 && line.Pool+open < tokens:
-		return result.New(result.BudgetUnreachable, "a part of budget %s can't be reached now", budget).After(unreachableRetryAfter)
+		return result.New(result.BudgetUnreachable, "a part of budget %s can't be reached now", budget).WithRetryAfter(unreachableRetryAfter)
 	default:
-		return result.New(result.BudgetReserved, "what is left of budget %s is reserved by running requests", budget).After(reservedRetryAfter)
+		return result.New(result.BudgetReserved, "what is left of budget %s is reserved by running requests", budget).WithRetryAfter(reservedRetryAfter)
 	}
 }
 
--- a/cmd/lavenderbench/capacity.go
+++ b/cmd/lavenderbench/capacity.go
@@ -17,7 +17,7 @@
 
 // Run measures the cost slopes and computes each role's needs at the size expected in two years.
 func (c *capacityCmd) Run() error {
-	measured := capacity.Measure(capacity.TwoYears(), capacity.FullSamples())
+	measured := capacity.Measure(capacity.TwoYearSize(), capacity.FullSamples())
 	if c.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
--- a/cmd/lavenderbench/matrix.go
+++ b/cmd/lavenderbench/matrix.go
@@ -27,7 +27,7 @@
 type cellRun struct {
 	cell   check.Cell
 	record *check.Record
-	reach  check.Reach
+	reach  check.Coverage
 }
 
 // Run runs the cells in virtual time, prints the results and exits the process.
@@ -39,7 +39,7 @@
 	runInBubbles(runs, func() int {
 		var results []check.CellResult
 		for _, r := range cellRuns {
-			results = append(results, check.Verdict(r.cell, r.record, r.reach))
+			results = append(results, check.Evaluate(r.cell, r.record, r.reach))
 		}
 		return c.print(results)
 	})
@@ -58,7 +58,7 @@
 	for _, cell := range cells {
 		r := &cellRun{cell: cell}
 		cellRuns = append(cellRuns, r)
-		runs = append(runs, func() { r.record, r.reach = check.Play(fake.NewClock(), r.cell) })
+		runs = append(runs, func() { r.record, r.reach = check.RunCell(fake.NewClock(), r.cell) })
 	}
 	return cellRuns, runs, err
 }
@@ -70,7 +70,7 @@
 		r := &cellRun{}
 		cellRuns = append(cellRuns, r)
 		runs = append(runs, func() {
-			r.cell, r.record, r.reach = check.PlayReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
+			r.cell, r.record, r.reach = check.RunReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
 		})
 	}
 	return cellRuns, runs
@@ -80,14 +80,14 @@
 	if c.Pairs {
 		cells := check.Pairs(check.DefaultTiming(), c.Seed, c.Seeds)
 		for i := range cells {
-			cells[i].ReadOn = c.ReadOn
+			cells[i].ResumeStreams = c.ReadOn
 		}
 		return cells, nil
 	}
 	var cells []check.Cell
 	for i := range c.Seeds {
 		for _, cell := range check.Singles(check.DefaultTiming(), c.Seed+uint64(i)) {
-			injection := cell.Strikes[0]
+			injection := cell.Injections[0]
 			if (c.Fault == "" || c.Fault == injection.Fault.Name) && (c.Step == "" || c.Step == string(injection.Step)) {
 				cells = append(cells, cell)
 			}
@@ -176,7 +176,7 @@
 			fmt.Println("  " + v)
 		}
 		for _, e := range r.Timeline {
-			fmt.Printf("    %s %s %d %s %v\n", e.Stamp.Time().Format("15:04:05.000"), e.Node, e.Number, e.Number.Kind().Name, e.Fields)
+			fmt.Printf("    %s %s %d %s %v\n", e.Timestamp.Time().Format("15:04:05.000"), e.Node, e.Number, e.Number.Kind().Name, e.Fields)
 		}
 	}
 }
--- a/cmd/lavenderbench/soak.go
+++ b/cmd/lavenderbench/soak.go
@@ -67,7 +67,7 @@
 	for _, status := range report.Statuses() {
 		fmt.Printf(" %d:%d", status, report.Calls[status])
 	}
-	fmt.Println(", violated", report.Promises())
+	fmt.Println(", violated", report.BrokenGuarantees())
 	if len(report.Violations) == 0 {
 		_ = os.RemoveAll(dir) // the logs of a passed run aren't needed
 		return true
--- a/cmd/lavenderctl/change.go
+++ b/cmd/lavenderctl/change.go
@@ -62,7 +62,7 @@
 // changeResource reads a resource, edits it and applies it with the version read as its base.
 func (c *cli) changeResource(ctx context.Context, key config.Key, edit func(*operatorv1.Change)) error {
 	return c.withConnection(ctx, func(conn *connection) error {
-		current, err := fleetfile.HeldOne(conn.ctx, conn.client, key)
+		current, err := fleetfile.ReadResource(conn.ctx, conn.client, key)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/cmd/lavenderctl/file.go
+++ b/cmd/lavenderctl/file.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	return root.withConnection(ctx, func(conn *connection) error {
-		current, _, err := fleetfile.Held(conn.ctx, conn.client)
+		current, _, err := fleetfile.ReadResources(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -75,8 +75,8 @@
 
 func printStep(step fleetfile.Step) {
 	fmt.Printf("%s %s\n", step.Action, step.Key)
-	if step.Held != nil {
-		fmt.Printf("  current: %s\n", oneLine(step.Held))
+	if step.Current != nil {
+		fmt.Printf("  current: %s\n", oneLine(step.Current))
 	}
 	if step.Action != fleetfile.ActionDelete {
 		fmt.Printf("  desired: %s\n", oneLine(step.Change.GetResource()))
@@ -96,7 +96,7 @@
 // Run prints the current resources as a fleet file.
 func (c *exportCmd) Run(ctx context.Context, root *cli) error {
 	return root.withConnection(ctx, func(conn *connection) error {
-		current, _, err := fleetfile.Held(conn.ctx, conn.client)
+		current, _, err := fleetfile.ReadResources(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/cmd/lavenderctl/keys.go
+++ b/cmd/lavenderctl/keys.go
@@ -53,7 +53,7 @@
 
 // Run creates the certificate and its private key.
 func (c *issueCmd) Run() error {
-	var authority tlskeys.Pair
+	var authority tlskeys.KeyPair
 	var err error
 	if authority.Cert, err = os.ReadFile(filepath.Join(c.Dir, authorityBaseName+".pem")); err != nil {
 		return errors.Trace(err)
@@ -68,7 +68,7 @@
 	return writePair(c.Dir, c.Name, pair)
 }
 
-func writePair(dir, name string, pair tlskeys.Pair) error {
+func writePair(dir, name string, pair tlskeys.KeyPair) error {
 	for suffix, data := range map[string][]byte{".pem": pair.Cert, ".key": pair.Key} {
 		if err := os.WriteFile(filepath.Join(dir, name+suffix), data, keyFileMode); err != nil {
 			return errors.Trace(err)
--- a/cmd/lavenderctl/logs.go
+++ b/cmd/lavenderctl/logs.go
@@ -10,13 +10,13 @@
 )
 
 // readLogs reads the events from log files, or from standard input if none are given.
-func readLogs(files []string) ([]event.Line, error) {
+func readLogs(files []string) ([]event.LogLine, error) {
 	if len(files) == 0 {
 		lines, skipped, err := event.ReadLog(os.Stdin)
 		reportSkipped("standard input", skipped)
 		return lines, errors.Trace(err)
 	}
-	var all []event.Line
+	var all []event.LogLine
 	for _, name := range files {
 		file, err := os.Open(name)
 		if err != nil {
--- a/cmd/lavenderctl/show.go
+++ b/cmd/lavenderctl/show.go
@@ -20,7 +20,7 @@
 // Run lists the resources.
 func (c *listCmd) Run(ctx context.Context, root *cli) error {
 	return root.withConnection(ctx, func(conn *connection) error {
-		resources, offset, err := fleetfile.Held(conn.ctx, conn.client)
+		resources, offset, err := fleetfile.ReadResources(conn.ctx, conn.client)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/cmd/lavenderctl/story.go
+++ b/cmd/lavenderctl/story.go
@@ -20,9 +20,9 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	story := event.Story(lines, c.ID)
+	story := event.Trace(lines, c.ID)
 	for _, l := range story {
-		fmt.Printf("%s %s: %s\n", l.At.Format(time.RFC3339Nano), l.Node, l.Sentence())
+		fmt.Printf("%s %s: %s\n", l.Time.Format(time.RFC3339Nano), l.Node, l.Describe())
 	}
 	if len(story) == 0 {
 		return errors.Errorf("no log line contains %q", c.ID)
--- a/cmd/lavenderctl/timeline.go
+++ b/cmd/lavenderctl/timeline.go
@@ -76,7 +76,7 @@
 	relevant := func(e *operatorv1.Event) bool { return hasFieldValue(e, c.Request) || isNodeLifecycleEvent(e, node) }
 	return root.printEventsWithIDs(ctx, []string{c.Request, node}, relevant, func(e *operatorv1.Event) string {
 		ev := event.Event{Number: event.Number(e.GetNumber()), Fields: e.GetFields()}
-		return ev.Sentence() + codeMeaning(e)
+		return ev.Describe() + codeMeaning(e)
 	})
 }
 
@@ -137,7 +137,7 @@
 			if !match(e) || i > 0 && e.GetHlc() == events[i-1].GetHlc() && e.GetNode() == events[i-1].GetNode() {
 				continue
 			}
-			at := event.Stamp(e.GetHlc()).Time().Format("15:04:05.000")
+			at := event.Timestamp(e.GetHlc()).Time().Format("15:04:05.000")
 			fmt.Printf("%s %s %s\n", at, e.GetNode(), format(e))
 		}
 		if dropped > 0 {
--- a/cmd/lavenderedge/run.go
+++ b/cmd/lavenderedge/run.go
@@ -61,7 +61,7 @@
 	events      *event.Recorder
 	clock       bootclock.System
 	node        *edgenode.Node
-	upstreams   *platform.Upstreams
+	upstreams   *platform.UpstreamClient
 	peerClient  *httpwire.Client
 	frontend    *http.Server
 	inFlight    inFlightRequests
@@ -148,11 +148,11 @@
 	store.OnCall = func(call string, status int) { calls.Add(fmt.Sprintf("%s_%d", call, status), 1) }
 	dials := expvar.NewInt("upstream_connections_made")
 	p.peerClient = httpwire.NewClient(httpwire.Options{Clock: p.clock, DialTimeout: peerDialTimeout})
-	p.upstreams = platform.NewUpstreams(p.clock, func() { dials.Add(1) })
+	p.upstreams = platform.NewUpstreamClient(p.clock, func() { dials.Add(1) })
 	node, err := edgenode.Start(ctx, edgenode.Settings{
 		Node: p.settings.Node, Incarnation: incarnation, Start: start,
 		Address: p.settings.Frontend, Peer: p.peerAddress(), Capacity: capacityPercent(p.settings.Limits), DataCentre: p.settings.DataCentre, Region: p.settings.Region, Regions: p.settings.Regions,
-		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RepeatRatio, Extra: p.settings.Bounds.RepeatExtra, Window: p.settings.Bounds.RepeatWindow},
+		Repeats: repeats.Limits{Ratio: p.settings.Bounds.RetryBudgetRatio, Extra: p.settings.Bounds.RetryBudgetExtra, Window: p.settings.Bounds.RetryBudgetWindow},
 	}, edgenode.Deps{
 		Clock: p.clock, WallClock: p.clocks().Wall, Upstreams: p.upstreams, Lending: &lending.Client{Wire: p.peerClient}, Peers: &peerfetch.Client{HTTP: p.peerClient}, Events: p.events, Metrics: gateway.NewMetrics(true),
 		Topics: edgenode.Topics{Operators: store.Operators(), Upstreams: store.Upstreams(), Presence: store.Topic("presence"),
@@ -187,7 +187,7 @@
 
 // capacityPercent returns the instance's capacity in percent of the reference instance,
 // limited by its scarcer resource.
-func capacityPercent(l platform.MachineLimits) int {
+func capacityPercent(l platform.ResourceLimits) int {
 	return max(1, int(100*min(l.Cores/referenceCores, l.LinkMbps/referenceLinkMbps)))
 }
 
--- a/cmd/lavenderpin/dev.go
+++ b/cmd/lavenderpin/dev.go
@@ -23,27 +23,27 @@
 	if c.Verbose {
 		logger = newLogger()
 	}
-	bohemiaA := devfleet.Place{Region: "cz-bohemia", DataCentre: "praha-a"}
-	bohemiaB := devfleet.Place{Region: "cz-bohemia", DataCentre: "plzen-a"}
-	morava := devfleet.Place{Region: "cz-morava", DataCentre: "brno-a"}
+	bohemiaA := devfleet.Location{Region: "cz-bohemia", DataCentre: "praha-a"}
+	bohemiaB := devfleet.Location{Region: "cz-bohemia", DataCentre: "plzen-a"}
+	morava := devfleet.Location{Region: "cz-morava", DataCentre: "brno-a"}
 	fleet, err := devfleet.Start(devfleet.Options{
-		Nodes:   []devfleet.Place{bohemiaA, bohemiaB, morava},
-		Engines: []devfleet.Place{bohemiaA, bohemiaB, morava},
-		Plain:   []devfleet.Place{bohemiaA},
-		Engine:  standin.EngineOptions{TokenTime: c.TokenTime},
-		Logger:  logger,
+		Nodes:         []devfleet.Location{bohemiaA, bohemiaB, morava},
+		Engines:       []devfleet.Location{bohemiaA, bohemiaB, morava},
+		PlainServices: []devfleet.Location{bohemiaA},
+		Engine:        standin.EngineOptions{TokenTime: c.TokenTime},
+		Logger:        logger,
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer fleet.Stop()
-	if err := fleet.Apply(ctx, fleet.Sample()); err != nil {
+	if err := fleet.Apply(ctx, fleet.SampleConfig()); err != nil {
 		return errors.Trace(err)
 	}
 	address := fleet.Daemons[0].Node().Settings().HTTPAddress
 	fmt.Printf("A fleet of %d nodes is serving. Try:\n\n", len(fleet.Daemons))
-	fmt.Printf("curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n", address, devfleet.AccountKey,
-		`{"model":"`+devfleet.Model+`","stream":true,"max_tokens":32,"messages":[{"role":"user","content":"which price looks wrong in this basket"}]}`)
+	fmt.Printf("curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n", address, devfleet.SampleAccountKey,
+		`{"model":"`+devfleet.SampleModel+`","stream":true,"max_tokens":32,"messages":[{"role":"user","content":"which price looks wrong in this basket"}]}`)
 	fmt.Printf("lavenderctl --plaintext --address %s --token %s budgets\n\n", fleet.Daemons[0].Node().Settings().OperatorAddress, devfleet.OperatorToken)
 	fmt.Println("Press Ctrl-C to stop.")
 	<-ctx.Done()
--- a/cmd/lavenderpin/serve.go
+++ b/cmd/lavenderpin/serve.go
@@ -73,7 +73,7 @@
 	}
 	defer func() { _ = client.Close() }()
 	d, err := daemon.New(daemon.Config{
-		Settings: settings, Log: client, Instances: client, Weights: client, PeerTLS: keys.TLS(),
+		Settings: settings, Log: client, Instances: client, Weights: client, PeerTLS: keys.PeerConfig(),
 		OperatorTLS: c.operatorTLS(keys), Logger: logger, Admin: c.Admin, DrainTimeout: c.DrainTimeout,
 	})
 	if err != nil {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	settings.Policy = policy
+	settings.BudgetPolicy = policy
 	settings.SpendRight = policy.SpendRight
 	if c.SpendRight > 0 {
 		settings.SpendRight = c.SpendRight
@@ -99,5 +99,5 @@
 	if c.OperatorPlaintext {
 		return nil
 	}
-	return keys.ServerTLS()
+	return keys.OperatorConfig()
 }
--- a/config/edit.go
+++ b/config/edit.go
@@ -46,7 +46,7 @@
 		}
 	case *operatorv1.Resource_Budget:
 		for _, service := range kind.Budget.GetServices() {
-			if name := v.Budget(kind.Budget.GetAccount(), service); name != "" && name != kind.Budget.GetName() {
+			if name := v.BudgetName(kind.Budget.GetAccount(), service); name != "" && name != kind.Budget.GetName() {
 				return "account " + kind.Budget.GetAccount() + " draws on budget " + name + " for service " + service
 			}
 		}
--- a/config/validate.go
+++ b/config/validate.go
@@ -12,8 +12,8 @@
 
 // The priorities that an account may be given.
 const (
-	LeastPriority = -10
-	MostPriority  = 10
+	MinPriority = -10
+	MaxPriority = 10
 )
 
 // mostTokensPerKiB is one token per byte: no text has more.
@@ -46,7 +46,7 @@
 	case *operatorv1.Resource_Account:
 		v.sums("key_sha256", kind.Account.GetKeySha256()...)
 		priority := kind.Account.GetPriority()
-		v.require("priority", priority >= LeastPriority && priority <= MostPriority, "isn't from -10 to 10")
+		v.require("priority", priority >= MinPriority && priority <= MaxPriority, "isn't from -10 to 10")
 	case *operatorv1.Resource_Budget:
 		v.require("account", kind.Budget.GetAccount() != "", "is empty")
 		v.require("services", len(kind.Budget.GetServices()) > 0, "is empty")
--- a/config/validate_test.go
+++ b/config/validate_test.go
@@ -9,7 +9,7 @@
 )
 
 // A mistyped priority or token bound would be in force everywhere within seconds.
-func TestPrioritiesAndTokenBoundsAreChecked(t *testing.T) {
+func TestValidatePrioritiesAndTokenBounds(t *testing.T) {
 	is := is.New(t)
 	mistakes := func(r *operatorv1.Resource) int { return len(Validate(r)) }
 	account := func(priority int32) *operatorv1.Resource {
@@ -21,10 +21,10 @@
 			Name: "s", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{"m"}, MaxTokensPerKib: perKiB,
 			MaxContextTokens: 8192, PriorityOrder: operatorv1.PriorityOrder_PRIORITY_ORDER_LOWER_FIRST}}}
 	}
-	is.Equal(mistakes(account(LeastPriority)), 0)
-	is.Equal(mistakes(account(MostPriority)), 0)
-	is.Equal(mistakes(account(LeastPriority-1)), 1)
-	is.Equal(mistakes(account(MostPriority+1)), 1)
+	is.Equal(mistakes(account(MinPriority)), 0)
+	is.Equal(mistakes(account(MaxPriority)), 0)
+	is.Equal(mistakes(account(MinPriority-1)), 1)
+	is.Equal(mistakes(account(MaxPriority+1)), 1)
 	is.Equal(mistakes(engines(mostTokensPerKiB)), 0)
 	is.Equal(mistakes(engines(mostTokensPerKiB+1)), 1)
 	plain := engines(1)
--- a/config/view.go
+++ b/config/view.go
@@ -124,9 +124,9 @@
 	return v.get(Key{KindUpstream, name}).GetUpstream()
 }
 
-// Budget returns the name of the budget that an account's requests to a service
+// BudgetName returns the name of the budget that an account's requests to a service
 // draw on; empty when there is none.
-func (v *View) Budget(account, service string) string {
+func (v *View) BudgetName(account, service string) string {
 	name, _ := v.budgetOf.Get(budgetKey(account, service))
 	return name
 }
@@ -145,8 +145,8 @@
 // HasOperatorTokens tells whether any operator token exists yet.
 func (v *View) HasOperatorTokens() bool { return len(v.tokens) > 0 }
 
-// Drained tells whether operators asked the node at a peer address to leave.
-func (v *View) Drained(peerAddress string) bool {
+// IsDrained tells whether operators asked the node at a peer address to leave.
+func (v *View) IsDrained(peerAddress string) bool {
 	_, found := v.resources.Get(Key{KindDrain, peerAddress}.String())
 	return found
 }
--- a/config/view_test.go
+++ b/config/view_test.go
@@ -38,7 +38,7 @@
 
 // Whatever changes come, what the request path looks up is what the resources say.
 // An index that kept a deleted key would let a caller in whom operators shut out.
-func TestIndexesFollowTheResources(t *testing.T) {
+func TestIndexesMatchResources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(nil)
 		for i := range rapid.IntRange(1, 40).Draw(t, "changes") {
@@ -77,7 +77,7 @@
 			}
 		}
 		for _, service := range sampleNames {
-			if budget := v.Budget(name, service); budget != "" && !v.HasBudget(budget) {
+			if budget := v.BudgetName(name, service); budget != "" && !v.HasBudget(budget) {
 				t.Fatalf("account %s draws on the deleted budget %s", name, budget)
 			}
 		}
@@ -85,7 +85,7 @@
 }
 
 // A view that was handed to a request must not change under it when operators go on.
-func TestViewsNeverChange(t *testing.T) {
+func TestViewsAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(nil)
 		var views []*View
@@ -108,7 +108,7 @@
 
 // Two client accounts are given the same key. Were both accepted, one would pay for
 // the other's requests.
-func TestOneKeyBelongsToOneAccount(t *testing.T) {
+func TestKeyCannotBelongToTwoAccounts(t *testing.T) {
 	is := is.New(t)
 	s := NewState(nil)
 	give := func(offset uint64, account string) fold.Verdict {
@@ -122,7 +122,7 @@
 	is.Equal(s.View().AccountByKey("k").GetName(), "a")
 }
 
-func TestSnapshotKeepsTheConfiguration(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	is := is.New(t)
 	s := NewState(nil)
 	change := &recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{ChangeId: "1", Changes: []*operatorv1.Change{
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -34,8 +34,8 @@
 type Config struct {
 	Settings  node.Settings
 	Log       ports.Log
-	Instances ports.Instances
-	Weights   ports.Weights
+	Instances ports.InstanceList
+	Weights   ports.WeightStore
 	PeerTLS   *tls.Config
 	// OperatorTLS serves operators over TLS; if nil, they are served in plaintext.
 	OperatorTLS *tls.Config
@@ -93,7 +93,7 @@
 }
 
 func newOperatorServer(api *operator.Server, config *tls.Config) *grpc.Server {
-	options := []grpc.ServerOption{grpc.UnaryInterceptor(api.Intercept), grpc.StreamInterceptor(api.InterceptStream)}
+	options := []grpc.ServerOption{grpc.UnaryInterceptor(api.InterceptUnary), grpc.StreamInterceptor(api.InterceptStream)}
 	if config != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(config)))
 	}
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -35,40 +35,40 @@
 	devAddressLifetime = 200 * time.Millisecond
 )
 
-// Place is where a node or an upstream stands.
-type Place struct{ Region, DataCentre string }
+// Location is where a node or an upstream stands.
+type Location struct{ Region, DataCentre string }
 
 // Options describes the fleet wanted.
 type Options struct {
-	Nodes   []Place
-	Engines []Place
-	Plain   []Place
-	Engine  standin.EngineOptions
+	Nodes         []Location
+	Engines       []Location
+	PlainServices []Location
+	Engine        standin.EngineOptions
 	// PlainDelay is how long each call of a plain service takes.
 	PlainDelay time.Duration
 	Logger     log.Logger
-	// Adjust changes a node's settings before it starts; may be nil.
-	Adjust func(*node.Settings)
+	// AdjustSettings changes a node's settings before it starts; may be nil.
+	AdjustSettings func(*node.Settings)
 	// WrapLog and WrapSocket may replace what a node reaches the world through, to
 	// count what passes; nil keeps it.
-	WrapLog    func(Place, ports.Log) ports.Log
-	WrapSocket func(Place, net.PacketConn) net.PacketConn
+	WrapLog    func(Location, ports.Log) ports.Log
+	WrapSocket func(Location, net.PacketConn) net.PacketConn
 }
 
 // Fleet is a running development fleet.
 type Fleet struct {
-	Log       *standin.Log
-	Instances *standin.Instances
-	Daemons   []*daemon.Daemon
-	Engines   []*standin.Engine
-	Plain     []*standin.Service
+	Log           *standin.Log
+	Instances     *standin.Instances
+	Daemons       []*daemon.Daemon
+	Engines       []*standin.Engine
+	PlainServices []*standin.Service
 
 	EngineUpstreams []*operatorv1.Upstream
 	PlainUpstreams  []*operatorv1.Upstream
 
 	secret    []byte
 	options   Options
-	authority tlskeys.Pair
+	authority tlskeys.KeyPair
 	stops     []context.CancelFunc
 	ended     []chan struct{}
 	nodes     sync.WaitGroup
@@ -77,7 +77,7 @@
 
 // Start starts a fleet; Stop ends it.
 func Start(options Options) (*Fleet, error) {
-	f := &Fleet{Log: standin.NewLog(), Instances: standin.NewInstances(), secret: make([]byte, signed.MinSecret)}
+	f := &Fleet{Log: standin.NewLog(), Instances: standin.NewInstances(), secret: make([]byte, signed.MinSecretLen)}
 	_, _ = rand.Read(f.secret)
 	if err := f.startUpstreams(options); err != nil {
 		f.Stop()
@@ -112,31 +112,31 @@
 		f.EngineUpstreams = append(f.EngineUpstreams, declare(fmt.Sprintf("engine-%d", i), "chat", listener, place))
 		f.upstreams.Go(func() { _ = engine.Run() })
 	}
-	for i, place := range options.Plain {
+	for i, place := range options.PlainServices {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return errors.Trace(err)
 		}
 		service := standin.NewService(listener, options.PlainDelay)
-		f.Plain = append(f.Plain, service)
+		f.PlainServices = append(f.PlainServices, service)
 		f.PlainUpstreams = append(f.PlainUpstreams, declare(fmt.Sprintf("plain-%d", i), "orders", listener, place))
 		f.upstreams.Go(func() { _ = service.Run() })
 	}
 	return nil
 }
 
-func declare(name, service string, listener net.Listener, place Place) *operatorv1.Upstream {
+func declare(name, service string, listener net.Listener, place Location) *operatorv1.Upstream {
 	return &operatorv1.Upstream{Name: name, Service: service, Address: listener.Addr().String(),
 		Region: place.Region, DataCentre: place.DataCentre}
 }
 
-func (f *Fleet) startNode(place Place) error {
+func (f *Fleet) startNode(place Location) error {
 	options, authority := f.options, f.authority
 	pair, err := authority.Issue(time.Now(), keyValidity)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	peerTLS, err := tlskeys.Config(authority.Cert, pair)
+	peerTLS, err := tlskeys.PeerConfig(authority.Cert, pair)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -149,8 +149,8 @@
 		return errors.Trace(err)
 	}
 	settings.AddressLifetime = devAddressLifetime
-	if options.Adjust != nil {
-		options.Adjust(&settings)
+	if options.AdjustSettings != nil {
+		options.AdjustSettings(&settings)
 	}
 	logger := options.Logger
 	if logger == nil {
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// Operator returns a connection to the operator API of a node.
-func (f *Fleet) Operator(i int) (*grpc.ClientConn, error) {
+// DialOperator returns a connection to the operator API of a node.
+func (f *Fleet) DialOperator(i int) (*grpc.ClientConn, error) {
 	address := f.Daemons[i].Node().Settings().OperatorAddress
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 }
@@ -228,7 +228,7 @@
 	for _, engine := range f.Engines {
 		engine.Close()
 	}
-	for _, service := range f.Plain {
+	for _, service := range f.PlainServices {
 		service.Close()
 	}
 	f.upstreams.Wait()
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -18,15 +18,15 @@
 func startSample(t *testing.T) *Fleet {
 	t.Helper()
 	is := is.New(t)
-	here := Place{"gulf-maine", "casco"}
-	there := Place{"southern-new-england", "buzzards"}
+	here := Location{"gulf-maine", "casco"}
+	there := Location{"southern-new-england", "buzzards"}
 	fleet, err := Start(Options{
-		Nodes: []Place{here, here, there}, Engines: []Place{here, there}, Plain: []Place{here},
+		Nodes: []Location{here, here, there}, Engines: []Location{here, there}, PlainServices: []Location{here},
 		Engine: standin.EngineOptions{TokenTime: time.Millisecond},
 	})
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	is.NoErr(fleet.Apply(context.Background(), fleet.Sample()))
+	is.NoErr(fleet.Apply(context.Background(), fleet.SampleConfig()))
 	awaitConfig(t, fleet)
 	return fleet
 }
@@ -57,13 +57,13 @@
 
 const chatPath = "/v1/chat/completions"
 
-func TestWholePath(t *testing.T) {
+func TestRequestsEndToEnd(t *testing.T) {
 	is := is.New(t)
 	fleet := startSample(t)
-	body := `{"model":"` + Model + `","max_tokens":10,"messages":[{"role":"user","content":"worn bridle on pen four"}]}`
+	body := `{"model":"` + SampleModel + `","max_tokens":10,"messages":[{"role":"user","content":"worn bridle on pen four"}]}`
 
 	for i := range fleet.Daemons {
-		status, answer := fleet.post(t, i, chatPath, AccountKey, body)
+		status, answer := fleet.post(t, i, chatPath, SampleAccountKey, body)
 		is.Equal(status, 200)
 		var parsed struct {
 			Choices []struct{ Message struct{ Content string } }
@@ -75,11 +75,11 @@
 		is.Equal(parsed.Choices[0].Message.Content, "worn bridle on pen four ")
 		is.Equal(parsed.Usage.Total, 10)
 	}
-	status, answer := fleet.post(t, 0, chatPath, AccountKey, strings.Replace(body, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
+	status, answer := fleet.post(t, 0, chatPath, SampleAccountKey, strings.Replace(body, `"max_tokens"`, `"stream":true,"max_tokens"`, 1))
 	is.Equal(status, 200)
 	is.True(strings.HasSuffix(strings.TrimSpace(string(answer)), "data: [DONE]")) // whole streams end with the marker
 
-	status, answer = fleet.post(t, 1, "/s/orders/work", AccountKey, "order-1")
+	status, answer = fleet.post(t, 1, "/s/orders/work", SampleAccountKey, "order-1")
 	is.Equal(status, 200)
 	is.Equal(string(answer), "order-1")
 
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	fleet := startSample(t)
 	message := `"messages":[{"role":"user","content":"x"}]`
 	for name, c := range map[string]struct {
@@ -107,12 +107,12 @@
 		code            string
 	}{
 		"wrong key":       {chatPath, "nobody", `{}`, 401, "1002"},
-		"malformed":       {chatPath, AccountKey, `{"model":`, 400, "1001"},
-		"unknown model":   {chatPath, AccountKey, `{"model":"none",` + message + `}`, 404, "1003"},
-		"zero tokens":     {chatPath, AccountKey, `{"model":"` + Model + `","max_tokens":0,` + message + `}`, 400, "1005"},
-		"absurd tokens":   {chatPath, AccountKey, `{"model":"` + Model + `","max_tokens":99999999,` + message + `}`, 400, "1005"},
-		"unknown service": {"/s/none/x", AccountKey, ``, 404, "1003"},
-		"no messages":     {chatPath, AccountKey, `{"model":"` + Model + `"}`, 400, "1001"},
+		"malformed":       {chatPath, SampleAccountKey, `{"model":`, 400, "1001"},
+		"unknown model":   {chatPath, SampleAccountKey, `{"model":"none",` + message + `}`, 404, "1003"},
+		"zero tokens":     {chatPath, SampleAccountKey, `{"model":"` + SampleModel + `","max_tokens":0,` + message + `}`, 400, "1005"},
+		"absurd tokens":   {chatPath, SampleAccountKey, `{"model":"` + SampleModel + `","max_tokens":99999999,` + message + `}`, 400, "1005"},
+		"unknown service": {"/s/none/x", SampleAccountKey, ``, 404, "1003"},
+		"no messages":     {chatPath, SampleAccountKey, `{"model":"` + SampleModel + `"}`, 400, "1001"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/devfleet/replace.go
+++ b/devfleet/replace.go
@@ -4,9 +4,9 @@
 	"github.com/juju/errors"
 )
 
-// Replace stops a node gracefully and starts one at the same place under new
+// ReplaceNode stops a node gracefully and starts one at the same place under new
 // addresses, as a platform replaces an instance.
-func (f *Fleet) Replace(i int, place Place) error {
+func (f *Fleet) ReplaceNode(i int, place Location) error {
 	f.stops[i]()
 	<-f.ended[i]
 	if err := f.startNode(place); err != nil {
--- a/devfleet/rolling_test.go
+++ b/devfleet/rolling_test.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return "", err
 	}
-	request.Header.Set("Authorization", "Bearer "+AccountKey)
+	request.Header.Set("Authorization", "Bearer "+SampleAccountKey)
 	response, err := k.client.Do(request)
 	if err != nil {
 		return "", err
@@ -98,21 +98,21 @@
 // Every instance of a fleet is replaced, one after the other, while callers stream
 // answers and file work orders. They keep each address for its lifetime and can't know
 // which node leaves. None may see a refused connection or a cut answer.
-func TestRollingReplacementCutsNothing(t *testing.T) {
+func TestRollingReplacementInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
-	here, there := Place{"gulf-maine", "casco"}, Place{"southern-new-england", "buzzards"}
-	places := []Place{here, here, here, here, there, there, there}
+	here, there := Location{"gulf-maine", "casco"}, Location{"southern-new-england", "buzzards"}
+	places := []Location{here, here, here, here, there, there, there}
 	fleet, err := Start(Options{
-		Nodes: places, Engines: []Place{here, there}, Plain: []Place{here},
-		Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond},
-		Adjust: func(s *node.Settings) { s.AddressLifetime = rollingLifetime },
+		Nodes: places, Engines: []Location{here, there}, PlainServices: []Location{here},
+		Engine:         standin.EngineOptions{TokenTime: 5 * time.Millisecond},
+		AdjustSettings: func(s *node.Settings) { s.AddressLifetime = rollingLifetime },
 	})
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	is.NoErr(fleet.Apply(context.Background(), fleet.Sample()))
+	is.NoErr(fleet.Apply(context.Background(), fleet.SampleConfig()))
 	awaitConfig(t, fleet)
 
-	chat := `{"model":"` + Model + `","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"` + strings.Repeat("worn bridle ", 30) + `"}]}`
+	chat := `{"model":"` + SampleModel + `","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"` + strings.Repeat("worn bridle ", 30) + `"}]}`
 	first := fleet.Daemons[0].Node().Settings().HTTPAddress
 	var stop atomic.Bool
 	var whole atomic.Int64
@@ -143,7 +143,7 @@
 		})
 	}
 	for i, place := range places {
-		is.NoErr(fleet.Replace(i, place))
+		is.NoErr(fleet.ReplaceNode(i, place))
 	}
 	stop.Store(true)
 	callers.Wait()
--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// AccountKey authenticates the sample's client account.
-	AccountKey = "dev-key"
-	// Model is served by the sample's engines.
-	Model = "lavender-small"
+	// SampleAccountKey authenticates the sample's client account.
+	SampleAccountKey = "dev-key"
+	// SampleModel is served by the sample's engines.
+	SampleModel = "lavender-small"
 	// SampleTokens is what the sample's budget is topped up with.
 	SampleTokens = 1_000_000
 )
 
-// Sample returns the configuration of a development fleet: one client account with
+// SampleConfig returns the configuration of a development fleet: one client account with
 // one budget, a service "chat" on the engines and a plain service "orders".
-func (f *Fleet) Sample() *operatorv1.Fleet {
+func (f *Fleet) SampleConfig() *operatorv1.Fleet {
 	fleet := &operatorv1.Fleet{
-		Accounts: []*operatorv1.Account{{Name: "dev", Team: "dev", KeySha256: []string{config.HashKey(AccountKey)}}},
+		Accounts: []*operatorv1.Account{{Name: "dev", Team: "dev", KeySha256: []string{config.HashKey(SampleAccountKey)}}},
 		Services: []*operatorv1.Service{
-			{Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{Model}},
+			{Name: "chat", Kind: operatorv1.ServiceKind_SERVICE_KIND_ENGINE, Models: []string{SampleModel}},
 			{Name: "orders", Kind: operatorv1.ServiceKind_SERVICE_KIND_PLAIN, Calls: []*operatorv1.Call{
 				{Method: "GET", Path: "/", Idempotent: true, Tokens: 1},
 				{Method: "POST", Path: "/", Tokens: 5},
@@ -42,12 +42,12 @@
 
 // Apply declares a configuration through the operator API of the first node.
 func (f *Fleet) Apply(ctx context.Context, fleet *operatorv1.Fleet) error {
-	conn, err := f.Operator(0)
+	conn, err := f.DialOperator(0)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer func() { _ = conn.Close() }()
-	file, err := fleetfile.FromMessage(fleet)
+	file, err := fleetfile.FromProto(fleet)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/event/keeper.go
+++ b/event/keeper.go
@@ -6,39 +6,41 @@
 	"sync"
 )
 
-// Keeper keeps the latest events of other nodes, so that the time line still shows
+// Archive keeps the latest events of other nodes, so that the time line still shows
 // what a node did after it died. Its memory is bounded; what doesn't fit is counted.
 // It is safe for concurrent use.
-type Keeper struct {
+type Archive struct {
 	capacity int
 
 	mu      sync.Mutex
 	events  []Event
-	after   map[string]Stamp
+	after   map[string]Timestamp
 	dropped uint64
 }
 
-// NewKeeper returns a keeper of at most capacity events.
-func NewKeeper(capacity int) *Keeper { return &Keeper{capacity: capacity, after: map[string]Stamp{}} }
+// NewArchive returns a keeper of at most capacity events.
+func NewArchive(capacity int) *Archive {
+	return &Archive{capacity: capacity, after: map[string]Timestamp{}}
+}
 
-// After returns the stamp of the last event kept of a node.
-func (k *Keeper) After(node string) Stamp {
+// LastTimestamp returns the stamp of the last event kept of a node.
+func (k *Archive) LastTimestamp(node string) Timestamp {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.after[node]
 }
 
-// Keep takes in a node's events in the order of their stamps; left counts those that
+// Add takes in a node's events in the order of their stamps; left counts those that
 // the node left out.
-func (k *Keeper) Keep(node string, events []Event, left uint64) {
+func (k *Archive) Add(node string, events []Event, left uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.dropped += left
 	for _, e := range events {
-		if e.Stamp <= k.after[node] {
+		if e.Timestamp <= k.after[node] {
 			continue
 		}
-		k.after[node] = e.Stamp
+		k.after[node] = e.Timestamp
 		k.events = append(k.events, e)
 	}
 	if over := len(k.events) - k.capacity; over > 0 {
@@ -47,8 +49,8 @@
 	}
 }
 
-// Forget drops the marks of nodes that are no longer followed; their events stay.
-func (k *Keeper) Forget(followed func(node string) bool) {
+// RetainNodes drops the marks of nodes that are no longer followed; their events stay.
+func (k *Archive) RetainNodes(followed func(node string) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for node := range k.after {
@@ -58,8 +60,8 @@
 	}
 }
 
-// Since returns the kept events that carry id, oldest first, and how many are missing.
-func (k *Keeper) Since(id string) ([]Event, uint64) {
+// Find returns the kept events that carry id, oldest first, and how many are missing.
+func (k *Archive) Find(id string) ([]Event, uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var found []Event
@@ -76,7 +78,7 @@
 func Merge(events []Event) []Event {
 	merged := slices.Clone(events)
 	slices.SortStableFunc(merged, func(a, b Event) int {
-		return cmp.Or(cmp.Compare(a.Stamp, b.Stamp), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), cmp.Compare(a.Node, b.Node))
 	})
-	return slices.CompactFunc(merged, func(a, b Event) bool { return a.Stamp == b.Stamp && a.Node == b.Node })
+	return slices.CompactFunc(merged, func(a, b Event) bool { return a.Timestamp == b.Timestamp && a.Node == b.Node })
 }
--- a/event/logline.go
+++ b/event/logline.go
@@ -12,19 +12,19 @@
 	"github.com/juju/errors"
 )
 
-// Line is an event as a node's log holds it.
-type Line struct {
+// LogLine is an event as a node's log holds it.
+type LogLine struct {
 	Event
-	// At is the node's time of day, which may be wrong by seconds and may jump.
-	At time.Time
-	// Order is the line's place in its file; lines of one node are in order whatever
+	// Time is the node's time of day, which may be wrong by seconds and may jump.
+	Time time.Time
+	// Index is the line's place in its file; lines of one node are in order whatever
 	// its clock does.
-	Order int
+	Index int
 }
 
 // ReadLog reads the events out of a log. Lines that aren't events, or are cut off, are
 // counted and passed over; so is whatever a collector put before a line's first pair.
-func ReadLog(r io.Reader) (lines []Line, skipped int, err error) {
+func ReadLog(r io.Reader) (lines []LogLine, skipped int, err error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return nil, 0, errors.Trace(err)
@@ -38,20 +38,20 @@
 			skipped++
 			continue
 		}
-		line.Order = order
+		line.Index = order
 		lines = append(lines, line)
 	}
 	return lines, skipped, nil
 }
 
-func parseLine(text []byte) (Line, bool) {
+func parseLine(text []byte) (LogLine, bool) {
 	if start := bytes.Index(text, []byte("level=")); start > 0 {
 		text = text[start:]
 	}
-	line := Line{Event: Event{Fields: make(map[string]string)}}
+	line := LogLine{Event: Event{Fields: make(map[string]string)}}
 	d := logfmt.NewDecoder(bytes.NewReader(text))
 	if !d.ScanRecord() {
-		return Line{}, false
+		return LogLine{}, false
 	}
 	for d.ScanKeyval() {
 		line.take(string(d.Key()), string(d.Value()))
@@ -59,7 +59,7 @@
 	return line, d.Err() == nil && line.Number.Kind().Name != ""
 }
 
-func (l *Line) take(key, value string) {
+func (l *LogLine) take(key, value string) {
 	switch key {
 	case "event":
 		number, err := strconv.ParseUint(value, 10, 32)
@@ -69,7 +69,7 @@
 	case "ts":
 		at, err := time.Parse(time.RFC3339Nano, value)
 		if err == nil {
-			l.At = at
+			l.Time = at
 		}
 	case "node":
 		l.Node = value
@@ -79,23 +79,23 @@
 	}
 }
 
-// Story returns the lines that carry an id in any field, of all nodes together. Each
+// Trace returns the lines that carry an id in any field, of all nodes together. Each
 // node's lines keep their order; nodes follow each other by the time of their first line.
-func Story(lines []Line, id string) []Line {
-	var story []Line
+func Trace(lines []LogLine, id string) []LogLine {
+	var story []LogLine
 	first := make(map[string]time.Time)
 	for _, l := range lines {
 		if !l.carries(id) {
 			continue
 		}
 		story = append(story, l)
-		if at, ok := first[l.Node]; !ok || l.At.Before(at) {
-			first[l.Node] = l.At
+		if at, ok := first[l.Node]; !ok || l.Time.Before(at) {
+			first[l.Node] = l.Time
 		}
 	}
-	slices.SortStableFunc(story, func(x, y Line) int {
+	slices.SortStableFunc(story, func(x, y LogLine) int {
 		if x.Node == y.Node {
-			return x.Order - y.Order
+			return x.Index - y.Index
 		}
 		if c := first[x.Node].Compare(first[y.Node]); c != 0 {
 			return c
--- a/event/logline_test.go
+++ b/event/logline_test.go
@@ -18,14 +18,14 @@
 // A user complains about one request. Two nodes' logs are at hand, one with a clock that
 // jumped back by five seconds, with noise and a line that was cut. The lines of the
 // request must come out whole, and each node's in the order in which it wrote them.
-func TestTellsARequestsStoryFromLogs(t *testing.T) {
+func TestTraceAcrossLogs(t *testing.T) {
 	is := is.New(t)
 	a, skipped, err := ReadLog(strings.NewReader(nodeA))
 	is.NoErr(err)
 	is.Equal(skipped, 2)
 	b, _, err := ReadLog(strings.NewReader(nodeB))
 	is.NoErr(err)
-	story := Story(append(a, b...), "r1")
+	story := Trace(append(a, b...), "r1")
 	is.Equal(len(story), 3)
 	is.Equal(story[0].Node, "b")
 	is.Equal(story[1].Number, RequestRefused)
@@ -34,11 +34,11 @@
 }
 
 // An event whose sentence asks for a field that it lacks is told by its meaning.
-func TestSentenceWithoutItsFields(t *testing.T) {
+func TestDescribeWithoutFields(t *testing.T) {
 	is := is.New(t)
 	e := Event{Number: RequestRefused, Fields: map[string]string{"request": "r1", "code": "2010"}}
-	is.True(!strings.Contains(e.Sentence(), "{"))
-	is.True(strings.Contains(e.Sentence(), "code 2010"))
+	is.True(!strings.Contains(e.Describe(), "{"))
+	is.True(strings.Contains(e.Describe(), "code 2010"))
 }
 
 // FuzzReadLog checks that no log ends the tool.
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -14,16 +14,16 @@
 
 // Event is one entry of the time line. Fields holds ids and values as text.
 type Event struct {
-	Stamp  Stamp
-	Node   string
-	Number Number
-	Fields map[string]string
+	Timestamp Timestamp
+	Node      string
+	Number    Number
+	Fields    map[string]string
 }
 
 // held is an event as the ring keeps it: its values become text only when somebody
 // asks. Making text for each event took most of what recording cost a request.
 type held struct {
-	stamp  Stamp
+	stamp  Timestamp
 	number Number
 	pairs  []any
 }
@@ -92,9 +92,9 @@
 	r.dropped++
 }
 
-// Since returns the events that carry id in any field, oldest first; all of them
+// Find returns the events that carry id in any field, oldest first; all of them
 // for an empty id. The second value counts the events dropped so far.
-func (r *Recorder) Since(id string) ([]Event, uint64) {
+func (r *Recorder) Find(id string) ([]Event, uint64) {
 	var found []Event
 	all, dropped := r.snapshot()
 	for _, e := range all {
@@ -107,7 +107,7 @@
 
 // After returns the newest events after a stamp, at most limit of them, oldest
 // first, and how many older ones were left out.
-func (r *Recorder) After(stamp Stamp, limit int) (events []Event, left uint64) {
+func (r *Recorder) After(stamp Timestamp, limit int) (events []Event, left uint64) {
 	all, _ := r.snapshot()
 	for i := len(all) - 1; i >= 0 && all[i].stamp > stamp; i-- {
 		if len(events) == limit {
@@ -136,7 +136,7 @@
 	for i := 0; i+1 < len(e.pairs); i += 2 {
 		fields[fmt.Sprint(e.pairs[i])] = fmt.Sprint(e.pairs[i+1])
 	}
-	return Event{Stamp: e.stamp, Node: r.node, Number: e.number, Fields: fields}
+	return Event{Timestamp: e.stamp, Node: r.node, Number: e.number, Fields: fields}
 }
 
 // Node returns the name under which events are recorded here.
--- a/event/sentence.go
+++ b/event/sentence.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Sentence tells an event in plain words, for people who don't know the code. Every
+// Describe tells an event in plain words, for people who don't know the code. Every
 // field that the sentence doesn't use follows in brackets.
-func (e Event) Sentence() string {
+func (e Event) Describe() string {
 	template, known := sentences[e.Number]
 	if !known {
 		template = e.Number.Kind().Meaning
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// MaxEvent bounds one event in bytes; a longer one is taken for a broken stream.
-const MaxEvent = 256 << 10
+// MaxEventBytes bounds one event in bytes; a longer one is taken for a broken stream.
+const MaxEventBytes = 256 << 10
 
 // ErrTooLong tells that an event is longer than MaxEvent.
 var ErrTooLong = errors.New("an event is too long")
@@ -67,7 +67,7 @@
 		switch {
 		case err == nil:
 			return r.raw[start:], nil
-		case len(r.raw) > MaxEvent:
+		case len(r.raw) > MaxEventBytes:
 			return nil, ErrTooLong
 		case err == bufio.ErrBufferFull:
 			continue
--- a/eventstream/reader_test.go
+++ b/eventstream/reader_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestReadsEvents(t *testing.T) {
+func TestReadEvents(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(strings.NewReader("id: 4\ndata: a\n\ndata: b\r\n\r\n"))
 	e, err := r.Next()
@@ -28,7 +28,7 @@
 
 // An engine crashes within an event. The part must not be handed on: the caller would
 // take it for an event, and the engine that goes on would send the event again.
-func TestCutEventIsAnError(t *testing.T) {
+func TestTruncatedEventIsAnError(t *testing.T) {
 	is := is.New(t)
 	for _, cut := range []string{"id: 4\nda", "id: 4\ndata: a\n", "i"} {
 		_, err := NewReader(strings.NewReader(cut)).Next()
@@ -37,9 +37,9 @@
 }
 
 // A broken engine sends one line without end. Memory must not grow with it.
-func TestEndlessEventIsAnError(t *testing.T) {
+func TestOversizedEventIsAnError(t *testing.T) {
 	is := is.New(t)
-	_, err := NewReader(strings.NewReader(strings.Repeat("x", 2*MaxEvent))).Next()
+	_, err := NewReader(strings.NewReader(strings.Repeat("x", 2*MaxEventBytes))).Next()
 	is.Equal(err, ErrTooLong)
 }
 
--- a/fleetfile/apply.go
+++ b/fleetfile/apply.go
@@ -9,8 +9,8 @@
 	operatorv1 "lavenderpin.dev/lavenderpin/api/operator/v1"
 )
 
-// Outcome is what Apply did.
-type Outcome struct {
+// ApplyResult is what Apply did.
+type ApplyResult struct {
 	// Plan lists the resources that were created, changed or deleted; nil when the
 	// change was refused.
 	Plan    Plan
@@ -22,9 +22,9 @@
 // that differ, made against the versions read, then the top-ups. Resources that
 // the file doesn't name stay, unless prune is true. A race with another operator
 // fails and changes nothing.
-func Apply(ctx context.Context, client operatorv1.OperatorServiceClient, file *File, prune bool) (Outcome, error) {
-	var outcome Outcome
-	held, _, err := Held(ctx, client)
+func Apply(ctx context.Context, client operatorv1.OperatorServiceClient, file *File, prune bool) (ApplyResult, error) {
+	var outcome ApplyResult
+	held, _, err := ReadResources(ctx, client)
 	if err != nil {
 		return outcome, errors.Trace(err)
 	}
--- a/fleetfile/fleetfile_test.go
+++ b/fleetfile/fleetfile_test.go
@@ -30,7 +30,7 @@
 func mustParse(t *testing.T, fleet *operatorv1.Fleet) *File {
 	t.Helper()
 	is := is.New(t)
-	file, err := FromMessage(fleet)
+	file, err := FromProto(fleet)
 	is.NoErr(err)
 	return file
 }
@@ -43,7 +43,7 @@
 	return strings.Join(words, ", ")
 }
 
-func TestExportGivesBackWhatWasApplied(t *testing.T) {
+func TestExportReturnsAppliedFleet(t *testing.T) {
 	is := is.New(t)
 	ctx, client, fleet := context.Background(), newFakeOperator(), fleetOf("a", "b")
 	_, err := Apply(ctx, client, mustParse(t, fleet), false)
@@ -57,7 +57,7 @@
 
 // A fleet grows until all its resources are more than gRPC takes in one message. Read
 // in one answer, applying any file would fail from then on.
-func TestApplyReadsManyPages(t *testing.T) {
+func TestApplyReadsAllPages(t *testing.T) {
 	is := is.New(t)
 	ctx, client, fleet := context.Background(), newFakeOperator(), fleetOf("a")
 	for i := range 40_000 {
@@ -71,14 +71,14 @@
 	outcome, err := Apply(ctx, client, mustParse(t, fleet), true)
 	is.NoErr(err)
 	is.Equal(len(outcome.Plan), 0)
-	held, _, err := Held(ctx, client)
+	held, _, err := ReadResources(ctx, client)
 	is.NoErr(err)
 	is.Equal(len(held), len(fleet.Accounts)+3)
 }
 
 // An operator removes a client account from the file and gives its key to another. The
 // key must be free before the other account takes it, or the whole file is refused.
-func TestPruneFreesAKeyBeforeItIsTaken(t *testing.T) {
+func TestPruneReleasesKeyBeforeReuse(t *testing.T) {
 	is := is.New(t)
 	ctx, client := context.Background(), newFakeOperator()
 	_, err := Apply(ctx, client, mustParse(t, fleetOf("a", "b")), false)
@@ -114,7 +114,7 @@
 
 // Another operator changes an account between this one's reading and its change. The
 // file must be refused whole, with none of its other changes in force.
-func TestRaceChangesNothing(t *testing.T) {
+func TestConflictingApplyChangesNothing(t *testing.T) {
 	is := is.New(t)
 	ctx, client := context.Background(), newFakeOperator()
 	_, err := Apply(ctx, client, mustParse(t, fleetOf("a", "b")), false)
@@ -135,13 +135,13 @@
 	is.Equal(len(client.topUps), 0) // no money moved for a file that was refused
 }
 
-func TestEveryMistakeIsNamedWithItsPlace(t *testing.T) {
+func TestErrorListsEveryProblemWithLocation(t *testing.T) {
 	is := is.New(t)
 	fleet := fleetOf("a", "a")
 	fleet.Upstreams[0].Address = "nowhere"
 	fleet.Budgets[1].Services = []string{"nosuch"}
 	fleet.TopUps = []*operatorv1.TopUp{{Budget: "a-chat"}}
-	_, err := FromMessage(fleet)
+	_, err := FromProto(fleet)
 	is.True(err != nil)
 	for _, place := range []string{"account/a stands twice", "upstream/engine.address", `names service "nosuch"`, "topUps[0] needs an id"} {
 		is.True(strings.Contains(err.Error(), place)) // each mistake is named
--- a/fleetfile/held.go
+++ b/fleetfile/held.go
@@ -9,8 +9,8 @@
 	"lavenderpin.dev/lavenderpin/config"
 )
 
-// Held reads all resources in force, page by page, and the lowest offset of the pages.
-func Held(ctx context.Context, client operatorv1.OperatorServiceClient) ([]*operatorv1.VersionedResource, uint64, error) {
+// ReadResources reads all resources in force, page by page, and the lowest offset of the pages.
+func ReadResources(ctx context.Context, client operatorv1.OperatorServiceClient) ([]*operatorv1.VersionedResource, uint64, error) {
 	var all []*operatorv1.VersionedResource
 	var offset uint64
 	request := &operatorv1.ListRequest{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// HeldOne reads one resource; an error that is errors.NotFound when there is none.
-func HeldOne(ctx context.Context, client operatorv1.OperatorServiceClient, key config.Key) (*operatorv1.VersionedResource, error) {
+// ReadResource reads one resource; an error that is errors.NotFound when there is none.
+func ReadResource(ctx context.Context, client operatorv1.OperatorServiceClient, key config.Key) (*operatorv1.VersionedResource, error) {
 	page, err := client.List(ctx, &operatorv1.ListRequest{Kind: string(key.Kind), Name: key.Name})
 	if err != nil {
 		return nil, errors.Trace(err)
--- a/fleetfile/parse.go
+++ b/fleetfile/parse.go
@@ -32,11 +32,11 @@
 	if err := protojson.Unmarshal(data, fleet); err != nil {
 		return nil, errors.Annotate(err, "fleet file")
 	}
-	return FromMessage(fleet)
+	return FromProto(fleet)
 }
 
-// FromMessage checks a fleet that was read or built already.
-func FromMessage(fleet *operatorv1.Fleet) (*File, error) {
+// FromProto checks a fleet that was read or built already.
+func FromProto(fleet *operatorv1.Fleet) (*File, error) {
 	file := &File{Resources: resources(fleet), TopUps: fleet.GetTopUps()}
 	if mistakes := check(fleet, file); len(mistakes) > 0 {
 		return nil, errors.Errorf("fleet file:\n  %s", strings.Join(mistakes, "\n  "))
--- a/fleetfile/plan.go
+++ b/fleetfile/plan.go
@@ -23,8 +23,8 @@
 type Step struct {
 	Action Action
 	Key    config.Key
-	// Held is what is in force now; nil for a resource that is created.
-	Held *operatorv1.Resource
+	// Current is what is in force now; nil for a resource that is created.
+	Current *operatorv1.Resource
 	// Change is what is sent, made against the version that Held has.
 	Change *operatorv1.Change
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -57,7 +57,7 @@
 // admit decides whether the request may be sent at all.
 func (c *call) admit(ctx context.Context) *result.Error {
 	if c.view = c.g.awaitConfig(ctx, c.r.TimeLeft); c.view == nil {
-		return result.New(result.NotServing, "no configuration is known yet").After(c.g.settings.StartupRetryAfter)
+		return result.New(result.NotServing, "no configuration is known yet").WithRetryAfter(c.g.settings.StartupRetryAfter)
 	}
 	c.route = c.view.Match(c.r.Host, c.r.Path)
 	if c.route == nil {
@@ -69,10 +69,10 @@
 		}
 	}
 	if c.service = c.view.Service(c.route.ChooseService(random())); c.service == nil {
-		return result.New(result.NoUpstream, "the route has no service").After(c.g.settings.BusyRetryAfter)
+		return result.New(result.NoUpstream, "the route has no service").WithRetryAfter(c.g.settings.BusyRetryAfter)
 	}
 	if c.timeLeft() < c.g.settings.MinTimeLeft {
-		return result.New(result.Overloaded, "too little time is left").After(c.g.settings.BusyRetryAfter)
+		return result.New(result.Overloaded, "too little time is left").WithRetryAfter(c.g.settings.BusyRetryAfter)
 	}
 	return c.reserve(ctx)
 }
@@ -97,7 +97,7 @@
 	case prepaid.Exhausted:
 		return result.New(result.BudgetSpent, "the account's remaining tokens don't cover the request")
 	default:
-		return result.New(result.BudgetReserved, "this node's part of the account's tokens doesn't cover the request now").After(c.shortageRetryAfter())
+		return result.New(result.BudgetReserved, "this node's part of the account's tokens doesn't cover the request now").WithRetryAfter(c.shortageRetryAfter())
 	}
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -91,7 +91,7 @@
 	for i := range 4 {
 		table.Put(directory.Entry{ID: fmt.Sprintf("u%d", i), Service: "s", DataCentre: "dc", Slots: 4, State: directory.Ready})
 	}
-	tg.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.TimeOfDay()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
+	tg.share = prepaid.NewShare(prepaid.DefaultSettings(), prepaid.Clocks{Boot: clock, Wall: clock.WallClock()}, prepaid.Holder{Node: "n", Region: "r", Incarnation: "i", BootID: "boot"})
 	tg.share.Apply(prepaid.Grant{Node: "n", Incarnation: "i", Epoch: 1, Lines: []prepaid.GrantLine{{Account: "one", Ceiling: 500_000, Remaining: 1_000_000, Prepaid: 1_000_000}}})
 	report := func(context.Context) error { tg.share.Compose(); tg.share.Acknowledge(); return nil }
 	tg.Gateway = New(DefaultSettings(), Deps{Clock: clock, Catalog: holder, Directory: table, Picker: placement.NewPicker(placement.DefaultSettings(), nil),
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -114,7 +114,7 @@
 		c.refuse(c.unknownOutcome(ctx, reason))
 	default:
 		c.outcome = "refused"
-		c.refuse(result.New(result.NoUpstream, "%s", reason).After(c.g.settings.BusyRetryAfter))
+		c.refuse(result.New(result.NoUpstream, "%s", reason).WithRetryAfter(c.g.settings.BusyRetryAfter))
 	}
 }
 
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -25,5 +25,5 @@
 	if policy.Admit(typical, c.route.Objective, random()) {
 		return nil
 	}
-	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", typical.Round(time.Millisecond), c.route.Objective).After(policy.RetryAfter(random()))
+	return result.New(result.Overloaded, "upstreams begin to answer after %v, the objective is %v", typical.Round(time.Millisecond), c.route.Objective).WithRetryAfter(policy.RetryAfter(random()))
 }
--- a/gather/appender.go
+++ b/gather/appender.go
@@ -30,8 +30,8 @@
 	Clock  clockwork.Clock
 	Events *event.Recorder
 	Policy Policy
-	// AllRead tells whether every open node reads gathered records (record.Forms).
-	AllRead func() bool
+	// GatheredSupported tells whether every open node reads gathered records (record.Forms).
+	GatheredSupported func() bool
 }
 
 // Appender takes one writer's batches to the log by way of the data centre's gatherer,
@@ -52,11 +52,11 @@
 // NewAppender returns an appender.
 func NewAppender(c Config) *Appender { return &Appender{c: c} }
 
-// HandedOn returns how many batches a gatherer took to the log.
-func (a *Appender) HandedOn() uint64 { return a.handedOn.Load() }
+// Forwarded returns how many batches a gatherer took to the log.
+func (a *Appender) Forwarded() uint64 { return a.handedOn.Load() }
 
-// Failed returns how many batches were appended here after a gatherer had failed.
-func (a *Appender) Failed() uint64 { return a.failed.Load() }
+// Fallbacks returns how many batches were appended here after a gatherer had failed.
+func (a *Appender) Fallbacks() uint64 { return a.failed.Load() }
 
 // Append implements recordlog.Appender.
 //
@@ -66,8 +66,8 @@
 // other is void. Another sequence would need to wait until the batch is known to be
 // void, or its settlements would be billed twice.
 func (a *Appender) Append(ctx context.Context, batch []byte) error {
-	gatherer := Choose(a.c.Self, a.c.Members(), a.c.Policy)
-	if gatherer == nil || !gathers(batch) || a.resting() || !a.c.AllRead() {
+	gatherer := ChooseGatherer(a.c.Self, a.c.Members(), a.c.Policy)
+	if gatherer == nil || !gathers(batch) || a.resting() || !a.c.GatheredSupported() {
 		return a.c.Direct.Append(ctx, batch)
 	}
 	err := a.handOn(ctx, gatherer, batch)
@@ -84,19 +84,19 @@
 
 func (a *Appender) handOn(ctx context.Context, gatherer *recordv1.NodeInfo, batch []byte) error {
 	if gatherer.GetIncarnation() == a.c.Self.GetIncarnation() {
-		_, err := a.c.Local.Append(ctx, batch, a.c.Policy.Answer)
+		_, err := a.c.Local.Append(ctx, batch, a.c.Policy.Timeout)
 		return errors.Trace(err)
 	}
-	ctx, cancel := clockwork.WithTimeout(ctx, a.c.Clock, a.c.Policy.Answer)
+	ctx, cancel := clockwork.WithTimeout(ctx, a.c.Clock, a.c.Policy.Timeout)
 	defer cancel()
 	response, err := a.c.Peers.Call(ctx, gatherer.GetPeerAddress(), &fleetv1.Request{
 		From: a.c.Self.GetIncarnation(), Hlc: uint64(a.c.Events.Clock().Now()),
-		Body: &fleetv1.Request_HandOn{HandOn: &fleetv1.HandOn{Batch: batch, WaitMs: uint32(a.c.Policy.Answer.Milliseconds())}},
+		Body: &fleetv1.Request_HandOn{HandOn: &fleetv1.HandOn{Batch: batch, WaitMs: uint32(a.c.Policy.Timeout.Milliseconds())}},
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	a.c.Events.Clock().Observe(event.Stamp(response.GetHlc()))
+	a.c.Events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	if code := result.Code(response.GetCode()); code != result.OK {
 		return result.New(code, "%s", response.GetMessage())
 	}
@@ -125,7 +125,7 @@
 func (a *Appender) gaveUp(gatherer *recordv1.NodeInfo, why error) {
 	a.failed.Add(1)
 	a.mu.Lock()
-	a.rest = min(max(2*a.rest, a.c.Policy.LeastRest), a.c.Policy.MostRest)
+	a.rest = min(max(2*a.rest, a.c.Policy.MinBackoff), a.c.Policy.MaxBackoff)
 	rest := a.rest
 	a.until = a.c.Clock.Now().Add(rest)
 	a.mu.Unlock()
--- a/gather/choose.go
+++ b/gather/choose.go
@@ -7,12 +7,12 @@
 	"lavenderpin.dev/lavenderpin/membership"
 )
 
-// Choose returns who gathers for a node: the one of its data centre with the highest
+// ChooseGatherer returns who gathers for a node: the one of its data centre with the highest
 // hash (rendezvous hashing), the node itself included. Nodes with the same view
 // choose the same, and when one leaves only what it gathered moves. It returns nil
 // where the policy has each node append for itself.
-func Choose(self *recordv1.NodeInfo, members []membership.Member, policy Policy) *recordv1.NodeInfo {
-	if len(members)+1 < policy.Fleet {
+func ChooseGatherer(self *recordv1.NodeInfo, members []membership.Member, policy Policy) *recordv1.NodeInfo {
+	if len(members)+1 < policy.MinFleetNodes {
 		return nil
 	}
 	chosen, count := self, 1
@@ -25,7 +25,7 @@
 			chosen = m.Node
 		}
 	}
-	if count < policy.From {
+	if count < policy.MinDataCentreNodes {
 		return nil
 	}
 	return chosen
--- a/gather/failure_test.go
+++ b/gather/failure_test.go
@@ -34,7 +34,7 @@
 // of another, nil for the fleet's own.
 func newFleet(t *testing.T, count int, gathered, alone ports.Log) *fleet {
 	policy := gather.DefaultPolicy()
-	policy.Fleet = 0
+	policy.MinFleetNodes = 0
 	f := &fleet{Fleet: appends.NewFleet(t.Context(), clockwork.NewRealClock(), policy)} // fake within the bubble
 	for i := range count {
 		f.nodes = append(f.nodes, f.Add(info(string(rune('a'+i))), cmp.Or[ports.Log](gathered, f.Log), cmp.Or[ports.Log](alone, f.Log)))
@@ -49,7 +49,7 @@
 
 // roles returns the node that gathers when all see all, and another one.
 func (f *fleet) roles() (gatherer, other *appends.Node) {
-	chosen := gather.Choose(f.nodes[0].Info, f.Seen(f.nodes[0].Name()), from(1))
+	chosen := gather.ChooseGatherer(f.nodes[0].Info, f.Seen(f.nodes[0].Name()), from(1))
 	for _, n := range f.nodes {
 		if n.Info == chosen {
 			gatherer = n
@@ -100,7 +100,7 @@
 
 // All nodes settle at once. The first batches go at once, and one record takes all that
 // come while the gatherer waits for its interval.
-func TestManyBatchesAreFewRecords(t *testing.T) {
+func TestBatchesAreCombinedIntoFewRecords(t *testing.T) {
 	inFleet(t, 10, func(is *is.I, f *fleet) {
 		for range 3 {
 			f.submit(7)
@@ -115,7 +115,7 @@
 }
 
 // A gatherer appends no more often than its policy allows, however often it is asked.
-func TestAGathererKeepsItsInterval(t *testing.T) {
+func TestGathererLimitsAppendRate(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		for range 500 {
 			f.submit(1)
@@ -129,20 +129,20 @@
 // The gatherer's process dies. Its nodes' first claims wait for the answer that never
 // comes, a second each; without the rest after it every further one would wait again
 // until the members notice, and requests would be refused meanwhile.
-func TestADeadGathererCostsOneWait(t *testing.T) {
+func TestDeadGathererDelaysOneAppend(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		dead, n := f.roles()
 		f.OnCall = silent
 		dead.Stop()
 		is.Equal(n.Took(1), appends.Soon+answer)
 		is.Equal(n.Took(2), appends.Soon)
-		is.Equal(n.Appender.Failed(), uint64(1))
+		is.Equal(n.Appender.Fallbacks(), uint64(1))
 		f.Remove(dead) // the members noticed
 		f.OnCall = nil
-		time.Sleep(gather.DefaultPolicy().LeastRest)
+		time.Sleep(gather.DefaultPolicy().MinBackoff)
 		is.Equal(n.Took(3), appends.Soon)
 		synctest.Wait()
-		is.Equal(n.Appender.HandedOn(), uint64(1)) // another one gathers
+		is.Equal(n.Appender.Forwarded(), uint64(1)) // another one gathers
 		f.counted(is, n, 1, 2, 3)
 	})
 }
@@ -150,7 +150,7 @@
 // A gatherer is paused in the middle of its append, as by a machine that swaps, and
 // goes on half a minute later. Its nodes have appended for themselves since; were the
 // late batch to count again, money would be granted or billed twice.
-func TestALateAppendOfAPausedGathererIsVoid(t *testing.T) {
+func TestLateAppendOfPausedGathererIsVoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		paused := &heldLog{hold: 30 * time.Second}
@@ -167,7 +167,7 @@
 
 // The gatherer's answer is lost after its append took effect. The writer reads its
 // batch back and goes on: nobody waits, and nothing is appended twice.
-func TestALostAnswerIsMadeGoodByReading(t *testing.T) {
+func TestLostResponseIsResolvedByReadBack(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		f.OnCall = func(ctx context.Context, to string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
 			handle()
@@ -177,14 +177,14 @@
 		is.Equal(n.Took(1), appends.Soon)
 		is.True(n.Took(2) < answer)
 		is.Equal(len(f.Records()), 2)
-		is.Equal(n.Appender.Failed(), uint64(0))
+		is.Equal(n.Appender.Fallbacks(), uint64(0))
 		f.counted(is, n, 1, 2)
 	})
 }
 
 // A batch is handed on, its writer gives up and appends it and the next ones itself,
 // and only then the first reaches the gatherer.
-func TestABatchHandedOnLateIsVoid(t *testing.T) {
+func TestBatchForwardedLateIsVoid(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		f.OnCall = func(ctx context.Context, to string, handle func() *fleetv1.Response) (*fleetv1.Response, error) {
 			time.AfterFunc(20*time.Second, func() { handle() })
@@ -202,7 +202,7 @@
 
 // Each half of a data centre sees only itself, so that two nodes gather. Both append;
 // nothing is lost and nothing counts twice.
-func TestTwoGatherersAtOnce(t *testing.T) {
+func TestConcurrentGatherersApplyOnce(t *testing.T) {
 	inFleet(t, 10, func(is *is.I, f *fleet) {
 		f.Views = func(name string, all []membership.Member) []membership.Member {
 			return slices.DeleteFunc(all, func(m membership.Member) bool { return (m.Node.GetIncarnation() < "f") != (name < "f") })
@@ -221,7 +221,7 @@
 
 // The gatherer is cut off from the log and its nodes are not. It says so, and they
 // append for themselves, ever longer, in place of asking it before each batch.
-func TestAGathererWithoutTheLogIsLeftAlone(t *testing.T) {
+func TestGathererCutOffFromLogIsBypassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		down := standin.NewLog()
@@ -234,14 +234,14 @@
 			time.Sleep(time.Second)
 		}
 		is.Equal(len(f.Folded.Of(n.Name())), rounds)
-		is.True(n.Appender.Failed() <= 9) // after 5, 10, 20, 40 and then each 60 s
+		is.True(n.Appender.Fallbacks() <= 9) // after 5, 10, 20, 40 and then each 60 s
 	})
 }
 
 // A fleet is updated node by node. One of the earlier version would take a gathered or
 // packed record for an empty one, and grant and bill otherwise than all others: until the
 // last of them has gone, every record is one that it reads.
-func TestOldNodesGetRecordsThatTheyRead(t *testing.T) {
+func TestOldNodesReceivePlainRecords(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		f.Old.Store(true)
 		f.submit(1)
@@ -249,7 +249,7 @@
 		records := f.Records()
 		is.Equal(len(records), 5)
 		for _, held := range records {
-			is.NoErr(record.Check(held.Data)) // plain, of one writer
+			is.NoErr(record.CheckJoinable(held.Data)) // plain, of one writer
 		}
 		f.Old.Store(false)
 		f.submit(2)
@@ -284,7 +284,7 @@
 }
 
 // A node that stops answers what it holds for others at once, and they append it.
-func TestAStoppedGathererAnswersAtOnce(t *testing.T) {
+func TestStoppedGathererFailsBatchesAtOnce(t *testing.T) {
 	inFleet(t, 5, func(is *is.I, f *fleet) {
 		gatherer, n := f.roles()
 		n.Took(1)
@@ -299,7 +299,7 @@
 }
 
 // A gatherer whose log doesn't answer holds a bounded amount for others.
-func TestAGathererHoldsABoundedAmount(t *testing.T) {
+func TestGathererQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const tried, bound = 100, 8 << 20
@@ -314,11 +314,11 @@
 		}
 		synctest.Wait()
 		is.True(refused.Load() >= tried/2)
-		is.True(g.Waiting() <= bound)
+		is.True(g.QueuedBytes() <= bound)
 		time.Sleep(2 * answer) // their writers have all given up
 		go g.Run(t.Context())
 		time.Sleep(answer)
-		is.Equal(g.Waiting(), 0)
+		is.Equal(g.QueuedBytes(), 0)
 		is.Equal(g.Appends(), uint64(0))
 	})
 }
--- a/gather/gatherer.go
+++ b/gather/gatherer.go
@@ -49,8 +49,8 @@
 // Appends returns how many records it began to append.
 func (g *Gatherer) Appends() uint64 { return g.appends.Load() }
 
-// Waiting returns how many bytes it holds for others.
-func (g *Gatherer) Waiting() int {
+// QueuedBytes returns how many bytes it holds for others.
+func (g *Gatherer) QueuedBytes() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.bytes
@@ -59,13 +59,13 @@
 // Append returns the offset once a batch is in the log, or an error within wait.
 // After an error the batch may be in the log or get there yet.
 func (g *Gatherer) Append(ctx context.Context, batch []byte, wait time.Duration) (uint64, error) {
-	if err := record.Check(batch); err != nil {
+	if err := record.CheckJoinable(batch); err != nil {
 		return 0, errors.Trace(err)
 	}
 	if !g.allRead() {
 		return 0, errors.Trace(errForms)
 	}
-	wait = min(wait, g.policy.Answer)
+	wait = min(wait, g.policy.Timeout)
 	h := &held{batch: batch, until: g.clock.Now().Add(wait), answer: make(chan answer, 1)}
 	if err := g.hold(h); err != nil {
 		return 0, err
@@ -118,7 +118,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.clock.After(g.policy.Interval - g.clock.Since(last)):
+		case <-g.clock.After(g.policy.AppendInterval - g.clock.Since(last)):
 		}
 		taken := g.take()
 		if len(taken) == 0 {
@@ -158,7 +158,7 @@
 	for _, h := range taken {
 		batches = append(batches, h.batch)
 	}
-	attempt, cancel := clockwork.WithTimeout(ctx, g.clock, g.policy.Answer)
+	attempt, cancel := clockwork.WithTimeout(ctx, g.clock, g.policy.Timeout)
 	defer cancel()
 	g.appends.Add(1)
 	offset, err := g.log.Append(attempt, g.stream, record.Pack(record.Join(batches)))
--- a/gather/history_test.go
+++ b/gather/history_test.go
@@ -28,7 +28,7 @@
 // log loses appends, loses answers or takes effect seconds later. Whatever the order,
 // each entry takes effect once and each writer's in the order in which it wrote them:
 // anything else is a settlement billed twice, never, or before its claim.
-func TestEachEntryOnceAndInOrder(t *testing.T) {
+func TestEntriesTakeEffectOnceInOrder(t *testing.T) {
 	for seed := range uint64(histories) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runHistory(t, seed) })
--- a/httpapi/chunkcost_test.go
+++ b/httpapi/chunkcost_test.go
@@ -57,9 +57,9 @@
 }
 
 func (s *latencyRecorder) request(client *http.Client, url string) {
-	body := `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":10,"messages":[{"role":"user","content":"x"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"max_tokens":10,"messages":[{"role":"user","content":"x"}]}`
 	r, _ := http.NewRequest("POST", url+chatPath, strings.NewReader(body))
-	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	r.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	response, err := client.Do(r)
 	if err != nil {
 		s.fail()
@@ -133,7 +133,7 @@
 	go func() { _ = engine.Serve(listener) }()
 	t.Cleanup(func() { _ = engine.Close() })
 	fleet := startFleet(t, devfleet.Options{})
-	sample := fleet.Sample()
+	sample := fleet.SampleConfig()
 	sample.TopUps[0] = &operatorv1.TopUp{Id: "measure", Budget: "dev-budget", Tokens: 100_000_000}
 	sample.Upstreams = []*operatorv1.Upstream{{Name: "engine-0", Service: "chat", Address: listener.Addr().String(), Region: "gulf-maine", DataCentre: "casco", Slots: 1000}}
 	is.NoErr(fleet.Apply(context.Background(), sample))
--- a/httpapi/error_test.go
+++ b/httpapi/error_test.go
@@ -20,7 +20,7 @@
 			continue
 		}
 		c := app.NewContext(0)
-		writeError(c, result.New(code, "why").After(1500*time.Millisecond))
+		writeError(c, result.New(code, "why").WithRetryAfter(1500*time.Millisecond))
 		want := ""
 		if info.Retry {
 			want = "2"
@@ -29,7 +29,7 @@
 		is.Equal(c.Response.StatusCode(), info.HTTP)
 	}
 	c := app.NewContext(0)
-	writeError(c, result.New(result.NoUpstream, "why").Doubt())
+	writeError(c, result.New(result.NoUpstream, "why").WithMayHaveRun())
 	var answer errorResponse
 	is.NoErr(json.Unmarshal(c.Response.Body(), &answer))
 	is.Equal(answer.Error.RetryAfterMS, int64(1000)) // also if the error sets no delay
--- a/httpapi/server.go
+++ b/httpapi/server.go
@@ -105,7 +105,7 @@
 	key := string(c.GetHeader(headerIdempotencyKey))
 	if err := s.node().Serving(); err != nil {
 		if key != "" {
-			err = result.From(err).Doubt() // an earlier try may have run elsewhere
+			err = result.From(err).WithMayHaveRun() // an earlier try may have run elsewhere
 		}
 		writeError(c, err)
 		return
@@ -144,7 +144,7 @@
 	}
 	if err := s.node().Serving(); err != nil {
 		if call.IdempotencyKey != "" || call.Ticket != "" {
-			err = result.From(err).Doubt() // an earlier try may have run elsewhere
+			err = result.From(err).WithMayHaveRun() // an earlier try may have run elsewhere
 		}
 		writeError(c, err)
 		return
--- a/httpapi/server_test.go
+++ b/httpapi/server_test.go
@@ -31,14 +31,14 @@
 
 func startFleet(t *testing.T, options devfleet.Options) *devfleet.Fleet {
 	is := is.New(t)
-	here := devfleet.Place{Region: "gulf-maine", DataCentre: "casco"}
-	options.Nodes = []devfleet.Place{here, here, here}
-	options.Engines = []devfleet.Place{here}
-	options.Plain = []devfleet.Place{here}
+	here := devfleet.Location{Region: "gulf-maine", DataCentre: "casco"}
+	options.Nodes = []devfleet.Location{here, here, here}
+	options.Engines = []devfleet.Location{here}
+	options.PlainServices = []devfleet.Location{here}
 	fleet, err := devfleet.Start(options)
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	is.NoErr(fleet.Apply(context.Background(), fleet.Sample()))
+	is.NoErr(fleet.Apply(context.Background(), fleet.SampleConfig()))
 	for _, d := range fleet.Daemons {
 		for d.Node().Ledger().Budget("dev-budget").Prepaid == 0 {
 			time.Sleep(time.Millisecond)
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	r, err := http.NewRequest(method, url, bytes.NewBufferString(body))
 	is.NoErr(err)
-	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	r.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	for name, value := range header {
 		r.Header.Set(name, value)
 	}
@@ -105,7 +105,7 @@
 			is.Equal(got.status, 200)
 			is.Equal(got.body, name)
 		}
-		is.Equal(fleet.Plain[0].Runs()[name], 1)
+		is.Equal(fleet.PlainServices[0].Runs()[name], 1)
 	}
 	for _, d := range fleet.Daemons {
 		for d.Node().Ledger().Budget("dev-budget").Spent < 10 {
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{})
 	base := "http://" + httpAddress(fleet, 0)
-	small := `{"model":"` + devfleet.Model + `","messages":[{"role":"user","content":"x"}]}`
+	small := `{"model":"` + devfleet.SampleModel + `","messages":[{"role":"user","content":"x"}]}`
 	for name, c := range map[string]struct {
 		method, path string
 		header       map[string]string
@@ -148,7 +148,7 @@
 			is.Equal(got.status, c.code.Info().HTTP)
 		})
 	}
-	is.Equal(len(fleet.Plain[0].Runs()), 0)
+	is.Equal(len(fleet.PlainServices[0].Runs()), 0)
 	assertNoOpenReservations(t, fleet)
 }
 
@@ -167,16 +167,16 @@
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: time.Millisecond}})
 	half, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
-	_, err = half.Write([]byte("POST " + chatPath + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + devfleet.AccountKey + "\r\nContent-Length: 1000\r\n\r\n{\"model\":"))
+	_, err = half.Write([]byte("POST " + chatPath + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + devfleet.SampleAccountKey + "\r\nContent-Length: 1000\r\n\r\n{\"model\":"))
 	is.NoErr(err)
 	is.NoErr(half.Close())
 
 	caller, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
-	body := `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":4000,"messages":[{"role":"user","content":"` + strings.Repeat("x ", 4000) + `"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"max_tokens":4000,"messages":[{"role":"user","content":"` + strings.Repeat("x ", 4000) + `"}]}`
 	r, err := http.NewRequest("POST", "http://"+httpAddress(fleet, 0)+chatPath, strings.NewReader(body))
 	is.NoErr(err)
-	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	r.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	is.NoErr(r.Write(caller))
 	reader := bufio.NewReader(caller)
 	for {
@@ -201,7 +201,7 @@
 	// and the end marker.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{})
-	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"messages":[{"role":"user","content":"a b c d e f"}]}`
 	whole := send(t, "POST", "http://"+httpAddress(fleet, 0)+chatPath, nil, body)
 	is.Equal(whole.status, 200)
 	events := strings.Split(strings.TrimSpace(whole.body), "\n\n")
@@ -224,7 +224,7 @@
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond}})
 	header := map[string]string{"Idempotency-Key": "summary-1"}
-	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
 	answers := make(chan string, len(fleet.Daemons))
 	for i := range fleet.Daemons {
 		go func() {
@@ -238,7 +238,7 @@
 	is.Equal(<-answers, first)
 	late := send(t, "POST", "http://"+httpAddress(fleet, 1)+chatPath, header, body)
 	is.Equal(dataLines(late.body), first)
-	is.Equal(len(fleet.Engines[0].Served()), 1)
+	is.Equal(len(fleet.Engines[0].Runs()), 1)
 	other := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, header, strings.Replace(body, "a b", "b a", 1))
 	is.Equal(other.code, result.KeyReused)
 	for _, d := range fleet.Daemons {
@@ -265,12 +265,12 @@
 	// completion must have continued, be complete, and be billed once.
 	is := is.New(t)
 	fleet := startFleet(t, devfleet.Options{Engine: standin.EngineOptions{TokenTime: 5 * time.Millisecond}})
-	body := `{"model":"` + devfleet.Model + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
+	body := `{"model":"` + devfleet.SampleModel + `","stream":true,"messages":[{"role":"user","content":"a b c d e f g h i j k l m n o p q r s t"}]}`
 	caller, err := net.Dial("tcp", httpAddress(fleet, 0))
 	is.NoErr(err)
 	r, err := http.NewRequest("POST", "http://"+httpAddress(fleet, 0)+chatPath, strings.NewReader(body))
 	is.NoErr(err)
-	r.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	r.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	r.Header.Set("Idempotency-Key", "summary-2")
 	is.NoErr(r.Write(caller))
 	reader := bufio.NewReader(caller)
@@ -285,7 +285,7 @@
 	again := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, map[string]string{"Idempotency-Key": "summary-2"}, body)
 	is.Equal(again.status, 200)
 	is.Equal(len(strings.Split(dataLines(again.body), "\n")), 23)
-	is.Equal(len(fleet.Engines[0].Served()), 1)
+	is.Equal(len(fleet.Engines[0].Runs()), 1)
 	for fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/idempotency/call.go
+++ b/idempotency/call.go
@@ -13,8 +13,8 @@
 	Digest Digest
 }
 
-// Answer is what a call came to. It is held in memory for the caller's retries.
-type Answer struct {
+// Response is what a call came to. It is held in memory for the caller's retries.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -22,8 +22,8 @@
 
 // RunFunc runs a call once. An error whose code says "not run" must be true: the
 // call may then be run again.
-type RunFunc func(ctx context.Context) (Answer, error)
+type RunFunc func(ctx context.Context) (Response, error)
 
 // ForwardFunc asks the owner of a call, at its incarnation's name, to run it or to
 // return its answer.
-type ForwardFunc func(ctx context.Context, owner string) (Answer, error)
+type ForwardFunc func(ctx context.Context, owner string) (Response, error)
--- a/idempotency/claims.go
+++ b/idempotency/claims.go
@@ -12,14 +12,14 @@
 // Limits bound the claims held. All nodes of a fleet must use the same ones, or
 // their folds differ.
 type Limits struct {
-	// KeepOffsets is how far the log moves on before a claim is forgotten.
-	KeepOffsets uint64
-	// MinOffsets is how far it moves on at the least, also when the account is full.
-	MinOffsets uint64
-	// PerAccount is how many claims of one account are held beyond MinOffsets. When
+	// RetentionOffsets is how far the log moves on before a claim is forgotten.
+	RetentionOffsets uint64
+	// MinRetentionOffsets is how far it moves on at the least, also when the account is full.
+	MinRetentionOffsets uint64
+	// MaxPerAccount is how many claims of one account are held beyond MinOffsets. When
 	// so many are younger, new ones are refused: forgetting a young claim instead
 	// would let its call run a second time.
-	PerAccount int
+	MaxPerAccount int
 }
 
 // DefaultLimits keep a claim for at least eight minutes at four hundred appends a
@@ -27,7 +27,7 @@
 // Offsets are counted and not time, since a node whose clock runs ahead would make
 // the whole fleet forget too early.
 func DefaultLimits() Limits {
-	return Limits{KeepOffsets: 2_000_000, MinOffsets: 200_000, PerAccount: 200_000}
+	return Limits{RetentionOffsets: 2_000_000, MinRetentionOffsets: 200_000, MaxPerAccount: 200_000}
 }
 
 // Claims folds the claims of calls. One goroutine applies; Get is safe for
@@ -100,7 +100,7 @@
 	if held, taken := c.claims[id]; taken {
 		return fold.Refuse(at, held.refusal(entry.GetDigest()), "the key is claimed already")
 	}
-	if account.held >= c.limits.PerAccount {
+	if account.held >= c.limits.MaxPerAccount {
 		return fold.Refuse(at, result.KeysExhausted, "the account holds too many keys")
 	}
 	c.put(id, Claim{Owner: at.Writer, Digest: string(entry.GetDigest()), Offset: at.Offset})
@@ -164,8 +164,8 @@
 		oldest := account.order[0]
 		held, known := c.claims[ID{name, oldest.Key}]
 		stale := !known || held.Offset != oldest.Offset
-		full := account.held >= c.limits.PerAccount
-		old := oldest.Offset+c.limits.KeepOffsets < offset || (full && oldest.Offset+c.limits.MinOffsets < offset)
+		full := account.held >= c.limits.MaxPerAccount
+		old := oldest.Offset+c.limits.RetentionOffsets < offset || (full && oldest.Offset+c.limits.MinRetentionOffsets < offset)
 		if !stale && !old {
 			return
 		}
--- a/idempotency/claims_test.go
+++ b/idempotency/claims_test.go
@@ -17,12 +17,12 @@
 		CallClaim: &recordv1.CallClaim{Account: account, Key: key, Digest: []byte{digest}}}}
 }
 
-func TestClaimsAreForgottenByOffsetAlone(t *testing.T) {
+func TestClaimsExpireByOffset(t *testing.T) {
 	// Keys would fill the memory of every node. They are forgotten when the log has
 	// moved far on, at the same offset everywhere: otherwise one node would let a key
 	// run again that another still refuses.
 	is := is.New(t)
-	c := NewClaims(Limits{KeepOffsets: 10, MinOffsets: 5, PerAccount: 100})
+	c := NewClaims(Limits{RetentionOffsets: 10, MinRetentionOffsets: 5, MaxPerAccount: 100})
 	verdict, _ := c.Apply(fold.Position{Offset: 1, Writer: "a"}, claimEntry("x", "old", 1))
 	is.True(verdict.OK())
 	verdict, _ = c.Apply(fold.Position{Offset: 11, Writer: "b"}, claimEntry("x", "old", 1))
@@ -32,11 +32,11 @@
 	is.Equal(c.Len(), 1)
 }
 
-func TestFullAccountIsRefused(t *testing.T) {
+func TestAccountLimitRefusesNewClaims(t *testing.T) {
 	// One account sends more keys than the fleet remembers. Forgetting its younger
 	// ones would let their orders run twice, so new ones are refused, and only its own.
 	is := is.New(t)
-	c := NewClaims(Limits{KeepOffsets: 1000, MinOffsets: 5, PerAccount: 2})
+	c := NewClaims(Limits{RetentionOffsets: 1000, MinRetentionOffsets: 5, MaxPerAccount: 2})
 	for i := range 3 {
 		verdict, _ := c.Apply(fold.Position{Offset: uint64(i + 1), Writer: "a"}, claimEntry("x", fmt.Sprint(i), 1))
 		is.Equal(verdict.OK(), i < 2)
@@ -49,9 +49,9 @@
 
 // Whatever is appended, two nodes of which one started from the other's snapshot
 // reach the same verdicts, a key never has two owners, and only its owner ends it.
-func TestClaimsFoldAlike(t *testing.T) {
+func TestClaimsFoldIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{KeepOffsets: 8, MinOffsets: 4, PerAccount: 3}
+		limits := Limits{RetentionOffsets: 8, MinRetentionOffsets: 4, MaxPerAccount: 3}
 		whole, later := NewClaims(limits), NewClaims(limits)
 		owner := map[ID]string{}
 		restoreAt := rapid.IntRange(0, 40).Draw(t, "restore")
@@ -67,7 +67,7 @@
 			entry := claimEntry(id.Account, id.Key, byte(rapid.IntRange(1, 2).Draw(t, "digest")))
 			isClaim := rapid.Bool().Draw(t, "claim")
 			if !isClaim {
-				entry = outcome(id, recordv1.CallEnd(rapid.IntRange(1, 3).Draw(t, "end")), Answer{Status: 200})
+				entry = outcome(id, recordv1.CallEnd(rapid.IntRange(1, 3).Draw(t, "end")), Response{Status: 200})
 			}
 			before, held := whole.Get(id)
 			first, _ := whole.Apply(at, entry)
--- a/idempotency/fleet_test.go
+++ b/idempotency/fleet_test.go
@@ -58,10 +58,10 @@
 	events := event.NewRecorder(event.NewHLC(clock), name, 100, log.NewNopLogger())
 	writer := recordlog.NewWriter(f.log, "fleet", name, clock, events.Clock(), time.Millisecond)
 	claims := NewClaims(DefaultLimits())
-	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *batch, v []fold.Verdict) { writer.Folded(b, v) })
+	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *batch, v []fold.Verdict) { writer.HandleFolded(b, v) })
 	n := &testNode{fleet: f, name: name, slot: slot, claims: claims}
 	n.ctx, n.kill = context.WithCancel(context.Background())
-	n.runner = NewRunner(Options{Incarnation: name, Claims: claims, Journal: writer, Open: f.isOpen, Clock: clock, Events: events})
+	n.runner = NewRunner(Options{Incarnation: name, Claims: claims, Log: writer, IsOpen: f.isOpen, Clock: clock, Events: events})
 	go writer.Run(n.ctx)
 	go follower.Run(n.ctx)
 	f.mu.Lock()
@@ -102,12 +102,12 @@
 }
 
 // call sends a call with a key to a node. A node that is killed answers nothing.
-func (n *testNode) call(ctx context.Context, key string) (Answer, error) {
+func (n *testNode) call(ctx context.Context, key string) (Response, error) {
 	named := Call{ID: ID{"account", key}, Digest: Digest{1}}
-	return n.answer(ctx, func(ctx context.Context) (Answer, error) {
-		return n.runner.Do(ctx, named, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
+	return n.answer(ctx, func(ctx context.Context) (Response, error) {
+		return n.runner.Do(ctx, named, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 			peer := n.fleet.node(owner)
-			return peer.answer(ctx, func(ctx context.Context) (Answer, error) {
+			return peer.answer(ctx, func(ctx context.Context) (Response, error) {
 				return peer.runner.Do(ctx, named, peer.run(key), nil)
 			})
 		})
@@ -115,9 +115,9 @@
 }
 
 // answer runs what a node does for a request, unless the node is killed.
-func (n *testNode) answer(ctx context.Context, do func(context.Context) (Answer, error)) (Answer, error) {
+func (n *testNode) answer(ctx context.Context, do func(context.Context) (Response, error)) (Response, error) {
 	type outcome struct {
-		answer Answer
+		answer Response
 		err    error
 	}
 	done := make(chan outcome, 1)
@@ -129,14 +129,14 @@
 	case o := <-done:
 		return o.answer, o.err
 	case <-n.ctx.Done():
-		return Answer{}, result.New(result.PeerUnreachable, "node %s is dead", n.name)
+		return Response{}, result.New(result.PeerUnreachable, "node %s is dead", n.name)
 	}
 }
 
 func (n *testNode) run(key string) RunFunc {
-	return func(context.Context) (Answer, error) {
+	return func(context.Context) (Response, error) {
 		if n.ctx.Err() != nil {
-			return Answer{}, result.New(result.PeerUnreachable, "a dead node sends nothing")
+			return Response{}, result.New(result.PeerUnreachable, "a dead node sends nothing")
 		}
 		return n.fleet.service.call(key)
 	}
@@ -152,10 +152,10 @@
 	after  func(key string) error
 }
 
-func (s *testService) call(key string) (Answer, error) {
+func (s *testService) call(key string) (Response, error) {
 	if s.before != nil {
 		if err := s.before(key); err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 	}
 	s.mu.Lock()
@@ -165,10 +165,10 @@
 	time.Sleep(s.delay)
 	if s.after != nil {
 		if err := s.after(key); err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 	}
-	return Answer{Status: 200, Body: fmt.Appendf(nil, "%s run %d", key, run)}, nil
+	return Response{Status: 200, Body: fmt.Appendf(nil, "%s run %d", key, run)}, nil
 }
 
 func (s *testService) count(key string) int {
--- a/idempotency/held.go
+++ b/idempotency/held.go
@@ -29,7 +29,7 @@
 	// changed is closed and replaced at each change of phase.
 	changed chan struct{}
 
-	answer Answer
+	answer Response
 	err    error
 	// expires is when a ticket's call may be forgotten, in Unix milliseconds; 0
 	// for a call with a key.
--- a/idempotency/history_test.go
+++ b/idempotency/history_test.go
@@ -162,7 +162,7 @@
 		time.Sleep(time.Duration(draw(300)) * time.Millisecond)
 		f.log.SetDown(false)
 	case 3:
-		f.log.LoseAnswers(1 + draw(3))
+		f.log.DropResponses(1 + draw(3))
 	case 4:
 		f.log.SetDelay(time.Duration(draw(30)) * time.Millisecond)
 	case 5:
@@ -173,15 +173,15 @@
 
 // named sends a call by its key, or every second one by a ticket that its callers
 // share.
-func (n *testNode) named(ctx context.Context, key string) (Answer, error) {
+func (n *testNode) named(ctx context.Context, key string) (Response, error) {
 	if key[len(key)-1]%2 == 0 {
 		return n.call(ctx, key)
 	}
 	ticket := n.fleet.ticket(n, key)
-	return n.answer(ctx, func(ctx context.Context) (Answer, error) {
-		return n.runner.DoTicket(ctx, ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
+	return n.answer(ctx, func(ctx context.Context) (Response, error) {
+		return n.runner.DoTicket(ctx, ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 			peer := n.fleet.node(ticket.GetPeerAddress()) // whoever stands there now
-			return peer.answer(ctx, func(ctx context.Context) (Answer, error) {
+			return peer.answer(ctx, func(ctx context.Context) (Response, error) {
 				return peer.runner.DoTicket(ctx, ticket, Digest{1}, peer.run(key), nil)
 			})
 		})
@@ -231,7 +231,7 @@
 	os.Exit(m.Run())
 }
 
-func TestAtMostOnceInHistories(t *testing.T) {
+func TestAtMostOnceUnderFaults(t *testing.T) {
 	// Callers send the same orders to any node over and over while everything around
 	// them fails. No order may run twice, and none that ran may be called "not run":
 	// either would send a crew out in weather for nothing, or leave a bridle worn.
--- a/idempotency/runner.go
+++ b/idempotency/runner.go
@@ -36,9 +36,9 @@
 	// Incarnation of this node.
 	Incarnation string
 	Claims      *Claims
-	Journal     Submitter
-	// Open tells whether an incarnation may still run calls.
-	Open   func(incarnation string) bool
+	Log         Submitter
+	// IsOpen tells whether an incarnation may still run calls.
+	IsOpen func(incarnation string) bool
 	Clock  clockwork.Clock
 	Events *event.Recorder
 }
@@ -73,11 +73,11 @@
 // Do runs a call under its key, or returns what became of it. forward is nil when
 // another node sent the call here: two nodes that each hold the other for the owner
 // would otherwise pass it to and fro.
-func (r *Runner) Do(ctx context.Context, call Call, run RunFunc, forward ForwardFunc) (Answer, error) {
+func (r *Runner) Do(ctx context.Context, call Call, run RunFunc, forward ForwardFunc) (Response, error) {
 	for range startOver {
 		held, err := r.join(call)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		if held == nil {
 			return r.elsewhere(ctx, call, forward)
@@ -87,12 +87,12 @@
 			return answer, err
 		}
 	}
-	return Answer{}, result.New(result.CallInProgress, "the key is being claimed").After(comeBack)
+	return Response{}, result.New(result.CallInProgress, "the key is being claimed").WithRetryAfter(comeBack)
 }
 
 // await waits for a held call to end, and runs it when it is free. again tells that
 // the claim was lost or given up and that the caller should start over.
-func (r *Runner) await(ctx context.Context, held *heldCall, run RunFunc) (answer Answer, again bool, err error) {
+func (r *Runner) await(ctx context.Context, held *heldCall, run RunFunc) (answer Response, again bool, err error) {
 	claimOver := r.Clock.After(claimWait)
 	for {
 		r.mu.Lock()
@@ -104,7 +104,7 @@
 		case lost:
 			defer r.mu.Unlock()
 			held.waiters--
-			return Answer{}, !refusesForGood(held.err), held.err
+			return Response{}, !refusesForGood(held.err), held.err
 		case free:
 			if ctx.Err() == nil {
 				r.start(ctx, held, run)
@@ -131,7 +131,7 @@
 // leave ends a caller's wait. A try that ends before the claim was read back has not
 // run and never will, but an earlier try with the key may have run at a node whose
 // claim this one hasn't seen: the code doesn't say "not run".
-func (r *Runner) leave(held *heldCall) (Answer, error) {
+func (r *Runner) leave(held *heldCall) (Response, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held.waiters--
@@ -140,7 +140,7 @@
 		if held.waiters == 0 && held.claim != nil && held.claim.Withdraw() {
 			r.drop(held, lost)
 		}
-		return Answer{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").After(comeBack)
+		return Response{}, result.New(result.KeyNotClaimed, "the log doesn't confirm the key; this try was not run, an earlier one with the key may have been").WithRetryAfter(comeBack)
 	case ended:
 		return held.answer, held.err
 	case free:
@@ -148,9 +148,9 @@
 		if held.waiters == 0 && !held.isTicket() {
 			r.release(held)
 		}
-		return Answer{}, result.New(result.CallerGone, "the caller left before the call was run")
+		return Response{}, result.New(result.CallerGone, "the caller left before the call was run")
 	}
-	return Answer{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").After(comeBack)
+	return Response{}, result.New(result.CallInProgress, "the call runs; ask again with the same key or ticket").WithRetryAfter(comeBack)
 }
 
 // start runs a free call apart from its caller: a caller that leaves must find the
@@ -167,7 +167,7 @@
 
 // guard turns a panic into an unknown outcome. Unrecovered it would end the node,
 // and with it every other call and stream.
-func (r *Runner) guard(ctx context.Context, run RunFunc) (answer Answer, err error) {
+func (r *Runner) guard(ctx context.Context, run RunFunc) (answer Response, err error) {
 	defer func() {
 		if defect := recover(); defect != nil {
 			r.Events.Record(event.PanicRecovered, "why", fmt.Sprint(defect))
@@ -178,19 +178,19 @@
 }
 
 // elsewhere answers for a call that this node doesn't hold.
-func (r *Runner) elsewhere(ctx context.Context, call Call, forward ForwardFunc) (Answer, error) {
+func (r *Runner) elsewhere(ctx context.Context, call Call, forward ForwardFunc) (Response, error) {
 	claim, known := r.Claims.Get(call.ID)
 	switch {
 	case !known:
-		return Answer{}, result.New(result.CallInProgress, "the key is being given up").After(comeBack)
+		return Response{}, result.New(result.CallInProgress, "the key is being given up").WithRetryAfter(comeBack)
 	case claim.Digest != string(call.Digest[:]):
-		return Answer{}, reused(call.ID.Key)
-	case claim.Owner != r.Incarnation && r.Open(claim.Owner) && forward != nil:
+		return Response{}, reused(call.ID.Key)
+	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner) && forward != nil:
 		return forward(ctx, claim.Owner)
-	case claim.Owner != r.Incarnation && r.Open(claim.Owner):
-		return Answer{}, result.New(result.CallInProgress, "another node owns the key").After(comeBack)
+	case claim.Owner != r.Incarnation && r.IsOpen(claim.Owner):
+		return Response{}, result.New(result.CallInProgress, "another node owns the key").WithRetryAfter(comeBack)
 	case claim.End == recordv1.CallEnd_CALL_END_RAN:
-		return Answer{}, result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", claim.Status)
+		return Response{}, result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", claim.Status)
 	}
-	return Answer{}, result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
+	return Response{}, result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
--- a/idempotency/runner_test.go
+++ b/idempotency/runner_test.go
@@ -16,7 +16,7 @@
 
 type batch = recordv1.Batch
 
-func TestRetriesAtOtherNodesGetTheSameAnswer(t *testing.T) {
+func TestRetriesOnOtherNodesGetSameResponse(t *testing.T) {
 	// A caller sends a work order, hears nothing for a while and sends it again to
 	// another node, during the first try and after it. It must get the first try's
 	// answer, and the crew must be sent out once.
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestSameKeyAtTheSameMoment(t *testing.T) {
+func TestConcurrentClaimsOfOneKey(t *testing.T) {
 	// An impatient caller sends one order to three nodes at once. All three claim the
 	// key, one claim wins, and the others must ask the winner rather than run.
 	synctest.Test(t, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestKeyOfAnotherRequest(t *testing.T) {
+func TestKeyReusedForAnotherRequest(t *testing.T) {
 	// A client reuses a key by mistake for another order. Answered with the first
 	// order's result, the second one would be lost without anybody noticing.
 	synctest.Test(t, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestOutageRefusesAndNeverRunsLater(t *testing.T) {
+func TestLogOutageRefusesAndNeverRunsLater(t *testing.T) {
 	// The log is out of reach, so nobody can tell whether the key was used. The call
 	// is refused without a run, also when the log comes back after the caller left:
 	// the caller may have given its order by telephone meanwhile.
@@ -110,21 +110,21 @@
 	})
 }
 
-func TestLostAnswerOfTheClaim(t *testing.T) {
+func TestLostClaimAcknowledgement(t *testing.T) {
 	// The log takes the claim, but its answer is lost and the append is sent again.
 	// The second copy must neither run the call twice nor refuse it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
-		f.log.LoseAnswers(2)
+		f.log.DropResponses(2)
 		answer, err := f.node("a").call(context.Background(), "order")
 		is.NoErr(err)
 		is.Equal(string(answer.Body), "order run 1")
 	})
 }
 
-func TestNotRunFreesTheKey(t *testing.T) {
+func TestNotRunReleasesKey(t *testing.T) {
 	// No instance of the service can be reached, so the call is refused as not run.
 	// The caller comes back with the same key, at another node, and must be served.
 	synctest.Test(t, func(t *testing.T) {
@@ -143,7 +143,7 @@
 	})
 }
 
-func TestOwnerDiesWithinTheCall(t *testing.T) {
+func TestOwnerFailsDuringCall(t *testing.T) {
 	// The node that sent the order dies before the answer. Whether the crew was sent
 	// out is unknown, so no other node may send it again.
 	synctest.Test(t, func(t *testing.T) {
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestOwnerDiesAfterTheCall(t *testing.T) {
+func TestOwnerFailsAfterCall(t *testing.T) {
 	// The node that ran the order dies later. Its answer is gone with it, but the log
 	// knows that the order ran: the caller is told so, and with which status.
 	synctest.Test(t, func(t *testing.T) {
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestCallerLeavesAndComesBack(t *testing.T) {
+func TestCallerDisconnectsAndRetries(t *testing.T) {
 	// A caller's connection breaks within the call. The call can't be unsent; when
 	// the caller comes back it must find the answer, and no second run.
 	synctest.Test(t, func(t *testing.T) {
@@ -199,7 +199,7 @@
 	})
 }
 
-func TestPanicWithinACall(t *testing.T) {
+func TestPanicDuringCall(t *testing.T) {
 	// A defect hits after the order was sent. The node must live on, and the order
 	// must count as perhaps run.
 	synctest.Test(t, func(t *testing.T) {
@@ -215,7 +215,7 @@
 	})
 }
 
-func TestForgottenAnswersStayRun(t *testing.T) {
+func TestEvictedResponsesStillCountAsRun(t *testing.T) {
 	// A busy node can't hold all answers. A caller that comes back for one that was
 	// dropped must be told that its order ran, and must not have it run again.
 	synctest.Test(t, func(t *testing.T) {
@@ -238,7 +238,7 @@
 	})
 }
 
-func TestOutageLeavesNothingBehind(t *testing.T) {
+func TestLogOutageLeaksNothing(t *testing.T) {
 	// Callers keep sending keys through hours of an outage. Each leaves again; were its
 	// claim held on to, the node would run out of memory before the log is back.
 	synctest.Test(t, func(t *testing.T) {
--- a/idempotency/runnerclaim.go
+++ b/idempotency/runnerclaim.go
@@ -23,7 +23,7 @@
 	}
 	held := newHeldCall(call, claiming)
 	held.waiters = 1
-	held.claim = r.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_CallClaim{
+	held.claim = r.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_CallClaim{
 		CallClaim: &recordv1.CallClaim{Account: call.ID.Account, Key: call.ID.Key, Digest: call.Digest[:]},
 	}})
 	r.held[call.ID] = held
@@ -78,7 +78,7 @@
 // held until the log shows it: a claim made before would lose against the old one.
 func (r *Runner) release(held *heldCall) {
 	held.move(claiming)
-	ticket := r.Journal.Submit(outcome(held.call.ID, recordv1.CallEnd_CALL_END_NOT_RUN, Answer{}))
+	ticket := r.Log.Submit(outcome(held.call.ID, recordv1.CallEnd_CALL_END_NOT_RUN, Response{}))
 	go func() {
 		select {
 		case <-ticket.Done():
--- a/idempotency/runnerend.go
+++ b/idempotency/runnerend.go
@@ -6,13 +6,13 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-func outcome(id ID, end recordv1.CallEnd, answer Answer) *recordv1.Entry {
+func outcome(id ID, end recordv1.CallEnd, answer Response) *recordv1.Entry {
 	return &recordv1.Entry{Body: &recordv1.Entry_CallOutcome{CallOutcome: &recordv1.CallOutcome{
 		Account: id.Account, Key: id.Key, Status: uint32(answer.Status), End: end,
 	}}}
 }
 
-func (r *Runner) finish(held *heldCall, answer Answer, err error) {
+func (r *Runner) finish(held *heldCall, answer Response, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held.answer, held.err = answer, err
@@ -45,7 +45,7 @@
 		r.remember(held)
 		return
 	}
-	ticket := r.Journal.Submit(outcome(held.call.ID, end, held.answer))
+	ticket := r.Log.Submit(outcome(held.call.ID, end, held.answer))
 	go r.awaitOutcome(held, ticket)
 }
 
@@ -73,6 +73,6 @@
 		if old.err == nil {
 			old.err = result.New(result.AlreadyRan, "the call ran and was answered with status %d; its answer is no longer held", old.answer.Status)
 		}
-		old.answer = Answer{}
+		old.answer = Response{}
 	}
 }
--- a/idempotency/ticket.go
+++ b/idempotency/ticket.go
@@ -28,22 +28,22 @@
 //
 // Only the incarnation that issued the ticket runs it. Were another to run it after
 // that one's end, a call that the dead one had sent would run twice.
-func (r *Runner) DoTicket(ctx context.Context, ticket *fleetv1.CallTicket, digest Digest, run RunFunc, forward ForwardFunc) (Answer, error) {
+func (r *Runner) DoTicket(ctx context.Context, ticket *fleetv1.CallTicket, digest Digest, run RunFunc, forward ForwardFunc) (Response, error) {
 	if ticket.GetIncarnation() != r.Incarnation {
 		if forward == nil {
-			return Answer{}, unknownTicket()
+			return Response{}, unknownTicket()
 		}
 		return forward(ctx, ticket.GetIncarnation())
 	}
 	held, err := r.joinTicket(ticket, digest)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	answer, again, err := r.await(ctx, held, run)
 	if again {
 		// Nothing gives a ticket's call up. An answer made up here would tell a caller
 		// that an order was filed which never ran.
-		return Answer{}, result.New(result.InternalError, "the ticket's call was given up")
+		return Response{}, result.New(result.InternalError, "the ticket's call was given up")
 	}
 	return answer, err
 }
--- a/idempotency/ticket_test.go
+++ b/idempotency/ticket_test.go
@@ -13,17 +13,17 @@
 )
 
 // callTicket sends a call with a ticket to a node, which passes it on to the issuer.
-func (n *testNode) callTicket(ticket *fleetv1.CallTicket, key string) (Answer, error) {
-	return n.runner.DoTicket(context.Background(), ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Answer, error) {
+func (n *testNode) callTicket(ticket *fleetv1.CallTicket, key string) (Response, error) {
+	return n.runner.DoTicket(context.Background(), ticket, Digest{1}, n.run(key), func(ctx context.Context, owner string) (Response, error) {
 		peer := n.fleet.node(owner)
 		if peer.ctx.Err() != nil {
-			return Answer{}, result.New(result.OutcomeUnknown, "gone")
+			return Response{}, result.New(result.OutcomeUnknown, "gone")
 		}
 		return peer.runner.DoTicket(ctx, ticket, Digest{1}, peer.run(key), nil)
 	})
 }
 
-func TestTicketRunsOnceWithoutTheLog(t *testing.T) {
+func TestTicketRunsOnceWithoutLog(t *testing.T) {
 	// The log is down for hours and a diver files a dive log. With a ticket the call
 	// runs all the same, once, wherever the caller sends it again.
 	synctest.Test(t, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestTicketOfADeadNode(t *testing.T) {
+func TestTicketOfFailedNode(t *testing.T) {
 	// The node that issued the ticket is gone. It may have run the call before, so
 	// nobody runs it now.
 	synctest.Test(t, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestTicketAfterARefusal(t *testing.T) {
+func TestTicketIsReusableAfterRefusal(t *testing.T) {
 	// The call was refused as not run; the same ticket must serve for the retry.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestCallerLeavesBeforeItsTicketRuns(t *testing.T) {
+func TestCallerDisconnectsBeforeTicketRuns(t *testing.T) {
 	// A caller hangs up just as its call arrives and comes back with the same ticket.
 	// Answered with an empty success, its order would be lost without a trace.
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/bench/capacity/role.go
+++ b/internal/bench/capacity/role.go
@@ -75,7 +75,7 @@
 			Computed: "the same with nine views in each"},
 		{Name: "settlement writer, each for itself", AppendsASecond: nodes * min(1/size.Flush.Seconds(), own),
 			Computed: "one append a node every 200 ms"},
-		{Name: "settlement writer, gathered", AppendsASecond: float64(size.DataCentres) / gather.DefaultPolicy().Interval.Seconds(),
+		{Name: "settlement writer, gathered", AppendsASecond: float64(size.DataCentres) / gather.DefaultPolicy().AppendInterval.Seconds(),
 			CorePercent:  perSecond(s("pack per settlement"), rate/float64(size.DataCentres)),
 			BytesASecond: rate / float64(size.DataCentres) * (s("log bytes per settlement") + s("log bytes per settlement, gathered")),
 			Computed:     "at most one append a data centre every 100 ms; core and bytes are the gatherer's, which takes 24 nodes' batches as they are"},
--- a/internal/bench/judge.go
+++ b/internal/bench/judge.go
@@ -136,7 +136,7 @@
 	r.Unbilled += max(0, calls-billed)
 	r.DoubleBilled += max(0, billed-calls)
 	runs := map[string]int{}
-	for _, service := range fleet.Plain {
+	for _, service := range fleet.PlainServices {
 		for body, n := range service.Runs() {
 			runs[body] += n
 		}
--- a/internal/bench/meter.go
+++ b/internal/bench/meter.go
@@ -24,11 +24,11 @@
 
 func newMeter(home string) *meter { return &meter{home: home, regions: map[string]string{}} }
 
-func (m *meter) wrapLog(place devfleet.Place, log ports.Log) ports.Log {
+func (m *meter) wrapLog(place devfleet.Location, log ports.Log) ports.Log {
 	return &meteredLog{Log: log, meter: m, away: place.Region != m.home}
 }
 
-func (m *meter) wrapSocket(place devfleet.Place, socket net.PacketConn) net.PacketConn {
+func (m *meter) wrapSocket(place devfleet.Location, socket net.PacketConn) net.PacketConn {
 	m.mu.Lock()
 	m.regions[socket.LocalAddr().String()] = place.Region
 	m.mu.Unlock()
@@ -61,7 +61,7 @@
 }
 
 // Read implements ports.Log.
-func (l *meteredLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *meteredLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	if l.away {
 		for _, r := range slice.Records {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -41,7 +41,7 @@
 		return nil, errors.Trace(err)
 	}
 	defer fleet.Stop()
-	options.Key, options.Model, options.PlainService = devfleet.AccountKey, devfleet.Model, "orders"
+	options.Key, options.Model, options.PlainService = devfleet.SampleAccountKey, devfleet.SampleModel, "orders"
 	l := &load{client: newClient(options), options: options}
 	for _, d := range fleet.Daemons {
 		l.targets = append(l.targets, d.Node().Settings().HTTPAddress)
@@ -51,7 +51,7 @@
 	}
 	direct, directCPU := l.timed(ctx, "baseline", options.Duration/baselineShare, 1)
 	logBefore, peersBefore, appendsBefore := m.log.Load(), m.peers.Load(), m.appends.Load()
-	outcomes, cpu := l.timed(ctx, "load", options.Duration, options.Direct)
+	outcomes, cpu := l.timed(ctx, "load", options.Duration, options.DirectShare)
 	report := newReport(options, outcomes)
 	report.BytesToLog, report.BytesToPeers = m.log.Load()-logBefore, m.peers.Load()-peersBefore
 	report.BytesBetweenRegions = report.BytesToLog + report.BytesToPeers
@@ -62,19 +62,19 @@
 }
 
 func startFleet(ctx context.Context, options Options, m *meter) (*devfleet.Fleet, error) {
-	casco, penobscot := devfleet.Place{Region: homeRegion, DataCentre: "casco"}, devfleet.Place{Region: homeRegion, DataCentre: "penobscot"}
-	buzzards := devfleet.Place{Region: awayRegion, DataCentre: "buzzards"}
+	casco, penobscot := devfleet.Location{Region: homeRegion, DataCentre: "casco"}, devfleet.Location{Region: homeRegion, DataCentre: "penobscot"}
+	buzzards := devfleet.Location{Region: awayRegion, DataCentre: "buzzards"}
 	fleet, err := devfleet.Start(devfleet.Options{
-		Nodes:   []devfleet.Place{casco, casco, penobscot, penobscot, buzzards, buzzards},
-		Engines: []devfleet.Place{casco, casco, penobscot, penobscot, buzzards, buzzards},
-		Plain:   []devfleet.Place{casco, penobscot, buzzards},
-		Engine:  standin.EngineOptions{TokenTime: options.TokenTime},
-		WrapLog: m.wrapLog, WrapSocket: m.wrapSocket,
+		Nodes:         []devfleet.Location{casco, casco, penobscot, penobscot, buzzards, buzzards},
+		Engines:       []devfleet.Location{casco, casco, penobscot, penobscot, buzzards, buzzards},
+		PlainServices: []devfleet.Location{casco, penobscot, buzzards},
+		Engine:        standin.EngineOptions{TokenTime: options.TokenTime},
+		WrapLog:       m.wrapLog, WrapSocket: m.wrapSocket,
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	sample := fleet.Sample()
+	sample := fleet.SampleConfig()
 	sample.TopUps[0].Tokens = 1 << 40
 	if err := fleet.Apply(ctx, sample); err != nil {
 		fleet.Stop()
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -228,7 +228,7 @@
 
 func (h *Harness) read(m *Member) ConfigRead {
 	n := m.Node()
-	read := ConfigRead{At: h.since(), Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil, Offset: n.Offset()}
+	read := ConfigRead{At: h.since(), Node: m.Address(), Incarnation: n.Incarnation(), Serving: n.Serving() == nil, Offset: n.AppliedOffset()}
 	if held := underTest(n.Config()); held != nil {
 		read.Version, read.Value = held.GetVersion(), held.GetResource().GetUpstream().GetSlots()
 	}
--- a/internal/experiment/appends/fleet.go
+++ b/internal/experiment/appends/fleet.go
@@ -64,7 +64,7 @@
 	n := f.nodes[batch.GetWriter()]
 	f.mu.Unlock()
 	if n != nil {
-		n.Writer.Folded(batch, verdicts)
+		n.Writer.HandleFolded(batch, verdicts)
 	}
 }
 
@@ -76,10 +76,10 @@
 	n.Gatherer = gather.NewGatherer(gathered, Stream, f.clock, f.Policy, f.allRead)
 	n.Appender = gather.NewAppender(gather.Config{
 		Self: info, Members: func() []membership.Member { return f.Seen(n.Name()) }, Local: n.Gatherer,
-		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, AllRead: f.allRead,
+		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, GatheredSupported: f.allRead,
 	})
 	n.Writer = recordlog.NewWriter(alone, Stream, n.Name(), f.clock, events.Clock(), Soon)
-	n.Writer.Through(n.Appender)
+	n.Writer.SetAppender(n.Appender)
 	ctx, stop := context.WithCancel(f.ctx)
 	n.Stop = stop
 	f.mu.Lock()
--- a/internal/experiment/appends/run.go
+++ b/internal/experiment/appends/run.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	policy := gather.DefaultPolicy()
 	if !options.Gathered {
-		policy.Fleet = options.Nodes + 1
+		policy.MinFleetNodes = options.Nodes + 1
 	}
 	clock := clockwork.NewRealClock()
 	r := &run{options: options, clock: clock, fleet: NewFleet(ctx, clock, policy), latency: hdrhistogram.New(1, longest, digits)}
--- a/internal/experiment/atmostonce/caller.go
+++ b/internal/experiment/atmostonce/caller.go
@@ -61,8 +61,8 @@
 	return endNotRun
 }
 
-func (c *caller) send(n *node) (idempotency.Answer, error) {
-	return n.attend(func() (idempotency.Answer, error) {
+func (c *caller) send(n *node) (idempotency.Response, error) {
+	return n.attend(func() (idempotency.Response, error) {
 		switch c.way {
 		case WayKey:
 			return n.byKey(c.name)
--- a/internal/experiment/atmostonce/node.go
+++ b/internal/experiment/atmostonce/node.go
@@ -34,12 +34,12 @@
 	writer := recordlog.NewWriter(w.log, "fleet", name, clock, events.Clock(), w.options.Gather)
 	claims := idempotency.NewClaims(idempotency.DefaultLimits())
 	follower := recordlog.NewFollower(w.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *recordv1.Batch, v []fold.Verdict) {
-		writer.Folded(b, v)
+		writer.HandleFolded(b, v)
 	})
 	n := &node{world: w, name: name}
 	n.ctx, n.kill = context.WithCancel(context.Background())
 	n.runner = idempotency.NewRunner(idempotency.Options{
-		Incarnation: name, Claims: claims, Journal: writer, Open: w.isOpen, Clock: clock, Events: events,
+		Incarnation: name, Claims: claims, Log: writer, IsOpen: w.isOpen, Clock: clock, Events: events,
 	})
 	w.loops.Go(func() { writer.Run(n.ctx) })
 	w.loops.Go(func() { follower.Run(n.ctx) })
@@ -47,9 +47,9 @@
 }
 
 // attend runs what a node does for a request; a killed node answers nothing.
-func (n *node) attend(do func() (idempotency.Answer, error)) (idempotency.Answer, error) {
+func (n *node) attend(do func() (idempotency.Response, error)) (idempotency.Response, error) {
 	type outcome struct {
-		answer idempotency.Answer
+		answer idempotency.Response
 		err    error
 	}
 	done := make(chan outcome, 1)
@@ -65,24 +65,24 @@
 	case <-n.ctx.Done():
 	}
 	time.Sleep(time.Millisecond) // how soon a caller sees that the connection broke
-	return idempotency.Answer{}, errLost
+	return idempotency.Response{}, errLost
 }
 
 // run calls the service, unless the node is dead.
 func (n *node) run(name string) idempotency.RunFunc {
-	return func(context.Context) (idempotency.Answer, error) {
+	return func(context.Context) (idempotency.Response, error) {
 		if n.ctx.Err() != nil {
-			return idempotency.Answer{}, result.New(result.NoUpstream, "a dead node sends nothing")
+			return idempotency.Response{}, result.New(result.NoUpstream, "a dead node sends nothing")
 		}
 		return n.world.service.call(name)
 	}
 }
 
-func (n *node) byKey(name string) (idempotency.Answer, error) {
+func (n *node) byKey(name string) (idempotency.Response, error) {
 	call := idempotency.Call{ID: idempotency.ID{Account: "account", Key: name}}
-	return n.runner.Do(context.Background(), call, n.run(name), func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return n.runner.Do(context.Background(), call, n.run(name), func(ctx context.Context, owner string) (idempotency.Response, error) {
 		peer := n.world.node(owner)
-		answer, err := peer.attend(func() (idempotency.Answer, error) { return peer.runner.Do(ctx, call, peer.run(name), nil) })
+		answer, err := peer.attend(func() (idempotency.Response, error) { return peer.runner.Do(ctx, call, peer.run(name), nil) })
 		return n.world.forwarded(owner, answer, err)
 	})
 }
--- a/internal/experiment/atmostonce/service.go
+++ b/internal/experiment/atmostonce/service.go
@@ -14,12 +14,12 @@
 	runs map[string]int
 }
 
-func (s *service) call(name string) (idempotency.Answer, error) {
+func (s *service) call(name string) (idempotency.Response, error) {
 	s.mu.Lock()
 	s.runs[name]++
 	s.mu.Unlock()
 	time.Sleep(s.time)
-	return idempotency.Answer{Status: 200, Body: []byte(name)}, nil
+	return idempotency.Response{Status: 200, Body: []byte(name)}, nil
 }
 
 func (s *service) ran(name string) int {
--- a/internal/experiment/atmostonce/world.go
+++ b/internal/experiment/atmostonce/world.go
@@ -73,14 +73,14 @@
 }
 
 // forwarded turns an exchange with a dead node into what the asking node answers.
-func (w *world) forwarded(owner string, answer idempotency.Answer, err error) (idempotency.Answer, error) {
+func (w *world) forwarded(owner string, answer idempotency.Response, err error) (idempotency.Response, error) {
 	if err != errLost {
 		return answer, err
 	}
 	if w.isOpen(owner) {
-		return idempotency.Answer{}, result.New(result.PeerUnreachable, "%s doesn't answer", owner)
+		return idempotency.Response{}, result.New(result.PeerUnreachable, "%s doesn't answer", owner)
 	}
-	return idempotency.Answer{}, result.New(result.OutcomeUnknown, "%s is gone", owner)
+	return idempotency.Response{}, result.New(result.OutcomeUnknown, "%s is gone", owner)
 }
 
 // killOne kills a node and puts a new incarnation in its place.
--- a/internal/experiment/fleet/cluster.go
+++ b/internal/experiment/fleet/cluster.go
@@ -75,12 +75,12 @@
 	return c, nil
 }
 
-func (c *Cluster) start(ctx context.Context, authority tlskeys.Pair, i int) error {
+func (c *Cluster) start(ctx context.Context, authority tlskeys.KeyPair, i int) error {
 	pair, err := authority.Issue(time.Now(), keyValidity)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	peerTLS, err := tlskeys.Config(authority.Cert, pair)
+	peerTLS, err := tlskeys.PeerConfig(authority.Cert, pair)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/experiment/fleet/countinglog.go
+++ b/internal/experiment/fleet/countinglog.go
@@ -28,7 +28,7 @@
 }
 
 // Read implements ports.Log.
-func (l *countingLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *countingLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	time.Sleep(l.delay)
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	time.Sleep(l.delay)
--- a/internal/experiment/fleet/leaving.go
+++ b/internal/experiment/fleet/leaving.go
@@ -45,10 +45,10 @@
 func MeasureLeaving(nodes, count int) (Leaving, error) {
 	options := devfleet.Options{}
 	for i := range nodes {
-		options.Nodes = append(options.Nodes, devfleet.Place{Region: places[i%len(places)].region, DataCentre: places[i%len(places)].centre})
+		options.Nodes = append(options.Nodes, devfleet.Location{Region: places[i%len(places)].region, DataCentre: places[i%len(places)].centre})
 	}
 	for range 2*count + 1 {
-		options.Plain = append(options.Plain, devfleet.Place{Region: places[0].region, DataCentre: places[0].centre})
+		options.PlainServices = append(options.PlainServices, devfleet.Location{Region: places[0].region, DataCentre: places[0].centre})
 	}
 	fleet, err := devfleet.Start(options)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	defer fleet.Stop()
 	f := &leavingFleet{fleet: fleet, answered: map[string]time.Time{}}
-	wanted := fleet.Sample()
+	wanted := fleet.SampleConfig()
 	if err := fleet.Apply(context.Background(), wanted); err != nil {
 		return Leaving{}, errors.Trace(err)
 	}
@@ -94,7 +94,7 @@
 	last := time.Duration(0)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for body := range f.fleet.Plain[i].Runs() {
+	for body := range f.fleet.PlainServices[i].Runs() {
 		last = max(last, f.answered[body].Sub(from))
 	}
 	_ = h.RecordValue(max(last.Microseconds(), 1))
@@ -118,7 +118,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	request.Header.Set("Authorization", "Bearer "+devfleet.AccountKey)
+	request.Header.Set("Authorization", "Bearer "+devfleet.SampleAccountKey)
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/experiment/fleet/spread.go
+++ b/internal/experiment/fleet/spread.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), inForceLimit)
 	defer cancel()
 	asked := time.Now()
-	verdict, err := c.Nodes[i%len(c.Nodes)].Journal().Submit(accountEntry(name)).Wait(ctx)
+	verdict, err := c.Nodes[i%len(c.Nodes)].LogWriter().Submit(accountEntry(name)).Wait(ctx)
 	if err != nil || !verdict.OK() {
 		return errors.Errorf("change %d: %v %v", i, verdict, err)
 	}
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -91,8 +91,8 @@
 	region string
 }
 
-// Load implements enginemodel.Listener.
-func (e *ear) Load(engine string, r enginemodel.Report) {
+// OnLoadReport implements enginemodel.Listener.
+func (e *ear) OnLoadReport(engine string, r enginemodel.LoadReport) {
 	f, ok := e.node.picker.(feed)
 	if !ok || (e.region != e.node.region && e.node.fleet.link.cut) {
 		return
@@ -101,8 +101,8 @@
 		PendingTokens: r.PendingTokens, MemoryUsed: r.MemoryUsed})
 }
 
-// CacheEvents implements enginemodel.Listener.
-func (e *ear) CacheEvents(engine string, events []enginemodel.CacheEvent) {
+// OnCacheEvents implements enginemodel.Listener.
+func (e *ear) OnCacheEvents(engine string, events []enginemodel.CacheEvent) {
 	f, ok := e.node.picker.(feed)
 	if !ok || e.region != e.node.region {
 		return
--- a/internal/fake/instances.go
+++ b/internal/fake/instances.go
@@ -17,20 +17,20 @@
 	asked   atomic.Uint64
 }
 
-var _ ports.Instances = (*Instances)(nil)
+var _ ports.InstanceList = (*Instances)(nil)
 
 // NewInstances returns a node's view of a list.
 func NewInstances(inner *standin.Instances, network *Network, node Endpoint) *Instances {
 	return &Instances{inner: inner, network: network, node: node}
 }
 
-// Asked returns how often the node asked.
-func (i *Instances) Asked() uint64 { return i.asked.Load() }
+// ListCalls returns how often the node asked.
+func (i *Instances) ListCalls() uint64 { return i.asked.Load() }
 
 // List implements ports.Instances.
 func (i *Instances) List(ctx context.Context) ([]*platformv1.Instance, error) {
 	i.asked.Add(1)
-	if !i.network.Passes(i.node, LogEndpoint) || !i.network.Passes(LogEndpoint, i.node) {
+	if !i.network.Reachable(i.node, LogEndpoint) || !i.network.Reachable(LogEndpoint, i.node) {
 		return nil, errLost
 	}
 	return i.inner.List(ctx)
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -21,7 +21,7 @@
 	node    Endpoint
 	gate    *Gate
 	clock   clockwork.Clock
-	probe   Probe
+	probe   StepHook
 
 	mu    sync.Mutex
 	delay time.Duration
@@ -35,7 +35,7 @@
 var _ ports.Log = (*Log)(nil)
 
 // NewLog returns a node's view of a log.
-func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, probe Probe) *Log {
+func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, probe StepHook) *Log {
 	return &Log{inner: inner, network: network, node: node, gate: gate, clock: clock, probe: probe}
 }
 
@@ -46,8 +46,8 @@
 	l.delay = d
 }
 
-// LoseAnswers makes the node's next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the node's next n appends take effect and then fail.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose = n
@@ -92,7 +92,7 @@
 }
 
 func (l *Log) pass(ctx context.Context, from, to Endpoint) error {
-	if l.network.Passes(from, to) {
+	if l.network.Reachable(from, to) {
 		return errors.Trace(l.gate.Enter(ctx))
 	}
 	select {
@@ -125,23 +125,23 @@
 }
 
 // Read implements ports.Log.
-func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if err := l.reach(ctx); err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	slice, err := l.readInner(ctx, stream, from, max, wait)
 	if lost := l.pass(ctx, LogEndpoint, l.node); lost != nil {
-		return ports.Slice{}, lost
+		return ports.ReadResult{}, lost
 	}
 	if err != nil {
-		return ports.Slice{}, err
+		return ports.ReadResult{}, err
 	}
 	return l.tamperedSlice(slice), nil
 }
 
 // readInner waits here and not in the log, on this node's clock.
-func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
-	grown := l.inner.Grown()
+func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
+	grown := l.inner.NextAppend()
 	slice, err := l.inner.Read(ctx, stream, from, max, 0)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
 		return slice, err
@@ -150,12 +150,12 @@
 	case <-grown:
 	case <-l.clock.After(wait):
 	case <-ctx.Done():
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	return l.inner.Read(ctx, stream, from, max, 0)
 }
 
-func (l *Log) tamperedSlice(slice ports.Slice) ports.Slice {
+func (l *Log) tamperedSlice(slice ports.ReadResult) ports.ReadResult {
 	_, _, tamper := l.hooks()
 	if tamper == nil {
 		return slice
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -85,13 +85,13 @@
 }
 
 func (l *load) call(ctx context.Context, c *standin.Caller, r *rand.Rand, address, id string) {
-	routes := []standin.RouteKind{standin.Streams, standin.Fixed, standin.Orders, standin.Lookups}
+	routes := []standin.Route{standin.StreamRoute, standin.NonResumableRoute, standin.OrderRoute, standin.LookupRoute}
 	if added := l.fleet.added(); len(added) > 0 {
 		routes = append(routes, added[r.IntN(len(added))].kind)
 	}
 	account := []string{"one", "two"}[r.IntN(2)]
 	rec := record{account: account, node: address, at: time.Now(),
-		call: standin.Call{ID: id, Route: routes[r.IntN(len(routes))], Key: "key-" + account, Prompt: prompt, MostOutput: mostOutput, Deadline: deadline}}
+		call: standin.Call{ID: id, Route: routes[r.IntN(len(routes))], Key: "key-" + account, PromptTokens: prompt, MaxOutputTokens: mostOutput, Deadline: deadline}}
 	rec.outcome = c.Do(context.WithoutCancel(ctx), address, rec.call)
 	rec.end = time.Now()
 	l.mu.Lock()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -40,7 +40,7 @@
 
 // addedRoute is a route that was added.
 type addedRoute struct {
-	kind standin.RouteKind
+	kind standin.Route
 	at   time.Time
 }
 
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		e.Advertised = way.Address()
+		e.AdvertisedAddress = way.Address()
 		f.upstreams, f.ways = append(f.upstreams, e), append(f.ways, way)
 	}
 	f.beat()
@@ -123,41 +123,41 @@
 func (f *fleet) do(s Step) error {
 	hold := func(begin, end func()) {
 		begin()
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		end()
 	}
-	way := func(p *Proxy, mode Mode) { hold(func() { p.Set(mode) }, func() { p.Set(Pass) }) }
+	way := func(p *Proxy, mode Mode) { hold(func() { p.SetMode(mode) }, func() { p.SetMode(Pass) }) }
 	faults := func(faults standin.Faults) {
 		e := f.upstreams[s.Target]
 		hold(func() { e.SetFaults(faults) }, func() { e.SetFaults(standin.Faults{}) })
 	}
 	switch s.Kind {
 	case KillNode:
-		return f.nodes[s.Target].kill(s.For / 4)
+		return f.nodes[s.Target].kill(s.Duration / 4)
 	case KillAll:
-		return f.killAll(s.For / 4)
+		return f.killAll(s.Duration / 4)
 	case PauseNode:
 		n := f.nodes[s.Target]
 		hold(func() { n.signal(syscall.SIGSTOP) }, func() { n.signal(syscall.SIGCONT) })
 	case StopNode:
 		return f.nodes[s.Target].stop()
-	case StoreAway:
-		hold(func() { f.store.SetAway(true) }, func() { f.store.SetAway(false) })
-	case StoreLoses:
-		hold(func() { f.store.LoseAnswers(true) }, func() { f.store.LoseAnswers(false) })
-	case StoreForgets:
-		f.store.Forget()
-	case NodeCut:
-		way(f.nodes[s.Target].store, Silent)
-	case NodeMute:
-		way(f.nodes[s.Target].store, Mute)
-	case NodeSlow:
+	case StoreUnavailable:
+		hold(func() { f.store.SetUnavailable(true) }, func() { f.store.SetUnavailable(false) })
+	case StoreDropsResponses:
+		hold(func() { f.store.DropResponses(true) }, func() { f.store.DropResponses(false) })
+	case StoreCompacts:
+		f.store.Compact()
+	case NodeStoreSilent:
+		way(f.nodes[s.Target].store, Blackhole)
+	case NodeStoreDropsResponses:
+		way(f.nodes[s.Target].store, DropResponses)
+	case NodeStoreSlow:
 		way(f.nodes[s.Target].store, Slow)
 	case UpstreamReset:
 		f.ways[s.Target].Reset()
-	case UpstreamDark:
-		way(f.ways[s.Target], Silent)
-	case UpstreamCuts:
+	case UpstreamSilent:
+		way(f.ways[s.Target], Blackhole)
+	case UpstreamCutsStreams:
 		faults(standin.Faults{CutAfter: 3})
 	case UpstreamFails:
 		faults(standin.Faults{Status: 500})
@@ -197,9 +197,9 @@
 func (f *fleet) addRoute() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	route := standin.Lookups
+	route := standin.LookupRoute
 	route.Name = fmt.Sprintf("added%d", len(f.routes))
-	f.operator.Extra = append(f.operator.Extra, route)
+	f.operator.ExtraRoutes = append(f.operator.ExtraRoutes, route)
 	f.operator.Configure()
 	f.routes = append(f.routes, addedRoute{kind: route, at: time.Now()})
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -11,10 +11,10 @@
 
 // Violation is a broken promise.
 type Violation struct {
-	Promise, Detail string
+	Guarantee, Detail string
 }
 
-func (v Violation) String() string { return v.Promise + ": " + v.Detail }
+func (v Violation) String() string { return v.Guarantee + ": " + v.Detail }
 
 // evidence is what callers and upstreams saw in a run.
 type evidence struct {
@@ -50,7 +50,7 @@
 
 // once: a request that may not be repeated runs once.
 func (e *evidence) once(r *record) []Violation {
-	if r.call.Route.Attempts > 1 || len(e.runs[r.call.ID]) <= 1 {
+	if r.call.Route.MaxAttempts > 1 || len(e.runs[r.call.ID]) <= 1 {
 		return nil
 	}
 	return []Violation{{"at most once", fmt.Sprintf("%s on %s ran %d times", r.call.ID, r.call.Route.Name, len(e.runs[r.call.ID]))}}
@@ -63,7 +63,7 @@
 	default:
 		return nil
 	}
-	if r.call.Route.Attempts > 1 || len(e.runs[r.call.ID]) == 0 {
+	if r.call.Route.MaxAttempts > 1 || len(e.runs[r.call.ID]) == 0 {
 		return nil
 	}
 	return []Violation{{"true refusals", fmt.Sprintf("%s on %s got %d and ran", r.call.ID, r.call.Route.Name, r.outcome.Status)}}
@@ -72,14 +72,14 @@
 // whole: an answer that looks complete is the upstream's whole answer to this request.
 func whole(r *record) []Violation {
 	o := &r.outcome
-	if o.Status != http.StatusOK || !o.Whole {
+	if o.Status != http.StatusOK || !o.Complete {
 		return nil
 	}
-	if !o.Stamped {
+	if !o.Signed {
 		return []Violation{{"whole answers", r.call.ID + " has no signature"}}
 	}
 	if !r.call.Route.Engine {
-		if want := standin.PlainAnswer(r.call.ID); o.Body != want {
+		if want := standin.PlainResponse(r.call.ID); o.Body != want {
 			return []Violation{{"whole answers", fmt.Sprintf("%s got %q", r.call.ID, o.Body)}}
 		}
 		return nil
@@ -146,7 +146,7 @@
 	for i := range e.records {
 		if r := &e.records[i]; r.at.After(e.calmSince) {
 			calls++
-			if r.outcome.Status == http.StatusOK && r.outcome.Whole {
+			if r.outcome.Status == http.StatusOK && r.outcome.Complete {
 				served++
 			}
 		}
@@ -161,8 +161,8 @@
 func promises(found []Violation) []string {
 	var names []string
 	for _, v := range found {
-		if !slices.Contains(names, v.Promise) {
-			names = append(names, v.Promise)
+		if !slices.Contains(names, v.Guarantee) {
+			names = append(names, v.Guarantee)
 		}
 	}
 	return names
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -38,8 +38,8 @@
 		return nil, errors.Trace(err)
 	}
 	n := &node{name: name, program: program, dir: dir, store: proxy}
-	addresses := standin.NodeAddresses{IP: ownLoopback(), Frontend: 7001, Ready: 7002, Directory: 7003, Peer: 7004}
-	n.frontend, n.directory = addresses.Callers(), addresses.Directories()
+	addresses := standin.NodeAddresses{IP: ownLoopback(), FrontendPort: 7001, ReadyPort: 7002, DirectoryPort: 7003, PeerPort: 7004}
+	n.frontend, n.directory = addresses.FrontendAddress(), addresses.DirectoryAddress()
 	settings := standin.NodeSettings(name, "dc", proxy.Address(), addresses)
 	if err := os.WriteFile(n.settings(), settings, 0o600); err != nil {
 		return nil, errors.Trace(err)
--- a/internal/soak/planned.go
+++ b/internal/soak/planned.go
@@ -47,7 +47,7 @@
 // with nothing else in the way.
 func (e *evidence) cutBy(r *record, stop *span) bool {
 	node, known := e.nodes[r.node]
-	if !known || node != stop.Target || r.outcome.Whole || len(e.runs[r.call.ID]) == 0 || !r.at.Before(stop.end) || !r.end.After(stop.begin) {
+	if !known || node != stop.Target || r.outcome.Complete || len(e.runs[r.call.ID]) == 0 || !r.at.Before(stop.end) || !r.end.After(stop.begin) {
 		return false
 	}
 	return !e.any(r.at.Add(-stableFor), r.end, func(s *span) bool {
--- a/internal/standin/instances.go
+++ b/internal/standin/instances.go
@@ -17,7 +17,7 @@
 	down bool
 }
 
-var _ ports.Instances = (*Instances)(nil)
+var _ ports.InstanceList = (*Instances)(nil)
 
 // NewInstances returns a list that holds the given instances.
 func NewInstances(list ...*platformv1.Instance) *Instances { return &Instances{list: list} }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -41,8 +41,8 @@
 	l.down = down
 }
 
-// LoseAnswers makes the next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the next n appends take effect and then fail.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose = n
@@ -55,8 +55,8 @@
 	l.delay = d
 }
 
-// Keep lets only the latest n records of each stream survive; 0 keeps all.
-func (l *Log) Keep(n int) {
+// SetRetention lets only the latest n records of each stream survive; 0 keeps all.
+func (l *Log) SetRetention(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keep = n
@@ -113,9 +113,9 @@
 }
 
 // Read implements ports.Log.
-func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *Log) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if err := l.pause(ctx); err != nil {
-		return ports.Slice{}, errors.Trace(err)
+		return ports.ReadResult{}, errors.Trace(err)
 	}
 	slice, grown, err := l.readNow(stream, from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
@@ -125,24 +125,24 @@
 	case <-grown:
 	case <-time.After(wait):
 	case <-ctx.Done():
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	slice, _, err = l.readNow(stream, from, max)
 	return slice, err
 }
 
-func (l *Log) readNow(stream string, from uint64, max int) (ports.Slice, <-chan struct{}, error) {
+func (l *Log) readNow(stream string, from uint64, max int) (ports.ReadResult, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return ports.Slice{}, nil, errors.Trace(ErrDown)
+		return ports.ReadResult{}, nil, errors.Trace(ErrDown)
 	}
 	s := l.stream(stream)
 	oldest := s.next - uint64(len(s.records))
 	if from < oldest {
-		return ports.Slice{}, nil, errors.Trace(ports.ErrAgedOut)
+		return ports.ReadResult{}, nil, errors.Trace(ports.ErrAgedOut)
 	}
-	slice := ports.Slice{Oldest: oldest, Next: s.next}
+	slice := ports.ReadResult{Oldest: oldest, Next: s.next}
 	if from < s.next {
 		records := s.records[from-oldest:]
 		slice.Records = append(slice.Records, records[:min(max, len(records))]...)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,8 +20,8 @@
 	platformv1.UnimplementedWeightServiceServer
 
 	Log       ports.Log
-	Instances ports.Instances
-	Weights   ports.Weights
+	Instances ports.InstanceList
+	Weights   ports.WeightStore
 }
 
 // Register adds the three services to a gRPC server.
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -20,7 +20,7 @@
 	next time.Time
 }
 
-var _ ports.Weights = (*Weights)(nil)
+var _ ports.WeightStore = (*Weights)(nil)
 
 // weightBytes is what every model weighs here.
 const weightBytes = 16 << 30
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -33,7 +33,7 @@
 	table := NewTable()
 	writer := recordlog.NewWriter(log, "fleet", incarnation, clock, hlc, 10*time.Millisecond)
 	follower := recordlog.NewFollower(log, "fleet", clock, fold.NewEngine(table),
-		func(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) { writer.Folded(batch, verdicts) })
+		func(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) { writer.HandleFolded(batch, verdicts) })
 	n := &node{manager: NewManager(incarnation, term, table, writer, clock, events)}
 	ctx, cancel := context.WithCancel(t.Context())
 	n.cancel = cancel
@@ -124,7 +124,7 @@
 		is := is.New(t)
 		log := standin.NewLog()
 		a := startNode(t, log, "a")
-		log.LoseAnswers(20)
+		log.DropResponses(20)
 		time.Sleep(time.Minute)
 		is.Equal(a.epoch(), uint64(1))
 	})
--- a/lossreport/cause.go
+++ b/lossreport/cause.go
@@ -25,7 +25,7 @@
 )
 
 // causeOf returns a line's cause and whether the line ends a request.
-func causeOf(l *event.Line) (Cause, bool) {
+func causeOf(l *event.LogLine) (Cause, bool) {
 	switch l.Number {
 	case event.RequestRefused:
 		return refusalCause(l), true
@@ -35,7 +35,7 @@
 	return "", false
 }
 
-func refusalCause(l *event.Line) Cause {
+func refusalCause(l *event.LogLine) Cause {
 	resultCode := result.Code(intField(l, "code"))
 	switch {
 	case resultCode == result.BudgetSpent:
@@ -64,7 +64,7 @@
 }
 
 // intField parses a field. Absent or corrupt fields, as in truncated lines, count as zero.
-func intField(l *event.Line, field string) int64 {
+func intField(l *event.LogLine, field string) int64 {
 	n, _ := strconv.ParseInt(l.Fields[field], 10, 64)
 	return n
 }
--- a/lossreport/report.go
+++ b/lossreport/report.go
@@ -44,7 +44,7 @@
 
 // New counts the lines of any number of nodes by interval. Timestamps are the nodes' own, which
 // may be wrong by seconds.
-func New(lines []event.Line, intervalLength time.Duration) *Report {
+func New(lines []event.LogLine, intervalLength time.Duration) *Report {
 	r := &Report{IntervalLength: intervalLength}
 	byStart := make(map[time.Time]*Interval)
 	for i := range lines {
@@ -52,7 +52,7 @@
 		if !isEnd {
 			continue
 		}
-		start := lines[i].At.Truncate(intervalLength)
+		start := lines[i].Time.Truncate(intervalLength)
 		interval, known := byStart[start]
 		if !known {
 			interval = &Interval{Start: start, Requests: make(map[Cause]int)}
--- a/lossreport/report_test.go
+++ b/lossreport/report_test.go
@@ -21,7 +21,7 @@
 level=info ts=2026-01-02T03:04:02.5Z event=417 name=RequestEnded node=n2 request=g outcome=cut
 torn line`
 
-func readLog(t *testing.T) []event.Line {
+func readLog(t *testing.T) []event.LogLine {
 	t.Helper()
 	read, _, err := event.ReadLog(strings.NewReader(logLines))
 	if err != nil {
--- a/membership/instances.go
+++ b/membership/instances.go
@@ -32,7 +32,7 @@
 // Instances polls the platform's instance list and caches the last response. It is safe
 // for concurrent use.
 type Instances struct {
-	list     ports.Instances
+	list     ports.InstanceList
 	clock    clockwork.Clock
 	events   *event.Recorder
 	last     atomic.Pointer[listing]
@@ -57,7 +57,7 @@
 }
 
 // NewInstances returns Instances with an empty list.
-func NewInstances(list ports.Instances, clock clockwork.Clock, events *event.Recorder) *Instances {
+func NewInstances(list ports.InstanceList, clock clockwork.Clock, events *event.Recorder) *Instances {
 	i := &Instances{list: list, clock: clock, events: events}
 	i.last.Store(&listing{leaving: map[string]bool{}})
 	return i
--- a/membership/members.go
+++ b/membership/members.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return false, errors.Trace(err)
 	}
-	m.events.Clock().Observe(event.Stamp(answer.GetHlc()))
+	m.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
 	if answer.GetCode() != 0 {
 		return false, result.New(result.Code(answer.GetCode()), "%s", answer.GetMessage())
 	}
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -47,7 +47,7 @@
 		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.teller,
 		Stopped: b.stopped,
 	})
-	b.sizer = budget.NewSizer(n.settings.Policy, b.reserver)
+	b.sizer = budget.NewSizer(n.settings.BudgetPolicy, b.reserver)
 	b.recoverer = n.newRecoverer(b)
 	b.silent = n.newSilentSettler(b)
 	b.copier = witness.NewCopier(witness.CopierConfig{
--- a/node/budgets_test.go
+++ b/node/budgets_test.go
@@ -42,7 +42,7 @@
 // two hours, the office in one region tops the budget up, and both sides together
 // want far more than was prepaid. Without shares that only one side can spend the
 // account would end above its budget.
-func TestRegionsCutForHoursWithTopUps(t *testing.T) {
+func TestRegionPartitionWithTopUps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far, far)
@@ -61,7 +61,7 @@
 // in the middle. What it had used was never in the log; it is known only to the
 // node that it told. Without that, the account would be billed too little and
 // could spend the same tokens again.
-func TestStoreDownForHoursAndACrash(t *testing.T) {
+func TestNodeCrashDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, testPolicy, near, near, far)
 		f.topUp(200_000)
@@ -91,7 +91,7 @@
 // A node dies at some step of a request. The request must be billed what the engine
 // used for it, once, and the dead node's tokens must come back without anybody's
 // doing within its term and a minute.
-func TestKilledAtEachStep(t *testing.T) {
+func TestNodeCrashAtEachRequestStep(t *testing.T) {
 	steps := map[string]func(f *testFleet){
 		"reserved": func(f *testFleet) {
 			_, _ = f.nodes[1].budgets.reserver.Reserve(context.Background(), testBudget, 300)
@@ -107,7 +107,7 @@
 			grant.Finish(120)
 		},
 		"appended, answer lost": func(f *testFleet) {
-			f.log.LoseAnswers(1)
+			f.log.DropResponses(1)
 			_ = f.request(1, 300, 120)
 			time.Sleep(flushInterval + 30*time.Millisecond)
 		},
@@ -143,7 +143,7 @@
 // A node is cut off with a request reserved, past its right, and the fleet takes
 // its share back. Woken, it must not send the request: its tokens are somebody
 // else's by now, and the account would pay for both.
-func TestCutNodeCannotDispatchAfterItsClose(t *testing.T) {
+func TestIsolatedNodeCannotDispatchAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -161,7 +161,7 @@
 
 // The log is down and one node's share is used up while the others hold plenty.
 // The caller must not be refused, and must not wait for the log either.
-func TestBorrowsFromPeersWhileTheLogIsDown(t *testing.T) {
+func TestBorrowsFromPeersDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -183,7 +183,7 @@
 // Answers between nodes get lost after they took effect: a part reserved that the
 // borrower never hears of, a settlement that seems not to arrive. Tokens must
 // neither be billed twice nor stay reserved for ever.
-func TestLostAnswersBetweenNodes(t *testing.T) {
+func TestLostPeerResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -211,7 +211,7 @@
 
 // A node dies that runs a request on tokens which another node reserved for it. The
 // lender must learn what became of them, or they stay reserved for ever.
-func TestBorrowerDies(t *testing.T) {
+func TestBorrowerCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -234,7 +234,7 @@
 
 // A node dies that had reserved tokens for a request which another node still
 // runs. The part must be billed once, by what that request used in the end.
-func TestLenderDies(t *testing.T) {
+func TestLenderCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -258,7 +258,7 @@
 // A node and the one node that it told of its requests die together during a long
 // outage of the store. Nobody knows any more what was spent, so what is left of the
 // share must not be spent again: it is written off, visibly, after a stated time.
-func TestNodeAndItsWitnessDieInAnOutage(t *testing.T) {
+func TestNodeAndWitnessCrashDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
--- a/node/calls.go
+++ b/node/calls.go
@@ -30,7 +30,7 @@
 // newRunner returns what runs named calls of plain services.
 func (n *Node) newRunner() *idempotency.Runner {
 	return idempotency.NewRunner(idempotency.Options{
-		Incarnation: n.Incarnation(), Claims: n.claims, Journal: n.writer, Open: n.ledger.IsOpen,
+		Incarnation: n.Incarnation(), Claims: n.claims, Log: n.writer, IsOpen: n.ledger.IsOpen,
 		Clock: n.deps.Clock, Events: n.events,
 	})
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return upstream.CallResponse{}, p.unreachable(incarnation)
 	}
-	n.events.Clock().Observe(event.Stamp(response.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(response.GetHlc()))
 	return forwardedAnswer(response)
 }
 
@@ -58,7 +58,7 @@
 // it may come back the caller should ask again; after its end nobody will know.
 func (p nodePeers) unreachable(incarnation string) error {
 	if p.node.ledger.IsOpen(incarnation) {
-		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").After(forwardRetry)
+		return result.New(result.PeerUnreachable, "the node that owns the call doesn't answer").WithRetryAfter(forwardRetry)
 	}
 	return result.New(result.OutcomeUnknown, "the node that may have run the call is gone; it will not be run again")
 }
@@ -68,10 +68,10 @@
 	if code := result.Code(response.GetCode()); code != result.OK {
 		err := result.New(code, "%s", response.GetMessage())
 		if code.Info().Retry {
-			err = err.After(forwardRetry)
+			err = err.WithRetryAfter(forwardRetry)
 		}
 		if forwarded.GetRan() {
-			err = err.Doubt()
+			err = err.WithMayHaveRun()
 		}
 		return upstream.CallResponse{}, err
 	}
@@ -89,7 +89,7 @@
 	if err == nil {
 		answer, err = n.requests.HandleForwarded(ctx, call)
 	} else {
-		err = result.From(err).Doubt()
+		err = result.From(err).WithMayHaveRun()
 	}
 	if err != nil {
 		known := result.From(err)
--- a/node/deps.go
+++ b/node/deps.go
@@ -13,8 +13,8 @@
 type Deps struct {
 	Clock     clockwork.Clock
 	Log       ports.Log
-	Instances ports.Instances
-	Weights   ports.Weights
+	Instances ports.InstanceList
+	Weights   ports.WeightStore
 	Peers     peer.Caller
 	Upstreams upstream.Client
 	Logger    log.Logger
--- a/node/drain.go
+++ b/node/drain.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) drainOrdered() bool { return n.Config().Drained(n.info.GetPeerAddress()) }
+func (n *Node) drainOrdered() bool { return n.Config().IsDrained(n.info.GetPeerAddress()) }
 
 // wait polls until done, until limit has passed (0: no limit) or ctx ends.
 func (n *Node) wait(ctx context.Context, done func() bool, limit time.Duration) {
@@ -115,5 +115,5 @@
 
 // errDrained is what a node answers that started under an operator's drain.
 func errDrained() error {
-	return result.New(result.NodeDrained, "operators drained this node").After(time.Second)
+	return result.New(result.NodeDrained, "operators drained this node").WithRetryAfter(time.Second)
 }
--- a/node/figure_test.go
+++ b/node/figure_test.go
@@ -12,7 +12,7 @@
 const metricsPath = "../docs/METRICS.md"
 
 // The page must list the figures that a node publishes. UPDATE_DOCS=1 writes it anew.
-func TestDocsListAllFigures(t *testing.T) {
+func TestDocsListAllMetrics(t *testing.T) {
 	is := is.New(t)
 	want := renderFigures()
 	if os.Getenv("UPDATE_DOCS") != "" {
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -33,7 +33,7 @@
 	instances *standin.Instances
 	policy    snapshot.Policy
 	// list and upstreams, when set, take the place of instances and of no upstreams.
-	list      ports.Instances
+	list      ports.InstanceList
 	upstreams upstream.Client
 
 	mu    sync.Mutex
@@ -72,12 +72,12 @@
 	settings.PeerAddress = peerAddress(i)
 	settings.HTTPAddress = fmt.Sprintf("127.0.0.1:%d", 2000+i)
 	settings.OperatorAddress = fmt.Sprintf("127.0.0.1:%d", 3000+i)
-	settings.Snapshots = f.policy
+	settings.SnapshotPolicy = f.policy
 	f.mu.Lock()
 	f.count++
 	name := fmt.Sprintf("n%d-%d", i, f.count)
 	f.mu.Unlock()
-	var list ports.Instances = f.instances
+	var list ports.InstanceList = f.instances
 	if f.list != nil {
 		list = f.list
 	}
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	change.BaseVersion = base
-	return r.Journal().Submit(&recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{
+	return r.LogWriter().Submit(&recordv1.Entry{Body: &recordv1.Entry_Config{Config: &recordv1.ConfigChange{
 		ChangeId: id, Operator: "op", Changes: []*operatorv1.Change{change}}}}).Wait(ctx)
 }
 
@@ -137,7 +137,7 @@
 
 // Two operators change the same account at the same time through different nodes. One
 // must win, the other must be told the version that stands, and all nodes agree.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentConfigChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nodes := newSmallFleet(t).startAll(3)
@@ -168,12 +168,12 @@
 
 // The log takes an operator's change and the answer is lost. The operator must be told
 // that it was accepted, and sending it again must change nothing.
-func TestLostAppendAnswer(t *testing.T) {
+func TestLostAppendResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
 		nodes := f.startAll(3)
-		f.log.LoseAnswers(3)
+		f.log.DropResponses(3)
 		verdict, err := nodes[1].change(0, "c1", account("moorwatch", "a"))
 		is.NoErr(err)
 		is.True(verdict.OK())
@@ -198,7 +198,7 @@
 
 // Every instance of the fleet is lost at once, after the first records have aged out
 // of the log. New instances must come back with all accounts from the log alone.
-func TestFleetComesBackFromTheLogAlone(t *testing.T) {
+func TestFleetRestoresFromLogOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
@@ -209,7 +209,7 @@
 			is.NoErr(err)
 		}
 		time.Sleep(time.Minute)
-		f.log.Keep(60)
+		f.log.SetRetention(60)
 		time.Sleep(time.Minute)
 		_, err := f.log.Read(t.Context(), "fleet", 1, 1, 0)
 		is.True(errors.Is(err, ports.ErrAgedOut))
@@ -229,7 +229,7 @@
 
 // The log is down for longer than it keeps records. The first thing after it must be a
 // snapshot, or a node that starts then finds nothing to start from.
-func TestOutageLongerThanRetention(t *testing.T) {
+func TestLogOutageLongerThanRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
@@ -238,12 +238,12 @@
 		_, err := nodes[0].change(0, "c", account("moorwatch", "a"))
 		is.NoErr(err)
 		f.log.SetDown(true)
-		f.log.Keep(1)
+		f.log.SetRetention(1)
 		time.Sleep(5 * time.Minute)
 		f.log.SetDown(false)
 		_, err = f.log.Append(t.Context(), "fleet", nil) // drops all records before it
 		is.NoErr(err)
-		f.log.Keep(5000)
+		f.log.SetRetention(5000)
 		_, err = f.log.Read(t.Context(), "fleet", nodes[0].Config().Offset, 1, 0)
 		is.True(errors.Is(err, ports.ErrAgedOut))
 		time.Sleep(time.Minute)
@@ -259,7 +259,7 @@
 
 // An instance starts while the log is down. It must take what its peers hold before it
 // serves; one that reaches nobody must refuse and say why.
-func TestNodeStartsWhileLogIsDown(t *testing.T) {
+func TestNodeStartsDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
@@ -276,7 +276,7 @@
 		time.Sleep(30 * time.Second)
 		is.Equal(fresh.State(), StateServing)
 		is.Equal(fresh.Config().Account("moorwatch").GetTeam(), "a")
-		is.Equal(fresh.Offset(), nodes[0].Offset())
+		is.Equal(fresh.AppliedOffset(), nodes[0].AppliedOffset())
 	})
 }
 
@@ -314,7 +314,7 @@
 
 // The platform's list shows an upstream as leaving, then drops it. From three seconds
 // after it showed it no request may be sent there, also while the list is down.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
@@ -362,7 +362,7 @@
 		time.Sleep(time.Second)
 		other.ledger.Apply(fold.Position{Offset: 1, Writer: "late"}, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{
 			Heartbeat: &recordv1.NodeHeartbeat{Number: 1, Node: other.info}}})
-		other.writer.Restored(1)
+		other.writer.HandleRestore(1)
 		go other.follower.Run(ctx)
 		time.Sleep(20 * time.Second)
 		is.Equal(other.State(), StateServing)
--- a/node/forms.go
+++ b/node/forms.go
@@ -39,7 +39,7 @@
 	if !n.ledger.IsOpen(n.Incarnation()) {
 		return 0
 	}
-	least := uint32(record.Forms)
+	least := uint32(record.SupportedForms)
 	for _, open := range n.openNodes() {
 		least = min(least, open.GetRecordForms())
 	}
--- a/node/gather.go
+++ b/node/gather.go
@@ -13,14 +13,14 @@
 // gatherAppends lets the writer hand its batches to the data centre's gatherer, which
 // this node may be itself.
 func (n *Node) gatherAppends() {
-	policy := n.settings.Appends
+	policy := n.settings.GatherPolicy
 	n.gatherer = gather.NewGatherer(n.deps.Log, n.settings.Stream, n.deps.Clock, policy, n.allRead)
 	n.appender = gather.NewAppender(gather.Config{
 		Self: n.info, Members: n.members.All, Local: n.gatherer,
 		Direct: recordlog.NewLogAppender(n.deps.Log, n.settings.Stream, n.allRead),
-		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, AllRead: n.allRead,
+		Peers:  n.deps.Peers, Clock: n.deps.Clock, Events: n.events, Policy: policy, GatheredSupported: n.allRead,
 	})
-	n.writer.Through(n.appender)
+	n.writer.SetAppender(n.appender)
 }
 
 // answerHandOn appends a batch of another node.
--- a/node/gather_test.go
+++ b/node/gather_test.go
@@ -15,19 +15,19 @@
 // Six nodes hand their batches to the gatherers of their data centres, and one of these
 // crashes under load. What it held for others must be billed all the same, once, and
 // nobody may be refused for more than the moment in which the others notice.
-func TestTheGathererOfADataCentreCrashes(t *testing.T) {
+func TestGathererCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := gather.DefaultPolicy()
-		policy.Fleet, policy.From = 0, 2
+		policy.MinFleetNodes, policy.MinDataCentreNodes = 0, 2
 		f := startGathering(t, policy, testPolicy, near, near, near, near, near, near)
 		f.topUp(400_000)
 		f.drawFor(5*time.Minute, 0, 1, 2, 3, 4, 5)
-		chosen := gather.Choose(f.nodes[0].info, f.nodes[0].members.All(), policy).GetIncarnation()
+		chosen := gather.ChooseGatherer(f.nodes[0].info, f.nodes[0].members.All(), policy).GetIncarnation()
 		var others []int
 		gatherer := -1
 		for i, n := range f.nodes {
-			is.True(n.appender.HandedOn() > 0)
+			is.True(n.appender.Forwarded() > 0)
 			if n.Incarnation() == chosen {
 				gatherer = i
 			} else {
@@ -47,7 +47,7 @@
 
 // One node of an earlier version is left in the log. Records that it can't read must not
 // be written until it has gone, or it would fold other budgets than all others.
-func TestAnOldNodeKeepsRecordsPlain(t *testing.T) {
+func TestOldNodePreventsGatheredRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near)
--- a/node/keepevents.go
+++ b/node/keepevents.go
@@ -58,20 +58,20 @@
 
 func (n *Node) keepOf(ctx context.Context, of membership.Member) {
 	name := of.Node.GetIncarnation()
-	n.kept.Forget(func(node string) bool { return node == name })
+	n.kept.RetainNodes(func(node string) bool { return node == name })
 	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, gatherTimeout)
 	defer cancel()
 	answer, err := n.deps.Peers.Call(ctx, of.Node.GetPeerAddress(), &fleetv1.Request{
 		From: n.Incarnation(), Hlc: uint64(n.events.Clock().Now()),
 		Body: &fleetv1.Request_EventsGather{EventsGather: &fleetv1.EventsGather{
-			After: max(1, uint64(n.kept.After(name))), Limit: keepLimit,
+			After: max(1, uint64(n.kept.LastTimestamp(name))), Limit: keepLimit,
 		}},
 	})
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Stamp(answer.GetHlc()))
-	n.kept.Keep(name, fromWire(answer.GetEvents().GetEvents()), answer.GetEvents().GetDropped())
+	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
+	n.kept.Add(name, fromWire(answer.GetEvents().GetEvents()), answer.GetEvents().GetDropped())
 }
 
 // gatherFor answers another node: what it follows, or all that this node holds.
@@ -79,14 +79,14 @@
 	if r.GetAfter() == 0 {
 		return n.localEvents(r.GetId())
 	}
-	events, left := n.events.After(event.Stamp(r.GetAfter()), int(r.GetLimit()))
+	events, left := n.events.After(event.Timestamp(r.GetAfter()), int(r.GetLimit()))
 	return &operatorv1.EventsResponse{Events: toWire(events), Dropped: left}
 }
 
 // localEvents returns this node's events and those that it keeps of others.
 func (n *Node) localEvents(id string) *operatorv1.EventsResponse {
-	own, dropped := n.events.Since(id)
-	kept, missing := n.kept.Since(id)
+	own, dropped := n.events.Find(id)
+	kept, missing := n.kept.Find(id)
 	return &operatorv1.EventsResponse{Events: toWire(append(own, kept...)), Dropped: dropped + missing}
 }
 
@@ -94,7 +94,7 @@
 	wire := make([]*operatorv1.Event, 0, len(events))
 	for _, e := range events {
 		wire = append(wire, &operatorv1.Event{
-			Hlc: uint64(e.Stamp), Node: e.Node, Number: uint32(e.Number), Name: e.Number.Kind().Name, Fields: e.Fields,
+			Hlc: uint64(e.Timestamp), Node: e.Node, Number: uint32(e.Number), Name: e.Number.Kind().Name, Fields: e.Fields,
 		})
 	}
 	return wire
@@ -104,7 +104,7 @@
 	events := make([]event.Event, 0, len(wire))
 	for _, e := range wire {
 		events = append(events, event.Event{
-			Stamp: event.Stamp(e.GetHlc()), Node: e.GetNode(), Number: event.Number(e.GetNumber()), Fields: e.GetFields(),
+			Timestamp: event.Timestamp(e.GetHlc()), Node: e.GetNode(), Number: event.Number(e.GetNumber()), Fields: e.GetFields(),
 		})
 	}
 	return events
--- a/node/lastwitness_test.go
+++ b/node/lastwitness_test.go
@@ -38,7 +38,7 @@
 
 // Guards against answers that are billed to nobody since their node, one witness and,
 // seconds later, the other one die before anybody replaces them.
-func TestLastWitnessDiesBeforeAnyReplacement(t *testing.T) {
+func TestAllWitnessesCrashBeforeReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetWithShare(t, 0)
 		f.loseWithinOneFlush()
@@ -53,7 +53,7 @@
 
 // Guards against a request that only an engine can account for being forgotten, since the
 // last node that knew which engine to ask died before it had been settled.
-func TestLastWitnessOfAnOpenRequestDies(t *testing.T) {
+func TestLastWitnessOfOpenRequestCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetWithShare(t, 0)
 		grant := f.dispatch(0)
@@ -72,7 +72,7 @@
 
 // Guards against an account that pays what an engine produced though the answer failed:
 // the node lives behind a cut, and its word counts and not the engine's.
-func TestNodeBehindACutBillsNothingForAFailedAnswer(t *testing.T) {
+func TestIsolatedNodeBillsNothingForFailedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleetWithShare(t, 1)
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -28,10 +28,10 @@
 
 // slowList answers with what the list held when it was asked, most of the time that a
 // node waits later.
-type slowList struct{ ports.Instances }
+type slowList struct{ ports.InstanceList }
 
 func (l slowList) List(ctx context.Context) ([]*platformv1.Instance, error) {
-	list, err := l.Instances.List(ctx)
+	list, err := l.InstanceList.List(ctx)
 	pause(ctx, 900*time.Millisecond)
 	return list, err
 }
@@ -102,7 +102,7 @@
 		_, err := nodes[0].change(0, fmt.Sprint("c", i), &operatorv1.Change{Resource: resource})
 		is.NoErr(err)
 	}
-	_, err := nodes[0].Journal().Submit(&recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{
+	_, err := nodes[0].LogWriter().Submit(&recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{
 		TopUp: &operatorv1.TopUp{Id: "t", Budget: "b", Tokens: 1_000_000}}}}).Wait(t.Context())
 	is.NoErr(err)
 	for _, n := range nodes {
@@ -129,7 +129,7 @@
 // The platform's list, which answers slowly, shows upstreams as leaving one after the
 // other, at different moments between two looks at it. Calls that a node still sends
 // there three seconds later are lost with the upstream.
-func TestLastWorkOfALeavingUpstream(t *testing.T) {
+func TestLastCallToLeavingUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, _, recorder := workFleet(t)
@@ -150,7 +150,7 @@
 
 // Operators drain upstreams one after the other. Each must get no more work soon after
 // the answer that accepts the change, from whichever node.
-func TestLastWorkOfADrainedUpstream(t *testing.T) {
+func TestLastCallToDrainingUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, nodes, recorder := workFleet(t)
--- a/node/membership.go
+++ b/node/membership.go
@@ -40,7 +40,7 @@
 		Node:         n.info,
 		Draining:     n.State() != StateServing,
 		InFlight:     uint32(n.requests.InFlight()),
-		ConfigOffset: n.Offset(),
+		ConfigOffset: n.AppliedOffset(),
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	info     *recordv1.NodeInfo
 
 	events     *event.Recorder
-	kept       *event.Keeper
+	kept       *event.Archive
 	lifecycle  *stateless.StateMachine
 	config     *config.State
 	watchers   *watchers
@@ -87,16 +87,16 @@
 		OperatorAddress: settings.OperatorAddress,
 		Region:          settings.Region,
 		DataCentre:      settings.DataCentre,
-		RecordForms:     record.Forms,
+		RecordForms:     record.SupportedForms,
 	}
 	hlc := event.NewHLC(deps.Clock)
-	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventMemory, deps.Logger)
-	n.kept = event.NewKeeper(max(1, settings.EventMemory/keptShare))
+	n.events = event.NewRecorder(hlc, n.info.GetIncarnation(), settings.EventCapacity, deps.Logger)
+	n.kept = event.NewArchive(max(1, settings.EventCapacity/keptShare))
 	n.lifecycle = newLifecycle(n.events)
 	n.config = config.NewState(n.configInForce)
 	n.ledger = budget.NewLedger()
 	n.holder = budget.NewShareHolder(n.info.GetIncarnation(), deps.Clock)
-	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.Gather)
+	n.writer = recordlog.NewWriter(deps.Log, settings.Stream, n.info.GetIncarnation(), deps.Clock, hlc, settings.BatchDelay)
 	n.writer.AddSource(n.settlements)
 	n.leaseTable = lease.NewTable()
 	n.leases = lease.NewManager(n.info.GetIncarnation(), settings.LeaseTerm, n.leaseTable, n.writer, deps.Clock, n.events)
@@ -136,8 +136,8 @@
 // Config returns the configuration in force on this node.
 func (n *Node) Config() *config.View { return n.config.View() }
 
-// Offset returns the highest log offset that this node has folded.
-func (n *Node) Offset() uint64 { return n.follower.Offset() }
+// AppliedOffset returns the highest log offset that this node has folded.
+func (n *Node) AppliedOffset() uint64 { return n.follower.Offset() }
 
 // Metrics returns the node's map; only daemons publish it.
 func (n *Node) Metrics() *expvar.Map { return n.metrics }
@@ -148,8 +148,8 @@
 // Leases returns the leases that this node holds or wants.
 func (n *Node) Leases() lease.Holder { return n.leases }
 
-// Journal returns the node's writer to the log.
-func (n *Node) Journal() *recordlog.Writer { return n.writer }
+// LogWriter returns the node's writer to the log.
+func (n *Node) LogWriter() *recordlog.Writer { return n.writer }
 
 // State returns where the node is in its life.
 func (n *Node) State() State { return n.lifecycle.MustState().(State) }
@@ -185,11 +185,11 @@
 
 // folded is told of each batch in offset order, in the folding goroutine.
 func (n *Node) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
-	n.snapshots.Folded(batch, proto.Size(batch))
-	n.events.Clock().Observe(event.Stamp(batch.GetHlc()))
+	n.snapshots.HandleFolded(batch, proto.Size(batch))
+	n.events.Clock().Observe(event.Timestamp(batch.GetHlc()))
 	n.budgets.folded(batch, verdicts)
 	n.recordFolded(batch, verdicts)
-	n.writer.Folded(batch, verdicts)
+	n.writer.HandleFolded(batch, verdicts)
 }
 
 func (n *Node) recordFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
--- a/node/peers.go
+++ b/node/peers.go
@@ -11,7 +11,7 @@
 // HandlePeer answers another node; it is a peer.Handler.
 func (n *Node) HandlePeer(ctx context.Context, r *fleetv1.Request) (response *fleetv1.Response) {
 	defer n.recoverPeer(&response)
-	n.events.Clock().Observe(event.Stamp(r.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(r.GetHlc()))
 	response = &fleetv1.Response{}
 	switch body := r.GetBody().(type) {
 	case *fleetv1.Request_Ping:
--- a/node/reclaim_test.go
+++ b/node/reclaim_test.go
@@ -14,7 +14,7 @@
 
 // A node crashes and is started anew at its address. Its tokens must be back within
 // seconds, not after its term: only one process can hold the address.
-func TestRestartFreesTheShareAtOnce(t *testing.T) {
+func TestRestartReleasesShareWithinSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -34,7 +34,7 @@
 
 // A node crashes, and the node that it had told of its requests is stopped by plan
 // before the fleet has noticed. The one that stops must pass on what it was told.
-func TestWitnessLeavesBeforeTheCloseOfADeadNode(t *testing.T) {
+func TestWitnessDrainsBeforeDeadNodeIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -74,7 +74,7 @@
 
 // With thrift a request that only this node knows of isn't sent, though the log
 // answers; with endurance it is, and says so in the time line.
-func TestPoliciesOnRequestsWithoutAWitness(t *testing.T) {
+func TestBudgetPolicyWithoutWitness(t *testing.T) {
 	for name, want := range map[string]result.Code{"thrift": result.NoWitness, "endurance": result.OK} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -31,7 +31,7 @@
 	return recovery.New(recovery.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Journal: n.writer,
 		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Store: b.memory, Replicator: b.teller,
-		Engines: n.engines(), Suspect: n.isSuspect, LostAfter: n.settings.Policy.LostAfter,
+		Engines: n.engines(), Suspect: n.isSuspect, LostAfter: n.settings.BudgetPolicy.LostAfter,
 		PlatformAddresses: n.instances.EntryAddresses, PeerAddress: n.settings.PeerAddress,
 	})
 }
--- a/node/regioncut_test.go
+++ b/node/regioncut_test.go
@@ -14,7 +14,7 @@
 // answers until it notices that the log is out of reach nobody else knows, and what ran
 // at the moment of the cut others know as open only. The fleet closes it while it lives.
 // Its last answers must still be billed, once, when the cut has ended.
-func TestLoneNodeBehindACut(t *testing.T) {
+func TestLongRegionCutOfSingleNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -47,7 +47,7 @@
 // A node is cut off for good, and the platform goes on listing its instance. The fleet
 // can't know what it answered, so the rest of its share must not be spent again; but it
 // must not stay frozen for ever either: it is written off after the stated time.
-func TestCutOffForGoodIsWrittenOff(t *testing.T) {
+func TestPermanentlyCutOffNodeIsWrittenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -66,7 +66,7 @@
 
 // An instance dies that no process replaces at its address. Its tokens are back after
 // its right, once the platform has stopped listing it for long enough.
-func TestInstanceThatThePlatformDropsIsReleased(t *testing.T) {
+func TestDelistedInstanceIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
--- a/node/relay.go
+++ b/node/relay.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) answerLogRead(ctx context.Context, r *fleetv1.LogRead, response *fleetv1.Response) {
-	slice, err := n.relay.Answer(ctx, r)
+	slice, err := n.relay.HandleLogRead(ctx, r)
 	if err != nil {
 		refuse(response, err)
 		return
@@ -68,8 +68,8 @@
 // one. A starting one goes on.
 func (n *Node) restored(offset uint64) {
 	n.events.Record(event.StateRestored, "offset", offset)
-	n.snapshots.Restored(offset)
-	n.writer.Restored(n.follower.LastSeq(n.Incarnation()))
+	n.snapshots.HandleRestore(offset)
+	n.writer.HandleRestore(n.follower.LastSeq(n.Incarnation()))
 	if n.State() != StateStarting {
 		n.holder.RevokeRight()
 		n.outrunOnce.Do(func() { close(n.outrun) })
@@ -89,7 +89,7 @@
 	started := n.deps.Clock.Now()
 	for n.State() == StateStarting && ctx.Err() == nil {
 		if n.deps.Clock.Since(started) > withoutLogAfter && n.follower.SinceRead() > withoutLogAfter && n.holdsHighest() {
-			n.events.Record(event.ServingWithoutLog, "offset", n.Offset())
+			n.events.Record(event.ServingWithoutLog, "offset", n.AppliedOffset())
 			n.ready()
 			return
 		}
@@ -105,9 +105,9 @@
 func (n *Node) holdsHighest() bool {
 	peers := n.relayPeers()
 	for _, p := range peers {
-		if p.Offset > n.Offset() {
+		if p.Offset > n.AppliedOffset() {
 			return false
 		}
 	}
-	return len(peers) > 0 && n.Offset() > 0
+	return len(peers) > 0 && n.AppliedOffset() > 0
 }
--- a/node/resume.go
+++ b/node/resume.go
@@ -14,7 +14,7 @@
 	secret := n.settings.TokenSecret
 	if len(secret) == 0 {
 		// Without a shared secret a cursor or a ticket is good at this node alone.
-		secret = make([]byte, signed.MinSecret)
+		secret = make([]byte, signed.MinSecretLen)
 		_, _ = rand.Read(secret)
 	}
 	n.requests.PeerAddress = n.settings.PeerAddress
--- a/node/settings.go
+++ b/node/settings.go
@@ -25,25 +25,25 @@
 	Stream string
 	// HeartbeatInterval is the time between two heartbeats in the log.
 	HeartbeatInterval time.Duration
-	// Policy weighs refusals against money out of use.
-	Policy budget.Policy
+	// BudgetPolicy weighs refusals against money out of use.
+	BudgetPolicy budget.Policy
 	// SpendRight is how long the node may spend after its last heartbeat in the log.
 	SpendRight time.Duration
 	// LeaseTerm is how long a lease lasts without renewal.
 	LeaseTerm time.Duration
-	// Gather is how long entries are gathered before each append.
-	Gather time.Duration
-	// Appends tells when the nodes of a data centre append together.
-	Appends gather.Policy
+	// BatchDelay is how long entries are gathered before each append.
+	BatchDelay time.Duration
+	// GatherPolicy tells when the nodes of a data centre append together.
+	GatherPolicy gather.Policy
 	// ClaimChunk is the least number of tokens claimed from a budget's pool at a time.
 	ClaimChunk uint64
 	// AddressLifetime is how long callers may keep an address handed out. A draining
 	// node serves at least this long after it stopped being handed out.
 	AddressLifetime time.Duration
-	// Snapshots tells when the folded state is written to the log again.
-	Snapshots snapshot.Policy
-	// EventMemory is how many events are kept for the time line.
-	EventMemory int
+	// SnapshotPolicy tells when the folded state is written to the log again.
+	SnapshotPolicy snapshot.Policy
+	// EventCapacity is how many events are kept for the time line.
+	EventCapacity int
 	// TokenSecret signs tickets and stream cursors, the same on all nodes of the
 	// fleet. Empty: each node draws its own, and a ticket or a cursor is good at the
 	// node that made it alone.
@@ -58,14 +58,14 @@
 		Stream:            "fleet",
 		HeartbeatInterval: 5 * time.Second,
 		LeaseTerm:         15 * time.Second,
-		Policy:            budget.Endurance,
+		BudgetPolicy:      budget.Endurance,
 		SpendRight:        budget.Endurance.SpendRight,
-		Gather:            20 * time.Millisecond,
-		Appends:           gather.DefaultPolicy(),
+		BatchDelay:        20 * time.Millisecond,
+		GatherPolicy:      gather.DefaultPolicy(),
 		ClaimChunk:        20_000,
 		AddressLifetime:   10 * time.Second,
-		Snapshots:         snapshot.DefaultPolicy(),
-		EventMemory:       20_000,
+		SnapshotPolicy:    snapshot.DefaultPolicy(),
+		EventCapacity:     20_000,
 	}
 }
 
@@ -83,17 +83,17 @@
 	require(isIPPort(s.PeerAddress), "peer address isn't IP:port")
 	require(isIPPort(s.HTTPAddress), "HTTP address isn't IP:port")
 	require(isIPPort(s.OperatorAddress), "operator address isn't IP:port")
-	require(s.Policy.Name != "", "budget policy is empty")
+	require(s.BudgetPolicy.Name != "", "budget policy is empty")
 	require(s.HeartbeatInterval > 0, "heartbeat interval isn't positive")
 	require(s.SpendRight > 2*s.HeartbeatInterval, "spend right isn't above two heartbeat intervals")
 	require(s.LeaseTerm >= time.Second, "lease term is under a second")
-	require(s.Gather >= 0, "gather time is negative")
-	require(s.Appends.From > 0 && s.Appends.Answer > 0 && s.Appends.LeastRest > 0, "policy of appends isn't positive")
+	require(s.BatchDelay >= 0, "gather time is negative")
+	require(s.GatherPolicy.MinDataCentreNodes > 0 && s.GatherPolicy.Timeout > 0 && s.GatherPolicy.MinBackoff > 0, "policy of appends isn't positive")
 	require(s.ClaimChunk > 0, "claim chunk is zero")
 	require(s.AddressLifetime > 0, "address lifetime isn't positive")
-	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecret, "token secret is shorter than 32 bytes")
-	require(s.Snapshots.Records > 0 && s.Snapshots.Bytes > 0 && s.Snapshots.Age > 0, "snapshot policy isn't positive")
-	require(s.EventMemory > 0, "event memory is zero")
+	require(len(s.TokenSecret) == 0 || len(s.TokenSecret) >= signed.MinSecretLen, "token secret is shorter than 32 bytes")
+	require(s.SnapshotPolicy.Records > 0 && s.SnapshotPolicy.Bytes > 0 && s.SnapshotPolicy.Age > 0, "snapshot policy isn't positive")
+	require(s.EventCapacity > 0, "event memory is zero")
 	if len(mistakes) > 0 {
 		return errors.Errorf("settings: %s", strings.Join(mistakes, "; "))
 	}
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -23,7 +23,7 @@
 func (n *Node) writeSnapshots(ctx context.Context) {
 	n.leases.Campaign(snapshotLease)
 	periodic.Run(ctx, n.deps.Clock, snapshotPoll, func(ctx context.Context) {
-		if _, held := n.leases.Held(snapshotLease); !held || !n.settings.Snapshots.Due(n.snapshots.Progress()) {
+		if _, held := n.leases.Held(snapshotLease); !held || !n.settings.SnapshotPolicy.Due(n.snapshots.Progress()) {
 			return
 		}
 		if err := n.writeSnapshot(ctx); err != nil && ctx.Err() == nil {
--- a/node/status.go
+++ b/node/status.go
@@ -8,10 +8,10 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Nodes returns the fleet as this node sees it, itself first.
-func (n *Node) Nodes() []*operatorv1.NodeStatus {
+// NodeStatuses returns the fleet as this node sees it, itself first.
+func (n *Node) NodeStatuses() []*operatorv1.NodeStatus {
 	self := nodeStatus(n.info, string(n.State()))
-	self.ConfigOffset = n.Offset()
+	self.ConfigOffset = n.AppliedOffset()
 	all := []*operatorv1.NodeStatus{self}
 	for _, member := range n.members.All() {
 		state := string(StateServing)
@@ -43,8 +43,8 @@
 		if n.drainOrdered() {
 			return errDrained()
 		}
-		return result.New(result.NotServing, "the node holds no configuration yet").After(time.Second)
+		return result.New(result.NotServing, "the node holds no configuration yet").WithRetryAfter(time.Second)
 	default:
-		return result.New(result.IncarnationClosed, "the node is being replaced").After(time.Second)
+		return result.New(result.IncarnationClosed, "the node is being replaced").WithRetryAfter(time.Second)
 	}
 }
--- a/node/staying_test.go
+++ b/node/staying_test.go
@@ -14,7 +14,7 @@
 
 // An upstream leaves for minutes while thousands of requests go by. Their node must not
 // make a list for each of them, nor go on with one made before a change.
-func TestTheListWithoutLeavingUpstreamsIsKept(t *testing.T) {
+func TestNonLeavingUpstreamsAreCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newSmallFleet(t)
--- a/node/streams_test.go
+++ b/node/streams_test.go
@@ -132,7 +132,7 @@
 	}}}})
 	f.await(func() bool {
 		for _, n := range f.nodes {
-			if n.Config().ServiceByModel("m") == nil || n.Config().Budget("a", "chat") == "" {
+			if n.Config().ServiceByModel("m") == nil || n.Config().BudgetName("a", "chat") == "" {
 				return false
 			}
 		}
@@ -144,7 +144,7 @@
 // get the missing words once and the end, and once the dead router's requests are
 // recovered the account must have paid for the answer exactly once: the second
 // router bills nothing, recovery bills what the engine counted.
-func TestResumedStreamIsBilledOnceAfterACrash(t *testing.T) {
+func TestResumedStreamIsBilledOnceAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
--- a/node/testfleet_test.go
+++ b/node/testfleet_test.go
@@ -95,12 +95,12 @@
 	settings.Region, settings.DataCentre = region, fmt.Sprintf("%s-%d", region, i%2)
 	settings.PeerAddress = fmt.Sprintf("127.0.0.1:%d", 7000+i)
 	settings.HTTPAddress, settings.OperatorAddress = "127.0.0.1:1", "127.0.0.1:2"
-	settings.Appends = f.appends
-	settings.Policy, settings.SpendRight = f.policy, f.policy.SpendRight
+	settings.GatherPolicy = f.appends
+	settings.BudgetPolicy, settings.SpendRight = f.policy, f.policy.SpendRight
 	settings.ClaimChunk = 1000
 	settings.AddressLifetime = time.Second
-	settings.EventMemory = 100_000
-	settings.TokenSecret = make([]byte, signed.MinSecret)
+	settings.EventCapacity = 100_000
+	settings.TokenSecret = make([]byte, signed.MinSecretLen)
 	f.topUps++
 	name := fmt.Sprintf("n%d-%d", i, f.topUps)
 	node, err := New(settings, Deps{
@@ -152,10 +152,10 @@
 		line := n.Ledger().Budget(testBudget)
 		f.t.Logf("%s %s: spent %d of %d used, lost %d, open %d, borrowed %d, told %d, remembers %d", n.Incarnation(), n.State(),
 			line.Spent, f.engines.used(), line.Lost, n.holder.OpenReservations(), n.budgets.borrower.UnsettledParts(), n.budgets.teller.Len(), n.budgets.memory.Len())
-		events, _ := n.events.Since("")
+		events, _ := n.events.Find("")
 		for _, e := range events {
 			if e.Number >= event.SpendRightLapsed && e.Number <= event.WitnessChanged && e.Number != event.RecoveryWaiting {
-				f.t.Log(e.Stamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
+				f.t.Log(e.Timestamp.Time().Format(time.TimeOnly), e.Node, e.Number.Kind().Name, e.Fields)
 			}
 		}
 	}
@@ -316,10 +316,10 @@
 	return l.fleet.log.Append(ctx, stream, data)
 }
 
-func (l *testLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l *testLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if !l.fleet.net.reaches(l.address, "") {
 		<-ctx.Done()
-		return ports.Slice{}, errors.Trace(ctx.Err())
+		return ports.ReadResult{}, errors.Trace(ctx.Err())
 	}
 	return l.fleet.log.Read(ctx, stream, from, max, wait)
 }
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Stamp(answer.GetHlc()))
+	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
 	into.Events = append(into.Events, answer.GetEvents().GetEvents()...)
 	into.Dropped += answer.GetEvents().GetDropped()
 }
--- a/node/twofaults_test.go
+++ b/node/twofaults_test.go
@@ -16,7 +16,7 @@
 // When the link is back, what the dead node spent is known only to a node that is
 // itself closed; it must tell before it is replaced, or the account is billed too
 // little and can spend the same tokens again.
-func TestCrashBehindACut(t *testing.T) {
+func TestCrashInCutOffRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far, far, far)
@@ -42,7 +42,7 @@
 // The same, and the fleet's questions to the closed nodes get lost until those have
 // settled their own and released it. One that then ends with what the dead node had
 // told it leaves the dead node's last answers billed to nobody.
-func TestCrashBehindACutAskedLate(t *testing.T) {
+func TestCrashInCutOffRegionWithLateQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, testPolicy, near, near, far, far, far)
 		f.topUp(25_000)
@@ -65,7 +65,7 @@
 // A node and the witness that its requests wait for die together, within one flush of
 // settlements, and no engine can be asked. A third node was told as well, without being
 // waited for; what the callers were answered must be billed all the same.
-func TestNodeAndItsWitnessDieWithinOneFlush(t *testing.T) {
+func TestNodeAndWitnessCrashWithinOneFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
@@ -81,14 +81,14 @@
 
 // Every call of the store takes three seconds, for two hours, and answers get lost.
 // Requests must go on, nobody may be closed, and all must be billed in the end.
-func TestStoreSlowForHours(t *testing.T) {
+func TestSlowLogForHours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
 		f.topUp(400_000)
 		f.drawFor(10*time.Minute, 0, 1, 2)
 		f.log.SetDelay(3 * time.Second)
-		f.log.LoseAnswers(40)
+		f.log.DropResponses(40)
 		refused := f.drawFor(2*time.Hour, 0, 1, 2)
 		f.log.SetDelay(0)
 		is.Equal(refused[result.SpendRightLapsed], 0)
@@ -104,7 +104,7 @@
 // knows once it is back, or the fleet has asked the engine before; either way the
 // request is billed once. A request that it could tell nobody of is refused: the
 // fleet would never learn of it if the node died.
-func TestNodeCutOffFromAll(t *testing.T) {
+func TestNodeIsolatedFromAllPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := startFleet(t, testPolicy, near, near, far)
--- a/node/witness.go
+++ b/node/witness.go
@@ -14,7 +14,7 @@
 	return witness.NewReplicator(witness.Config{
 		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Caller: n.deps.Peers, Events: n.events,
 		Candidates: n.witnesses, OnlyNode: n.alone,
-		LogReachable: n.logReachable, Required: n.settings.Policy.WitnessRequired,
+		LogReachable: n.logReachable, Required: n.settings.BudgetPolicy.WitnessRequired,
 	})
 }
 
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -11,9 +11,9 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Intercept records every call, accepted or refused, as an audit event, and keeps a
+// InterceptUnary records every call, accepted or refused, as an audit event, and keeps a
 // defect in one call from ending the node.
-func (s *Server) Intercept(ctx context.Context, request any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (answer any, err error) {
+func (s *Server) InterceptUnary(ctx context.Context, request any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (answer any, err error) {
 	operator, _ := s.identify(ctx)
 	defer func() {
 		if defect := recover(); defect != nil {
--- a/operator/server.go
+++ b/operator/server.go
@@ -92,7 +92,7 @@
 func (s *Server) submit(ctx context.Context, entry *recordv1.Entry) (fold.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, verdictWait)
 	defer cancel()
-	verdict, err := s.node().Journal().Submit(entry).Wait(ctx)
+	verdict, err := s.node().LogWriter().Submit(entry).Wait(ctx)
 	if err != nil {
 		return verdict, err
 	}
@@ -105,7 +105,7 @@
 		return nil, toStatus(err)
 	}
 	n := s.node()
-	answer := &operatorv1.ListResponse{Offset: n.Offset()}
+	answer := &operatorv1.ListResponse{Offset: n.AppliedOffset()}
 	if key := (config.Key{Kind: config.Kind(r.GetKind()), Name: r.GetName()}); key != (config.Key{}) {
 		if held := n.Config().Versioned(key); held != nil {
 			answer.Resources = append(answer.Resources, held)
@@ -144,7 +144,7 @@
 		return nil, toStatus(err)
 	}
 	n := s.node()
-	answer := &operatorv1.BudgetsResponse{Offset: n.Offset()}
+	answer := &operatorv1.BudgetsResponse{Offset: n.AppliedOffset()}
 	if r.GetBudget() != "" {
 		answer.Budgets = n.BudgetState(r.GetBudget())
 		return answer, nil
@@ -158,7 +158,7 @@
 	if _, err := s.authorize(ctx, operatorv1.Role_ROLE_VIEW); err != nil {
 		return nil, toStatus(err)
 	}
-	return &operatorv1.NodesResponse{Nodes: s.node().Nodes()}, nil
+	return &operatorv1.NodesResponse{Nodes: s.node().NodeStatuses()}, nil
 }
 
 // Events implements operator.v1.OperatorService.
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -19,10 +19,10 @@
 func start(t *testing.T) (*devfleet.Fleet, operatorv1.OperatorServiceClient) {
 	t.Helper()
 	is := is.New(t)
-	fleet, err := devfleet.Start(devfleet.Options{Nodes: []devfleet.Place{{Region: "r", DataCentre: "d"}}})
+	fleet, err := devfleet.Start(devfleet.Options{Nodes: []devfleet.Location{{Region: "r", DataCentre: "d"}}})
 	is.NoErr(err)
 	t.Cleanup(fleet.Stop)
-	conn, err := fleet.Operator(0)
+	conn, err := fleet.DialOperator(0)
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	return fleet, operatorv1.NewOperatorServiceClient(conn)
@@ -50,7 +50,7 @@
 // Somebody calls with no token, a wrong one, one that may only look, or the
 // bootstrap token after a stored one exists. Each must be refused and leave an
 // audit event, or nobody could tell later who tried.
-func TestRoles(t *testing.T) {
+func TestRolesAreEnforced(t *testing.T) {
 	is := is.New(t)
 	fleet, client := start(t)
 	for _, ctx := range []context.Context{context.Background(), as("wrong")} {
@@ -66,7 +66,7 @@
 	_, err = client.Apply(as("viewer-token"), account("a", 0))
 	is.Equal(status.Code(err), codes.PermissionDenied)
 
-	events, _ := fleet.Daemons[0].Node().Events().Since("Apply")
+	events, _ := fleet.Daemons[0].Node().Events().Find("Apply")
 	outcomes := map[string]int{}
 	for _, e := range events {
 		if e.Number == event.OperatorCalled {
@@ -79,7 +79,7 @@
 // Two operators change the same account from the same version. The second must
 // learn that it lost, and against which version, instead of silently undoing the
 // first.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentChangesConflict(t *testing.T) {
 	is := is.New(t)
 	_, client := start(t)
 	ctx := as(devfleet.OperatorToken)
@@ -98,7 +98,7 @@
 	fleet, client := start(t)
 	ctx := as(devfleet.OperatorToken)
 	change := account("a", 0)
-	fleet.Log.LoseAnswers(1)
+	fleet.Log.DropResponses(1)
 	first, err := client.Apply(ctx, change)
 	is.NoErr(err)
 	again, err := client.Apply(ctx, change)
@@ -108,7 +108,7 @@
 
 // The log is down. The operator must hear that nothing was changed only when that
 // is the truth, and otherwise that the outcome is open.
-func TestChangeWhileTheLogIsDown(t *testing.T) {
+func TestChangeDuringLogOutage(t *testing.T) {
 	is := is.New(t)
 	fleet, client := start(t)
 	fleet.Log.SetDown(true)
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -37,7 +37,7 @@
 type Executor struct {
 	Lessor  lease.Holder
 	Client  Client
-	Weights ports.Weights
+	Weights ports.WeightStore
 	Config  func() *config.View
 	Clock   clockwork.Clock
 	Events  *event.Recorder
--- a/ports/instances.go
+++ b/ports/instances.go
@@ -6,7 +6,7 @@
 	platformv1 "lavenderpin.dev/lavenderpin/api/platform/v1"
 )
 
-// Instances is the platform's list of live and leaving instances. It lags.
-type Instances interface {
+// InstanceList is the platform's list of live and leaving instances. It lags.
+type InstanceList interface {
 	List(ctx context.Context) ([]*platformv1.Instance, error)
 }
--- a/ports/log.go
+++ b/ports/log.go
@@ -16,8 +16,8 @@
 	Data   []byte
 }
 
-// Slice is what one read returned.
-type Slice struct {
+// ReadResult is what one read returned.
+type ReadResult struct {
 	Records []Record
 	// Oldest is the first offset still kept, Next the one that the next append gets.
 	Oldest uint64
@@ -31,5 +31,5 @@
 	Append(ctx context.Context, stream string, data []byte) (offset uint64, err error)
 	// Read returns up to max records from an offset on, and waits up to wait for
 	// the first one. It fails with ErrAgedOut when from is no longer kept.
-	Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (Slice, error)
+	Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ReadResult, error)
 }
--- a/ports/remote/client.go
+++ b/ports/remote/client.go
@@ -23,9 +23,9 @@
 }
 
 var (
-	_ ports.Log       = (*Client)(nil)
-	_ ports.Instances = (*Client)(nil)
-	_ ports.Weights   = (*Client)(nil)
+	_ ports.Log          = (*Client)(nil)
+	_ ports.InstanceList = (*Client)(nil)
+	_ ports.WeightStore  = (*Client)(nil)
 )
 
 // Dial returns a client for the platform at an address; it connects when first used.
@@ -55,17 +55,17 @@
 }
 
 // Read implements ports.Log.
-func (c *Client) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (c *Client) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	answer, err := c.log.Read(ctx, &platformv1.ReadRequest{
 		Stream: stream, From: from, MaxRecords: uint32(max), WaitMs: uint32(wait.Milliseconds()),
 	})
 	if status.Code(err) == codes.OutOfRange {
-		return ports.Slice{}, errors.Annotatef(ports.ErrAgedOut, "offset %d", from)
+		return ports.ReadResult{}, errors.Annotatef(ports.ErrAgedOut, "offset %d", from)
 	}
 	if err != nil {
-		return ports.Slice{}, errors.Annotate(err, "read")
+		return ports.ReadResult{}, errors.Annotate(err, "read")
 	}
-	slice := ports.Slice{Oldest: answer.GetOldest(), Next: answer.GetNext()}
+	slice := ports.ReadResult{Oldest: answer.GetOldest(), Next: answer.GetNext()}
 	for _, r := range answer.GetRecords() {
 		slice.Records = append(slice.Records, ports.Record{Offset: r.GetOffset(), Data: r.GetData()})
 	}
--- a/prepaid/share_test.go
+++ b/prepaid/share_test.go
@@ -12,7 +12,7 @@
 func grantedShare(ceiling int64) (*Share, *bootclock.Fake) {
 	clock := &bootclock.Fake{}
 	clock.Advance(time.Hour)
-	s := NewShare(DefaultSettings(), Clocks{Boot: clock, Wall: clock.TimeOfDay()}, Holder{Node: "n1", Region: "region", Incarnation: "i1", BootID: "boot"})
+	s := NewShare(DefaultSettings(), Clocks{Boot: clock, Wall: clock.WallClock()}, Holder{Node: "n1", Region: "region", Incarnation: "i1", BootID: "boot"})
 	s.Apply(Grant{Node: "n1", Incarnation: "i1", Epoch: 1, Lines: []GrantLine{{Account: "a", Ceiling: ceiling, Remaining: 1_000_000, Prepaid: 1_000_000}}})
 	return s, clock
 }
@@ -26,7 +26,7 @@
 
 // startAt returns a process start at the current reading of its clocks.
 func startAt(clock *bootclock.Fake, bootID string) ProcessStart {
-	return ProcessStart{ClockReading: Clocks{Boot: clock, Wall: clock.TimeOfDay()}.Read(), BootID: bootID}
+	return ProcessStart{ClockReading: Clocks{Boot: clock, Wall: clock.WallClock()}.Read(), BootID: bootID}
 }
 
 // A node is killed between a grant and its next report. Had it used the grant at once, nobody
--- a/record/decode.go
+++ b/record/decode.go
@@ -7,10 +7,10 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// Forms is which forms of records this version reads, as nodes announce it in their
+// SupportedForms is which forms of records this version reads, as nodes announce it in their
 // heartbeats. A form is written only while every open node announces it: a program that
 // doesn't know it would bill and grant otherwise than all others.
-const Forms = FormsWitnessed
+const SupportedForms = FormsWitnessed
 
 // What a program reads that announces at least so much.
 const (
@@ -46,10 +46,10 @@
 	return batches, nil
 }
 
-// Check tells whether data is one batch that can be joined with others. A gatherer
+// CheckJoinable tells whether data is one batch that can be joined with others. A gatherer
 // must know: one batch that can't be read makes the whole record unreadable, and
 // the other writers' entries would be lost although each was told they are in the log.
-func Check(data []byte) error {
+func CheckJoinable(data []byte) error {
 	batch, err := parse(data)
 	if err != nil {
 		return err
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -61,15 +61,15 @@
 
 // A gatherer that joined what it can't read would make the record unreadable, and the
 // other writers' settlements in it would go unbilled.
-func TestWhatCannotBeJoinedIsFoundOut(t *testing.T) {
+func TestUnjoinableBatchesAreRejected(t *testing.T) {
 	is := is.New(t)
 	a := batch("a", 1, 60)
-	is.NoErr(Check(marshal(t, a)))
+	is.NoErr(CheckJoinable(marshal(t, a)))
 	for name, data := range map[string][]byte{
 		"cut": marshal(t, a)[:20], "empty": nil,
 		"gathered": Join([][]byte{marshal(t, a), marshal(t, a)}), "packed": Pack(marshal(t, a)),
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).True(Check(data) != nil) })
+		t.Run(name, func(t *testing.T) { is.New(t).True(CheckJoinable(data) != nil) })
 	}
 	nested := &recordv1.Batch{Gathered: []*recordv1.Batch{{Gathered: []*recordv1.Batch{a}}}}
 	_, err := Decode(marshal(t, nested))
@@ -78,7 +78,7 @@
 
 // One bad record that unpacks to more memory than an instance has would end every
 // node of the fleet, and every new one when it reads there.
-func TestRecordThatUnpacksTooFarIsRefused(t *testing.T) {
+func TestOversizedPackedRecordIsRejected(t *testing.T) {
 	is := is.New(t)
 	var body bytes.Buffer
 	w, err := flate.NewWriter(&body, flate.BestSpeed)
