--- a/recordlog/follower.go
+++ b/recordlog/follower.go
@@ -29,16 +29,16 @@
 // batches of one record have its offset.
 type FoldedFunc func(offset uint64, batch *recordv1.Batch, verdicts []fold.Verdict)
 
-// RestoredFunc is told that the whole state was replaced by a later one.
-type RestoredFunc func(offset uint64)
+// RestoreFunc is told that the whole state was replaced by a later one.
+type RestoreFunc func(offset uint64)
 
 // Follower reads a source in offset order and folds it.
 type Follower struct {
 	source     Source
 	clock      clockwork.Clock
 	onFolded   []FoldedFunc
-	onRestored []RestoredFunc
-	recent     *Recent
+	onRestored []RestoreFunc
+	recent     *RecentRecords
 
 	// mu guards the engine: State is asked for while the follower folds.
 	mu     sync.Mutex
@@ -65,13 +65,13 @@
 
 // OnRestored registers a function that is told when the state was replaced by a
 // snapshot. It must be called before Run.
-func (f *Follower) OnRestored(told RestoredFunc) { f.onRestored = append(f.onRestored, told) }
+func (f *Follower) OnRestored(told RestoreFunc) { f.onRestored = append(f.onRestored, told) }
 
 // Offset returns the last offset folded.
 func (f *Follower) Offset() uint64 { return f.offset.Load() }
 
 // Recent returns the records folded last.
-func (f *Follower) Recent() *Recent { return f.recent }
+func (f *Follower) Recent() *RecentRecords { return f.recent }
 
 // CaughtUp tells whether the follower has once reached the end of the stream.
 func (f *Follower) CaughtUp() bool { return f.caughtUp.Load() }
--- a/recordlog/recent.go
+++ b/recordlog/recent.go
@@ -13,9 +13,9 @@
 	recentBytes   = 8 << 20
 )
 
-// Recent holds the records that a follower folded last, so that other nodes can
+// RecentRecords holds the records that a follower folded last, so that other nodes can
 // read them from this one. It is safe for concurrent use.
-type Recent struct {
+type RecentRecords struct {
 	mu      sync.Mutex
 	records []ports.Record
 	bytes   int
@@ -23,12 +23,12 @@
 	grown   chan struct{}
 }
 
-func newRecent(next uint64) *Recent {
-	return &Recent{next: next, grown: make(chan struct{})}
+func newRecent(next uint64) *RecentRecords {
+	return &RecentRecords{next: next, grown: make(chan struct{})}
 }
 
 // add takes the record that was folded after those held.
-func (r *Recent) add(record ports.Record) {
+func (r *RecentRecords) add(record ports.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = append(r.records, record)
@@ -42,7 +42,7 @@
 }
 
 // restart forgets all records: those held aren't followed by the next one.
-func (r *Recent) restart(next uint64) {
+func (r *RecentRecords) restart(next uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = nil
@@ -50,7 +50,7 @@
 	r.move(next)
 }
 
-func (r *Recent) move(next uint64) {
+func (r *RecentRecords) move(next uint64) {
 	r.next = next
 	close(r.grown)
 	r.grown = make(chan struct{})
@@ -59,10 +59,10 @@
 // Read returns up to max records from an offset on without waiting; grown is
 // closed once there are more. It fails with ports.ErrAgedOut when from isn't
 // held any more.
-func (r *Recent) Read(from uint64, max int) (slice ports.Slice, grown <-chan struct{}, err error) {
+func (r *RecentRecords) Read(from uint64, max int) (slice ports.ReadResult, grown <-chan struct{}, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slice = ports.Slice{Oldest: r.next, Next: r.next}
+	slice = ports.ReadResult{Oldest: r.next, Next: r.next}
 	if len(r.records) > 0 {
 		slice.Oldest = r.records[0].Offset
 	}
--- a/recordlog/snapshot_test.go
+++ b/recordlog/snapshot_test.go
@@ -94,7 +94,7 @@
 
 // A node was away for longer than the log keeps its records. Without the snapshot
 // between them it could never fold again, and would serve with the budgets of last week.
-func TestRecordsAgedOutWhileAway(t *testing.T) {
+func TestNodeRestoresAfterRecordsAgedOut(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
 	writer := &appender{log: log, name: "w"}
@@ -108,7 +108,7 @@
 		writer.append(is, entry)
 	}
 	writer.topUps(is, 2)
-	log.Keep(5)
+	log.SetRetention(5)
 	writer.again(is, late) // folded before the restored state, and void after it as well
 	is.Equal(away.prepaid(), uint64(3))
 	away.catchUp(is)
@@ -124,7 +124,7 @@
 // A batch is appended twice because the answer was lost, once before a snapshot and
 // once, late, after it. A node that starts from the snapshot must know that the second
 // is a repetition, or the budget is topped up twice there alone.
-func TestLateDuplicateAfterSnapshot(t *testing.T) {
+func TestLateDuplicateAfterSnapshotIsVoid(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
 	writer, here := &appender{log: log, name: "w"}, newReader(log)
@@ -137,7 +137,7 @@
 	other.append(is, chunks(is, here, 1)...)
 	other.again(is, shares)
 	other.again(is, claim)
-	log.Keep(3)
+	log.SetRetention(3)
 	fresh := newReader(log)
 	here.catchUp(is)
 	fresh.catchUp(is)
@@ -169,7 +169,7 @@
 	}
 	late := killed.append(is, first[2]) // of another row: it must not complete anything
 	killed.again(is, late)
-	log.Keep(10)
+	log.SetRetention(10)
 
 	fresh := newReader(log)
 	fresh.catchUp(is)
@@ -187,7 +187,7 @@
 	here.catchUp(is)
 	old := chunks(is, here, 1)
 	writer.topUps(is, 5)
-	log.Keep(1)
+	log.SetRetention(1)
 	writer.append(is, old...)
 	fresh := newReader(log)
 	err := fresh.follower.Step(context.Background(), 0)
--- a/recordlog/source.go
+++ b/recordlog/source.go
@@ -11,7 +11,7 @@
 
 // Slice is what one read from a source returned.
 type Slice struct {
-	ports.Slice
+	ports.ReadResult
 	// Age is how long ago the log itself last answered: 0 when the log was read,
 	// more when the records came by way of other nodes.
 	Age time.Duration
@@ -43,7 +43,7 @@
 // Read implements Source.
 func (s *LogSource) Read(ctx context.Context, from uint64, max int, wait time.Duration) (Slice, error) {
 	slice, err := s.log.Read(ctx, s.stream, from, max, wait)
-	return Slice{Slice: slice}, err
+	return Slice{ReadResult: slice}, err
 }
 
 // State implements Source by the first usable snapshot in the log.
@@ -55,7 +55,7 @@
 type streamReader struct{ source *LogSource }
 
 // Read implements snapshot.Reader.
-func (r streamReader) Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (r streamReader) Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	slice, err := r.source.Read(ctx, from, max, wait)
-	return slice.Slice, err
+	return slice.ReadResult, err
 }
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Through makes the writer append by way of another appender than the log itself. It
+// SetAppender makes the writer append by way of another appender than the log itself. It
 // must be called before Run.
-func (w *Writer) Through(appender Appender) { w.appender = appender }
+func (w *Writer) SetAppender(appender Appender) { w.appender = appender }
 
 // AddSource registers a function that contributes entries whenever a batch is
 // built. It must be called before Run.
@@ -217,9 +217,9 @@
 	}
 }
 
-// Folded delivers the verdicts of a batch that the Follower folded. Batches of
+// HandleFolded delivers the verdicts of a batch that the Follower folded. Batches of
 // other writers and void repetitions are passed over.
-func (w *Writer) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (w *Writer) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	if batch.GetWriter() != w.writer {
 		return
 	}
@@ -234,10 +234,10 @@
 	}
 }
 
-// Restored is told that the state was restored as of the writer's sequence seq. What
+// HandleRestore is told that the state was restored as of the writer's sequence seq. What
 // became of the entries up to there can't be learnt from the log any more, so their
 // tickets say that the outcome is open.
-func (w *Writer) Restored(seq uint64) {
+func (w *Writer) HandleRestore(seq uint64) {
 	w.mu.Lock()
 	var open []*Ticket
 	for sent, tickets := range w.pending {
--- a/recordlog/writer_test.go
+++ b/recordlog/writer_test.go
@@ -25,7 +25,7 @@
 // The log is out for hours while callers ask for budgets that this node holds no share
 // of. Each gives up and withdraws its claim; the node's memory grew with every one of
 // them until a small instance died, late in the outage and with answers open.
-func TestWithdrawnTicketsDoNotPileUp(t *testing.T) {
+func TestWithdrawnTicketsAreFreed(t *testing.T) {
 	is := is.New(t)
 	w := NewWriter(standin.NewLog(), "fleet", "a", clockwork.NewFakeClock(), event.NewHLC(clockwork.NewFakeClock()), 0)
 	var kept []*Ticket
@@ -46,7 +46,7 @@
 }
 
 // A batch takes a bounded number of entries; the rest comes in the next one.
-func TestQueueGivesTheRestLater(t *testing.T) {
+func TestBatchSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	w := NewWriter(standin.NewLog(), "fleet", "a", clockwork.NewFakeClock(), event.NewHLC(clockwork.NewFakeClock()), 0)
 	for i := range maxBatchEntries + 3 {
@@ -69,14 +69,14 @@
 // The log takes each append and its answers get lost on the way. Whoever reads the
 // batch back knows that it counts; waiting for the answer all the same held up the
 // claims behind it for five seconds each, and their requests were refused.
-func TestBatchReadBackNeedsNoAnswer(t *testing.T) {
+func TestReadBackConfirmsUnansweredAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock() // fake within the bubble
 		log := silentLog{standin.NewLog()}
 		w := NewWriter(log, "fleet", "a", clock, event.NewHLC(clock), 20*time.Millisecond)
 		f := NewFollower(log, "fleet", clock, fold.NewEngine(),
-			func(_ uint64, b *recordv1.Batch, v []fold.Verdict) { w.Folded(b, v) })
+			func(_ uint64, b *recordv1.Batch, v []fold.Verdict) { w.HandleFolded(b, v) })
 		go w.Run(t.Context())
 		go f.Run(t.Context())
 		began := clock.Now()
--- a/recovery/watcher.go
+++ b/recovery/watcher.go
@@ -67,7 +67,7 @@
 	defer w.mu.Unlock()
 	now := w.clock.Now()
 	h := w.heartbeats[batch.GetWriter()]
-	h.lastBatchAt = event.Stamp(batch.GetHlc()).Time()
+	h.lastBatchAt = event.Timestamp(batch.GetHlc()).Time()
 	for i, verdict := range verdicts {
 		if beat := batch.GetEntries()[i].GetHeartbeat(); beat != nil && verdict.OK() {
 			h.number = beat.GetNumber()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -60,10 +60,10 @@
 	member Peer
 }
 
-func (l logFrom) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (l logFrom) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	if l.group.isCut(l.member.Address) {
 		<-ctx.Done()
-		return ports.Slice{}, ctx.Err()
+		return ports.ReadResult{}, ctx.Err()
 	}
 	slice, err := l.Log.Read(ctx, stream, from, max, wait)
 	l.group.count(home, l.member.Region, len(slice.Records))
@@ -108,7 +108,7 @@
 	if err := travel(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	slice, err := to.server.Answer(ctx, r.GetLogRead())
+	slice, err := to.server.HandleLogRead(ctx, r.GetLogRead())
 	if err != nil {
 		return nil, err
 	}
@@ -197,7 +197,7 @@
 
 // Changes are made while all is well. The link between the regions is narrow and billed
 // by volume: each change must cross it once, not once for every node there.
-func TestChangeCrossesTheLinkOnce(t *testing.T) {
+func TestChangeCrossesRegionLinkOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t)
@@ -216,7 +216,7 @@
 // Nothing happens for minutes in a deep tree of readers. Were the waits of the hops added
 // up, the lowest nodes would take the log as silent, and read it by themselves over the
 // narrow link; and each read is paid for in bytes, so there must be one a wait.
-func TestIdleChainStaysFresh(t *testing.T) {
+func TestIdleReadTreeStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t)
@@ -242,7 +242,7 @@
 // The log fails for minutes, and they read from each other. An answer that
 // brings nothing must not wake those who wait for the node that got it, or they wake each
 // other as fast as the network goes and spend their processors and the link on it.
-func TestOutageDoesNotSpin(t *testing.T) {
+func TestLogOutageDoesNotBusyLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t)
@@ -263,7 +263,7 @@
 
 // The node that reads the log for its region dies, and another one is cut from the log
 // but still answers its peers. The others must get the changes by themselves, soon.
-func TestReaderDiesOrLags(t *testing.T) {
+func TestRegionReaderDeadOrCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t)
@@ -286,7 +286,7 @@
 
 // Two nodes have different views of the members, so that each reads from the other.
 // Neither would ever hear of a change again, and both would look healthy.
-func TestReadersInARing(t *testing.T) {
+func TestReadCycleFallsBackToLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newGroup(t)
--- a/relay/server.go
+++ b/relay/server.go
@@ -32,9 +32,9 @@
 	return &Server{follower: follower, source: source, clock: clock}
 }
 
-// Answer returns the records asked for, after waiting for the first one, or until this
+// HandleLogRead returns the records asked for, after waiting for the first one, or until this
 // node's own read came back with nothing: the answer then tells how fresh that is.
-func (s *Server) Answer(ctx context.Context, r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
+func (s *Server) HandleLogRead(ctx context.Context, r *fleetv1.LogRead) (*fleetv1.LogSlice, error) {
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxServedWait)
 	slice, err := s.read(ctx, r.GetFrom(), min(int(r.GetMaxRecords()), maxServedRecords), wait)
 	if errors.Is(err, ports.ErrAgedOut) {
@@ -47,7 +47,7 @@
 	return answer, nil
 }
 
-func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error) {
+func (s *Server) read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	idle := s.source.idle.wait()
 	slice, grown, err := s.follower.Recent().Read(from, max)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
--- a/relay/source.go
+++ b/relay/source.go
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	s.Events.Clock().Observe(event.Stamp(answer.GetHlc()))
+	s.Events.Clock().Observe(event.Timestamp(answer.GetHlc()))
 	switch result.Code(answer.GetCode()) {
 	case result.OK:
 		return answer.GetLogSlice(), nil
--- a/request/badinput_test.go
+++ b/request/badinput_test.go
@@ -58,7 +58,7 @@
 		is.Equal(sink.started, 0)
 	}
 	is.Equal(n.billedTokens(t), uint64(0))
-	is.Equal(len(s.engines[0].Served()), 0)
+	is.Equal(len(s.engines[0].Runs()), 0)
 }
 
 func TestValidBodiesAreAccepted(t *testing.T) {
@@ -161,7 +161,7 @@
 	f.Add(strings.Replace(good, ".", "..", 1), "account")
 	f.Fuzz(func(t *testing.T, text, account string) {
 		cursor, err := n.openCursor(account, text)
-		if err == nil && (n.Cursors.Seal(cursor) != text || account != cursor.GetAccount()) {
+		if err == nil && (n.Cursors.Sign(cursor) != text || account != cursor.GetAccount()) {
 			t.Fatalf("opened %q for %q: %v", text, account, cursor)
 		}
 	})
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -50,7 +50,7 @@
 	client, err := upstream.NewHTTPClientWithReadTimeout(testSilenceTimeout)
 	is.NoErr(err)
 	t.Cleanup(client.Close)
-	s := &fixture{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecret)}
+	s := &fixture{t: t, config: config.NewState(nil), client: client, secret: make([]byte, signed.MinSecretLen)}
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{Name: "account", KeySha256: []string{config.HashKey(testKey)}}}})
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Account{Account: &operatorv1.Account{Name: "other", KeySha256: []string{config.HashKey(otherKey)}}}})
 	s.declare(&operatorv1.Resource{Kind: &operatorv1.Resource_Service{Service: &operatorv1.Service{Name: "chat",
--- a/request/call.go
+++ b/request/call.go
@@ -59,7 +59,7 @@
 	if !c.atMostOnce() {
 		return err
 	}
-	return result.From(err).Doubt()
+	return result.From(err).WithMayHaveRun()
 }
 
 func (s *Server) authenticateCall(call ServiceCall) (*preparedCall, error) {
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -29,22 +29,22 @@
 		return "", nil, result.New(result.InternalError, "this node hands out no tickets")
 	}
 	ticket = s.Runner.NewTicket(account.GetName(), s.PeerAddress)
-	return s.Tickets.Seal(ticket), ticket, nil
+	return s.Tickets.Sign(ticket), ticket, nil
 }
 
 // forwardFunc forwards a call to the only incarnation that may run it.
-type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Answer, error)
+type forwardFunc func(ctx context.Context, incarnation, address string) (idempotency.Response, error)
 
 // callOnce runs a call that carries an idempotency key or a ticket.
 func (s *Server) callOnce(ctx context.Context, p *preparedCall, forward forwardFunc) (upstream.CallResponse, error) {
 	if err := s.validateKeyOrTicket(p.call); err != nil {
 		return upstream.CallResponse{}, s.recordRefusal(p.account.GetName(), err)
 	}
-	run := func(ctx context.Context) (idempotency.Answer, error) {
+	run := func(ctx context.Context) (idempotency.Response, error) {
 		answer, err := s.runCall(ctx, p)
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
-	var answer idempotency.Answer
+	var answer idempotency.Response
 	var err error
 	if p.call.Ticket != "" {
 		answer, err = s.runWithTicket(ctx, p, run, forward)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (s *Server) runWithKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+func (s *Server) runWithKey(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Response, error) {
 	keyedCall := idempotency.Call{
 		ID:     idempotency.ID{Account: p.account.GetName(), Key: p.call.IdempotencyKey},
 		Digest: callDigest(p.call),
@@ -79,20 +79,20 @@
 	if forward == nil {
 		return s.Runner.Do(ctx, keyedCall, run, nil)
 	}
-	return s.Runner.Do(ctx, keyedCall, run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, keyedCall, run, func(ctx context.Context, owner string) (idempotency.Response, error) {
 		return forward(ctx, owner, "")
 	})
 }
 
-func (s *Server) runWithTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Answer, error) {
+func (s *Server) runWithTicket(ctx context.Context, p *preparedCall, run idempotency.RunFunc, forward forwardFunc) (idempotency.Response, error) {
 	ticket := &fleetv1.CallTicket{}
-	if s.Tickets == nil || s.Tickets.Open(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
-		return idempotency.Answer{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
+	if s.Tickets == nil || s.Tickets.Verify(p.call.Ticket, ticket) != nil || ticket.GetAccount() != p.account.GetName() {
+		return idempotency.Response{}, result.New(result.InvalidTicket, "the ticket is not one of this account")
 	}
 	if forward == nil {
 		return s.Runner.DoTicket(ctx, ticket, callDigest(p.call), run, nil)
 	}
-	return s.Runner.DoTicket(ctx, ticket, callDigest(p.call), run, func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return s.Runner.DoTicket(ctx, ticket, callDigest(p.call), run, func(ctx context.Context, owner string) (idempotency.Response, error) {
 		return forward(ctx, owner, ticket.GetPeerAddress())
 	})
 }
@@ -115,13 +115,13 @@
 	if s.Peers == nil {
 		return nil
 	}
-	return func(ctx context.Context, incarnation, address string) (idempotency.Answer, error) {
+	return func(ctx context.Context, incarnation, address string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", p.account.GetName(), "key", p.call.IdempotencyKey, "to", incarnation)
 		answer, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
 			Account: p.account.GetName(), Service: p.call.Service, Method: p.call.Method, Path: p.call.Path,
 			Headers: p.call.Headers, Body: p.call.Body, Key: p.call.IdempotencyKey, Ticket: p.call.Ticket,
 		})
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
 }
 
@@ -133,7 +133,7 @@
 	view := s.Config()
 	account := view.Account(f.GetAccount())
 	if account == nil {
-		return upstream.CallResponse{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).Doubt()
+		return upstream.CallResponse{}, result.New(result.UnknownKey, "no account %q on this node yet", f.GetAccount()).WithMayHaveRun()
 	}
 	if f.GetService() == "" {
 		return s.forwardedChat(ctx, account, f)
@@ -143,7 +143,7 @@
 		IdempotencyKey: f.GetKey(), Ticket: f.GetTicket(),
 	})
 	if err != nil {
-		return upstream.CallResponse{}, result.From(err).Doubt()
+		return upstream.CallResponse{}, result.From(err).WithMayHaveRun()
 	}
 	return s.callOnce(ctx, prepared, nil)
 }
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -23,7 +23,7 @@
 func (s *Server) chatOnce(ctx context.Context, call ChatCall, sink Sink) error {
 	account, err := s.authenticate(s.Config(), call.Key)
 	if err != nil {
-		return result.From(s.recordRefusal("", err)).Doubt()
+		return result.From(s.recordRefusal("", err)).WithMayHaveRun()
 	}
 	if err := s.validateKeyOrTicket(call.asServiceCall()); err != nil {
 		return s.recordRefusal(account.GetName(), err)
@@ -39,7 +39,7 @@
 
 // chatOutcome is the result of a completion with an idempotency key.
 type chatOutcome struct {
-	answer idempotency.Answer
+	answer idempotency.Response
 	err    error
 }
 
@@ -48,17 +48,17 @@
 	return ServiceCall{Method: chatMethod, Path: chatPath, Body: c.Body, IdempotencyKey: c.IdempotencyKey}
 }
 
-func (s *Server) runKeyedChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Answer, error) {
+func (s *Server) runKeyedChat(ctx context.Context, account *operatorv1.Account, call ChatCall, recorded *recording, forward idempotency.ForwardFunc) (idempotency.Response, error) {
 	keyedCall := idempotency.Call{
 		ID:     idempotency.ID{Account: account.GetName(), Key: call.IdempotencyKey},
 		Digest: callDigest(call.asServiceCall()),
 	}
-	return s.Runner.Do(ctx, keyedCall, func(ctx context.Context) (idempotency.Answer, error) {
+	return s.Runner.Do(ctx, keyedCall, func(ctx context.Context) (idempotency.Response, error) {
 		if err := s.runChat(ctx, account, call.Body, recorded); err != nil {
-			return idempotency.Answer{}, err
+			return idempotency.Response{}, err
 		}
 		body, err := recorded.encode()
-		return idempotency.Answer{Status: statusOK, Body: body}, err
+		return idempotency.Response{Status: statusOK, Body: body}, err
 	}, forward)
 }
 
@@ -114,12 +114,12 @@
 	if s.Peers == nil {
 		return nil
 	}
-	return func(ctx context.Context, owner string) (idempotency.Answer, error) {
+	return func(ctx context.Context, owner string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", account.GetName(), "key", call.IdempotencyKey, "to", owner)
 		answer, err := s.Peers.Forward(ctx, owner, "", &fleetv1.CallForward{
 			Account: account.GetName(), Method: chatMethod, Path: chatPath, Body: call.Body, Key: call.IdempotencyKey,
 		})
-		return idempotency.Answer(answer), err
+		return idempotency.Response(answer), err
 	}
 }
 
--- a/request/cursor.go
+++ b/request/cursor.go
@@ -30,7 +30,7 @@
 	m.cursor.Next = chunk.Number + 1
 	m.cursor.Usage = m.cursor.Usage || chunk.Usage != nil
 	m.cursor.ExpiresMs = now.Add(cursorLifetime).UnixMilli()
-	return m.signer.Seal(&m.cursor)
+	return m.signer.Sign(&m.cursor)
 }
 
 // openCursor verifies a caller's cursor. A cursor of another account is rejected like a
@@ -38,7 +38,7 @@
 func (s *Server) openCursor(account, text string) (*fleetv1.StreamCursor, error) {
 	cursor := &fleetv1.StreamCursor{}
 	switch {
-	case s.Cursors == nil || s.Cursors.Open(text, cursor) != nil:
+	case s.Cursors == nil || s.Cursors.Verify(text, cursor) != nil:
 		return nil, result.New(result.InvalidCursor, "the event id was not made by this fleet")
 	case cursor.GetAccount() != account:
 		return nil, result.New(result.InvalidCursor, "the event id is of another account")
--- a/request/priority.go
+++ b/request/priority.go
@@ -33,7 +33,7 @@
 	if b.priority == nil {
 		return int(limit)
 	}
-	return int(max(config.LeastPriority, min(*b.priority, limit)))
+	return int(max(config.MinPriority, min(*b.priority, limit)))
 }
 
 // setPriority writes the priority in the order that the service's engines use.
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -21,7 +21,7 @@
 	if refusal.Request != "" {
 		return refusal
 	}
-	refusal = refusal.Of(s.Events.Node() + refusalIDSeparator + strconv.FormatUint(s.refusals.Add(1), 10))
+	refusal = refusal.WithRequest(s.Events.Node() + refusalIDSeparator + strconv.FormatUint(s.refusals.Add(1), 10))
 	fields := []any{"request", refusal.Request, "account", account, "code", uint32(refusal.Code), "why", refusal.Message}
 	if refusal.RetryAfter > 0 {
 		fields = append(fields, event.RetryAfterField, refusal.RetryAfter)
@@ -35,5 +35,5 @@
 	if err == nil {
 		return nil
 	}
-	return result.From(err).Of(request)
+	return result.From(err).WithRequest(request)
 }
--- a/request/refusal_test.go
+++ b/request/refusal_test.go
@@ -25,7 +25,7 @@
 		is.True(strings.HasPrefix(id, n.Events.Node()+refusalIDSeparator))
 		is.True(!seen[id])
 		seen[id] = true
-		found, _ := n.Events.Since(id)
+		found, _ := n.Events.Find(id)
 		is.Equal(len(found), 1)
 		is.Equal(found[0].Number, event.RequestRefused)
 		is.Equal(found[0].Fields["account"], "account")
@@ -41,7 +41,7 @@
 	body, _ := prompt(4)
 	err := n.Chat(context.Background(), chatCall(body), &testSink{stream: true})
 	is.True(err != nil)
-	found, _ := n.Events.Since(result.From(err).Request)
+	found, _ := n.Events.Find(result.From(err).Request)
 	is.True(len(found) > 1) // all its events: admitted, dispatched, failed
 	is.Equal(found[0].Number, event.RequestAdmitted)
 }
--- a/request/server.go
+++ b/request/server.go
@@ -79,7 +79,7 @@
 
 // reserve finds the budget of an account for a service and reserves tokens from it.
 func (s *Server) reserve(ctx context.Context, view *config.View, account, service string, tokens uint64) (budget.Grant, error) {
-	name := view.Budget(account, service)
+	name := view.BudgetName(account, service)
 	if name == "" {
 		return nil, result.New(result.NoBudget, "account %s has no budget for service %s", account, service)
 	}
--- a/request/tokenbound.go
+++ b/request/tokenbound.go
@@ -113,7 +113,7 @@
 func (r *chatRun) chargeOverage(tokens uint64) (unpaid uint64) {
 	ctx, done := clockwork.WithTimeout(context.Background(), r.server.Clock, chargeTimeout)
 	defer done()
-	name := r.server.Config().Budget(r.account.GetName(), r.service.GetName())
+	name := r.server.Config().BudgetName(r.account.GetName(), r.service.GetName())
 	for amount := tokens; amount > 0 && ctx.Err() == nil; amount = min(amount, tokens) {
 		grant, err := r.server.Reserver.Reserve(ctx, name, amount)
 		if err != nil {
--- a/result/error.go
+++ b/result/error.go
@@ -24,15 +24,15 @@
 // NotRun tells that the request certainly did not run at an upstream.
 func (e *Error) NotRun() bool { return e.Code.Info().NotRun && !e.MayHaveRun }
 
-// Doubt returns the error without the claim that nothing ran.
-func (e *Error) Doubt() *Error {
+// WithMayHaveRun returns the error without the claim that nothing ran.
+func (e *Error) WithMayHaveRun() *Error {
 	doubted := *e
 	doubted.MayHaveRun = true
 	return &doubted
 }
 
-// Of returns the error with the id of its request; an id that it has already stays.
-func (e *Error) Of(request string) *Error {
+// WithRequest returns the error with the id of its request; an id that it has already stays.
+func (e *Error) WithRequest(request string) *Error {
 	if e.Request != "" {
 		return e
 	}
@@ -51,8 +51,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns the same error with the time after which a retry can help.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns the same error with the time after which a retry can help.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	later := *e
 	later.RetryAfter = d
 	return &later
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -58,7 +58,7 @@
 	c := pickCall{balancer: b, service: s, table: s.table.Load(), request: request, now: b.clock.Now()}
 	index := c.selectUpstream()
 	if index < 0 {
-		return PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", request.Service).After(c.retryAfter())
+		return PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", request.Service).WithRetryAfter(c.retryAfter())
 	}
 	return b.startAttempt(&c, index), nil
 }
--- a/signed/signer.go
+++ b/signed/signer.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// MinSecret is the least length of a secret, in bytes.
-	MinSecret = 32
-	// MaxText bounds a text that Open looks at, in bytes. A caller's header could
+	// MinSecretLen is the least length of a secret, in bytes.
+	MinSecretLen = 32
+	// MaxTokenLen bounds a text that Open looks at, in bytes. A caller's header could
 	// otherwise make a node decode megabytes.
-	MaxText = 2048
+	MaxTokenLen = 2048
 	// sumBytes of the HMAC are sent: 128 bits can't be guessed within a text's life.
 	sumBytes  = 16
 	separator = '.'
@@ -50,8 +50,8 @@
 	return &Signer{workers: sync.Pool{New: func() any { return &worker{mac: hmac.New(sha256.New, key)} }}}
 }
 
-// Seal returns the message as a signed text.
-func (s *Signer) Seal(message proto.Message) string {
+// Sign returns the message as a signed text.
+func (s *Signer) Sign(message proto.Message) string {
 	w := s.workers.Get().(*worker)
 	defer s.workers.Put(w)
 	var err error
@@ -65,10 +65,10 @@
 	return string(w.text)
 }
 
-// Open reads a text that Seal made into the message, or fails with ErrInvalid.
-func (s *Signer) Open(text string, into proto.Message) error {
+// Verify reads a text that Seal made into the message, or fails with ErrInvalid.
+func (s *Signer) Verify(text string, into proto.Message) error {
 	head, tail, found := strings.Cut(text, string(separator))
-	if !found || len(text) > MaxText {
+	if !found || len(text) > MaxTokenLen {
 		return errors.Trace(ErrInvalid)
 	}
 	content, err := encoding.DecodeString(head)
--- a/snapshot/finder.go
+++ b/snapshot/finder.go
@@ -19,12 +19,12 @@
 	beyondEnd = math.MaxInt64
 )
 
-// ErrNone tells that the log holds no usable snapshot now.
-var ErrNone = errors.New("the log holds no usable snapshot")
+// ErrNoSnapshot tells that the log holds no usable snapshot now.
+var ErrNoSnapshot = errors.New("the log holds no usable snapshot")
 
 // Reader reads records; recordlog.Source is one.
 type Reader interface {
-	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.Slice, error)
+	Read(ctx context.Context, from uint64, max int, wait time.Duration) (ports.ReadResult, error)
 }
 
 // Find reads the log from its oldest record and returns the first usable snapshot
@@ -55,10 +55,10 @@
 		}
 		from = slice.Records[len(slice.Records)-1].Offset + 1
 	}
-	return nil, errors.Trace(ErrNone)
+	return nil, errors.Trace(ErrNoSnapshot)
 }
 
-func scan(collector *Collector, slice ports.Slice, ahead uint64) *recordv1.FoldState {
+func scan(collector *Collector, slice ports.ReadResult, ahead uint64) *recordv1.FoldState {
 	for _, held := range slice.Records {
 		batches, err := record.Decode(held.Data)
 		if err != nil {
--- a/snapshot/tracker.go
+++ b/snapshot/tracker.go
@@ -27,8 +27,8 @@
 	return &Tracker{clock: clock, last: clock.Now()}
 }
 
-// Folded is told of each folded record, in offset order.
-func (t *Tracker) Folded(batch *recordv1.Batch, size int) {
+// HandleFolded is told of each folded record, in offset order.
+func (t *Tracker) HandleFolded(batch *recordv1.Batch, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records++
@@ -55,8 +55,8 @@
 	t.bytes = 0
 }
 
-// Restored tells the tracker that the state was taken from a snapshot.
-func (t *Tracker) Restored(offset uint64) {
+// HandleRestore tells the tracker that the state was taken from a snapshot.
+func (t *Tracker) HandleRestore(offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.offset = max(t.offset, offset)
--- a/tlskeys/authority.go
+++ b/tlskeys/authority.go
@@ -19,14 +19,14 @@
 
 const serialBits = 120
 
-// Pair is a certificate and its key, both PEM.
-type Pair struct {
+// KeyPair is a certificate and its key, both PEM.
+type KeyPair struct {
 	Cert []byte
 	Key  []byte
 }
 
 // NewAuthority makes a fleet's authority, valid from an hour before now.
-func NewAuthority(now time.Time, validity time.Duration) (Pair, error) {
+func NewAuthority(now time.Time, validity time.Duration) (KeyPair, error) {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "lavenderpin fleet authority"},
 		NotBefore:             now.Add(-time.Hour),
@@ -37,16 +37,16 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	return sign(template, template, key, key)
 }
 
 // Issue makes a node's certificate, valid from an hour before now.
-func (p Pair) Issue(now time.Time, validity time.Duration) (Pair, error) {
+func (p KeyPair) Issue(now time.Time, validity time.Duration) (KeyPair, error) {
 	parent, parentKey, err := p.parse()
 	if err != nil {
-		return Pair{}, errors.Annotate(err, "authority")
+		return KeyPair{}, errors.Annotate(err, "authority")
 	}
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "lavenderpin node"},
@@ -58,32 +58,32 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	return sign(template, parent, key, parentKey)
 }
 
-func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (Pair, error) {
+func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (KeyPair, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	template.SerialNumber = serial
 	cert, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
-	return Pair{
+	return KeyPair{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert}),
 		Key:  pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}),
 	}, nil
 }
 
-func (p Pair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func (p KeyPair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certBlock, _ := pem.Decode(p.Cert)
 	keyBlock, _ := pem.Decode(p.Key)
 	if certBlock == nil || keyBlock == nil {
--- a/tlskeys/config.go
+++ b/tlskeys/config.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// Config returns the TLS configuration of a node: it shows its certificate and
+// PeerConfig returns the TLS configuration of a node: it shows its certificate and
 // demands one of the authority from the other side, in both roles.
-func Config(authorityPEM []byte, node Pair) (*tls.Config, error) {
+func PeerConfig(authorityPEM []byte, node KeyPair) (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(node.Cert, node.Key)
 	if err != nil {
 		return nil, errors.Annotate(err, "node certificate")
--- a/tlskeys/store.go
+++ b/tlskeys/store.go
@@ -33,7 +33,7 @@
 // material is what the files held when they were read last.
 type material struct {
 	authority []byte
-	pair      Pair
+	pair      KeyPair
 	config    *tls.Config
 }
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		return false, errors.Trace(err)
 	}
-	var pair Pair
+	var pair KeyPair
 	if pair.Cert, err = os.ReadFile(s.files.Cert); err != nil {
 		return false, errors.Trace(err)
 	}
@@ -73,7 +73,7 @@
 	if held := s.held.Load(); held != nil && held.same(authority, pair) {
 		return false, nil
 	}
-	config, err := Config(authority, pair)
+	config, err := PeerConfig(authority, pair)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
@@ -81,7 +81,7 @@
 	return true, nil
 }
 
-func (m *material) same(authority []byte, pair Pair) bool {
+func (m *material) same(authority []byte, pair KeyPair) bool {
 	return bytes.Equal(m.authority, authority) && bytes.Equal(m.pair.Cert, pair.Cert) && bytes.Equal(m.pair.Key, pair.Key)
 }
 
@@ -100,9 +100,9 @@
 	}
 }
 
-// TLS returns a configuration that looks the keys up anew for each handshake, in
+// PeerConfig returns a configuration that looks the keys up anew for each handshake, in
 // both roles. Connections that stand are not disturbed by a rotation.
-func (s *Store) TLS() *tls.Config {
+func (s *Store) PeerConfig() *tls.Config {
 	return &tls.Config{
 		ServerName: ServerName,
 		MinVersion: tls.VersionTLS13,
@@ -120,9 +120,9 @@
 	}
 }
 
-// ServerTLS returns a configuration for operators: they check the node's
+// OperatorConfig returns a configuration for operators: they check the node's
 // certificate, and identify themselves by token.
-func (s *Store) ServerTLS() *tls.Config {
+func (s *Store) OperatorConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/tlskeys/store_test.go
+++ b/tlskeys/store_test.go
@@ -20,7 +20,7 @@
 	store *Store
 }
 
-func newKeyring(t *testing.T, authorities []Pair, issuer Pair) *keyring {
+func newKeyring(t *testing.T, authorities []KeyPair, issuer KeyPair) *keyring {
 	t.Helper()
 	dir := t.TempDir()
 	k := &keyring{files: Files{filepath.Join(dir, "authority.pem"), filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key")}}
@@ -31,7 +31,7 @@
 	return k
 }
 
-func (k *keyring) write(t *testing.T, authorities []Pair, issuer Pair) {
+func (k *keyring) write(t *testing.T, authorities []KeyPair, issuer KeyPair) {
 	t.Helper()
 	is := is.New(t)
 	var bundle []byte
@@ -45,7 +45,7 @@
 	is.NoErr(os.WriteFile(k.files.Key, pair.Key, 0o600))
 }
 
-func (k *keyring) rotate(t *testing.T, authorities []Pair, issuer Pair) {
+func (k *keyring) rotate(t *testing.T, authorities []KeyPair, issuer KeyPair) {
 	t.Helper()
 	k.write(t, authorities, issuer)
 	changed, err := k.store.Reload()
@@ -53,7 +53,7 @@
 	is.New(t).True(changed)
 }
 
-func authority(t *testing.T) Pair {
+func authority(t *testing.T) KeyPair {
 	t.Helper()
 	pair, err := NewAuthority(time.Now(), validity)
 	is.New(t).NoErr(err)
@@ -85,17 +85,17 @@
 }
 
 func connects(client, server *keyring) bool {
-	clientErr, serverErr := handshake(client.store.TLS(), server.store.TLS())
+	clientErr, serverErr := handshake(client.store.PeerConfig(), server.store.PeerConfig())
 	return clientErr == nil && serverErr == nil
 }
 
 // The fleet's authority is replaced node by node while all of them run. At no point
 // may two nodes refuse each other, or requests that need a peer would fail.
-func TestAuthorityRotatesWithoutARefusal(t *testing.T) {
+func TestAuthorityRotationKeepsPeersConnected(t *testing.T) {
 	is := is.New(t)
 	old, next := authority(t), authority(t)
-	a := newKeyring(t, []Pair{old}, old)
-	b := newKeyring(t, []Pair{old}, old)
+	a := newKeyring(t, []KeyPair{old}, old)
+	b := newKeyring(t, []KeyPair{old}, old)
 	both := func() {
 		t.Helper()
 		is.True(connects(a, b))
@@ -103,9 +103,9 @@
 	}
 	both()
 	for _, step := range []struct {
-		trusted []Pair
-		issuer  Pair
-	}{{[]Pair{old, next}, old}, {[]Pair{old, next}, next}, {[]Pair{next}, next}} {
+		trusted []KeyPair
+		issuer  KeyPair
+	}{{[]KeyPair{old, next}, old}, {[]KeyPair{old, next}, next}, {[]KeyPair{next}, next}} {
 		a.rotate(t, step.trusted, step.issuer)
 		both()
 		b.rotate(t, step.trusted, step.issuer)
@@ -115,15 +115,15 @@
 
 // A node with keys of another fleet, or with none, knocks on the peer port. Were it
 // let in, anyone on the network could spend shares and read events.
-func TestStrangersAreRefused(t *testing.T) {
+func TestUntrustedCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := authority(t), authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	stranger := newKeyring(t, []Pair{ours}, theirs)
+	a := newKeyring(t, []KeyPair{ours}, ours)
+	stranger := newKeyring(t, []KeyPair{ours}, theirs)
 	is.True(!connects(stranger, a))
 	is.True(!connects(a, stranger))
 
-	_, serverErr := handshake(&tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13}, a.store.TLS())
+	_, serverErr := handshake(&tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13}, a.store.PeerConfig())
 	is.True(serverErr != nil) // no certificate at all
 }
 
@@ -131,8 +131,8 @@
 func TestExpiredCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
 	ours := authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	b := newKeyring(t, []Pair{ours}, ours)
+	a := newKeyring(t, []KeyPair{ours}, ours)
+	b := newKeyring(t, []KeyPair{ours}, ours)
 	expired, err := ours.Issue(time.Now().Add(-3*validity), validity)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(b.files.Cert, expired.Cert, 0o600))
@@ -144,11 +144,11 @@
 
 // A rotation is seen halfway: the new certificate stands beside the old key. The
 // node must go on with what it holds; dropping it would cut the node off.
-func TestHalfWrittenFilesLeaveTheHeldKeysInForce(t *testing.T) {
+func TestPartialFileUpdateKeepsCurrentKeys(t *testing.T) {
 	is := is.New(t)
 	ours := authority(t)
-	a := newKeyring(t, []Pair{ours}, ours)
-	b := newKeyring(t, []Pair{ours}, ours)
+	a := newKeyring(t, []KeyPair{ours}, ours)
+	b := newKeyring(t, []KeyPair{ours}, ours)
 	other, err := ours.Issue(time.Now(), validity)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(a.files.Cert, other.Cert, 0o600))
--- a/witness/replicator.go
+++ b/witness/replicator.go
@@ -97,7 +97,7 @@
 		return nil
 	}
 	if r.config.Required || !r.config.LogReachable() {
-		return result.New(result.NoWitness, "no other node could be told of the request").After(retryInterval)
+		return result.New(result.NoWitness, "no other node could be told of the request").WithRetryAfter(retryInterval)
 	}
 	r.config.Events.Record(event.Unwitnessed, "request", open[0].GetRequest())
 	return nil
