--- a/internal/experiment/appends/fleet.go
+++ b/internal/experiment/appends/fleet.go
@@ -32,15 +32,15 @@
 type Fleet struct {
 	Log    *standin.Log
 	Policy gather.Policy
-	// Folded is what took effect. One follower folds for all nodes: every node's fold
+	// Applied is what took effect. One follower folds for all nodes: every node's fold
 	// gives the same, and hundreds of them would only cost time.
-	Folded *Tally
-	// Old says that a node of the fleet reads plain records only.
-	Old atomic.Bool
+	Applied *AppliedReturns
+	// HasPlainReader says that a node of the fleet reads plain records only.
+	HasPlainReader atomic.Bool
 	// OnCall may fail or delay calls between nodes; nil passes them at once.
 	OnCall CallFunc
-	// Views may change what a node sees of the others; nil shows all.
-	Views func(name string, all []membership.Member) []membership.Member
+	// FilterMembers may change what a node sees of the others; nil shows all.
+	FilterMembers func(name string, all []membership.Member) []membership.Member
 
 	ctx   context.Context
 	clock clockwork.Clock
@@ -54,8 +54,8 @@
 
 // NewFleet returns a fleet without nodes, which runs until ctx ends.
 func NewFleet(ctx context.Context, clock clockwork.Clock, policy gather.Policy) *Fleet {
-	f := &Fleet{Log: standin.NewLog(), Policy: policy, Folded: NewTally(), ctx: ctx, clock: clock, nodes: map[string]*Node{}}
-	go recordlog.NewFollower(f.Log, Stream, clock, fold.NewEngine(f.Folded), f.folded).Run(ctx)
+	f := &Fleet{Log: standin.NewLog(), Policy: policy, Applied: NewAppliedReturns(), ctx: ctx, clock: clock, nodes: map[string]*Node{}}
+	go recordlog.NewFollower(f.Log, Stream, clock, fold.NewEngine(f.Applied), f.folded).Run(ctx)
 	return f
 }
 
@@ -75,10 +75,10 @@
 	events := event.NewRecorder(event.NewHLC(f.clock), n.Name(), 100, golog.NewNopLogger())
 	n.Gatherer = gather.NewGatherer(gathered, Stream, f.clock, f.Policy, f.allRead)
 	n.Appender = gather.NewAppender(gather.Config{
-		Self: info, Members: func() []membership.Member { return f.Seen(n.Name()) }, Local: n.Gatherer,
+		Self: info, Members: func() []membership.Member { return f.VisibleMembers(n.Name()) }, Local: n.Gatherer,
 		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, GatheredSupported: f.allRead,
 	})
-	n.Writer = recordlog.NewWriter(alone, Stream, n.Name(), f.clock, events.Clock(), Soon)
+	n.Writer = recordlog.NewWriter(alone, Stream, n.Name(), f.clock, events.Clock(), GatherDelay)
 	n.Writer.SetAppender(n.Appender)
 	ctx, stop := context.WithCancel(f.ctx)
 	n.Stop = stop
@@ -92,7 +92,7 @@
 	return n
 }
 
-func (f *Fleet) allRead() bool { return !f.Old.Load() }
+func (f *Fleet) allRead() bool { return !f.HasPlainReader.Load() }
 
 // Remove takes a node out of what the others see.
 func (f *Fleet) Remove(n *Node) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Seen returns what a node sees of the others.
-func (f *Fleet) Seen(name string) []membership.Member {
+// VisibleMembers returns what a node sees of the others.
+func (f *Fleet) VisibleMembers(name string) []membership.Member {
 	f.mu.Lock()
 	seen := make([]membership.Member, 0, len(f.members))
 	for _, m := range f.members {
@@ -116,8 +116,8 @@
 		}
 	}
 	f.mu.Unlock()
-	if f.Views != nil {
-		return f.Views(name, seen)
+	if f.FilterMembers != nil {
+		return f.FilterMembers(name, seen)
 	}
 	return seen
 }
--- a/internal/experiment/appends/node.go
+++ b/internal/experiment/appends/node.go
@@ -11,9 +11,9 @@
 	"lavenderpin.dev/lavenderpin/recordlog"
 )
 
-// Soon is how long a node's writer gathers before each append, as node.DefaultSettings
+// GatherDelay is how long a node's writer gathers before each append, as node.DefaultSettings
 // has it.
-const Soon = 20 * time.Millisecond
+const GatherDelay = 20 * time.Millisecond
 
 // Node is the part of a node that appends.
 type Node struct {
@@ -35,8 +35,8 @@
 		ShareReturn: &recordv1.ShareReturn{Budget: "casco-reports", Tokens: tokens}}})
 }
 
-// Took submits an entry and returns how long its verdict took.
-func (n *Node) Took(tokens uint64) time.Duration {
+// MeasureSubmit submits an entry and returns how long its verdict took.
+func (n *Node) MeasureSubmit(tokens uint64) time.Duration {
 	began := n.clock.Now()
 	<-n.Submit(tokens).Done()
 	return n.clock.Since(began)
--- a/internal/experiment/appends/run.go
+++ b/internal/experiment/appends/run.go
@@ -66,26 +66,26 @@
 // load settles at each flush and claims at odd moments, as nodes under callers do.
 func (r *run) load(n *Node, number uint64) {
 	random := rand.New(rand.NewPCG(r.options.Seed, number))
-	end := r.clock.Now().Add(r.options.Length)
-	r.clock.Sleep(time.Duration(random.Float64() * float64(r.options.Flush)))
+	end := r.clock.Now().Add(r.options.Duration)
+	r.clock.Sleep(time.Duration(random.Float64() * float64(r.options.FlushDelay)))
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	due, counter := 0.0, uint64(0)
 	for r.clock.Now().Before(end) {
-		due += r.options.Settlements * r.options.Flush.Seconds()
+		due += r.options.SettlementsPerSecond * r.options.FlushDelay.Seconds()
 		if due >= 1 {
 			n.Writer.Submit(settlements(n.Name(), counter, int(due)))
 			counter += uint64(due)
 			due -= float64(int(due))
 		}
-		if random.Float64() < r.options.Claims*r.options.Flush.Seconds() {
-			after := time.Duration(random.Float64() * float64(r.options.Flush))
+		if random.Float64() < r.options.ClaimsPerSecond*r.options.FlushDelay.Seconds() {
+			after := time.Duration(random.Float64() * float64(r.options.FlushDelay))
 			wait.Go(func() {
 				r.clock.Sleep(after)
-				r.note(n.Took(1))
+				r.note(n.MeasureSubmit(1))
 			})
 		}
-		r.clock.Sleep(r.options.Flush)
+		r.clock.Sleep(r.options.FlushDelay)
 	}
 }
 
@@ -110,12 +110,12 @@
 	for _, held := range records {
 		size += len(held.Data)
 	}
-	seconds := r.options.Length.Seconds()
+	seconds := r.options.Duration.Seconds()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := func(quantile float64) time.Duration {
 		return time.Duration(r.latency.ValueAtQuantile(quantile)) * time.Microsecond
 	}
-	return Row{Options: r.options, Claims: r.latency.TotalCount(), AppendsASecond: float64(len(records)) / seconds,
-		BytesASecond: float64(size) / seconds, P50: at(50), P99: at(99), Max: at(100)}
+	return Row{Options: r.options, Claims: r.latency.TotalCount(), AppendsPerSecond: float64(len(records)) / seconds,
+		BytesPerSecond: float64(size) / seconds, P50: at(50), P99: at(99), Max: at(100)}
 }
--- a/internal/experiment/appends/tally.go
+++ b/internal/experiment/appends/tally.go
@@ -7,27 +7,27 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// Tally is a fold.Part that keeps what took effect: the tokens of each share return, by
+// AppliedReturns is a fold.Part that keeps what took effect: the tokens of each share return, by
 // writer and in order. It is safe for concurrent use.
-type Tally struct {
+type AppliedReturns struct {
 	mu     sync.Mutex
 	tokens map[string][]uint64
 }
 
-var _ fold.Part = (*Tally)(nil)
+var _ fold.Part = (*AppliedReturns)(nil)
 
-// NewTally returns an empty tally.
-func NewTally() *Tally { return &Tally{tokens: map[string][]uint64{}} }
+// NewAppliedReturns returns an empty tally.
+func NewAppliedReturns() *AppliedReturns { return &AppliedReturns{tokens: map[string][]uint64{}} }
 
-// Of returns what took effect of one writer's entries.
-func (t *Tally) Of(writer string) []uint64 {
+// Tokens returns what took effect of one writer's entries.
+func (t *AppliedReturns) Tokens(writer string) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]uint64(nil), t.tokens[writer]...)
 }
 
 // Apply implements fold.Part.
-func (t *Tally) Apply(at fold.Position, e *recordv1.Entry) (fold.Verdict, bool) {
+func (t *AppliedReturns) Apply(at fold.Position, e *recordv1.Entry) (fold.Verdict, bool) {
 	if e.GetShareReturn() == nil {
 		return fold.Verdict{}, false
 	}
@@ -38,10 +38,10 @@
 }
 
 // Name implements fold.Part.
-func (t *Tally) Name() string { return "tally" }
+func (t *AppliedReturns) Name() string { return "tally" }
 
 // Snapshot implements fold.Part; a tally has none.
-func (t *Tally) Snapshot() ([]byte, error) { return nil, nil }
+func (t *AppliedReturns) Snapshot() ([]byte, error) { return nil, nil }
 
 // Restore implements fold.Part.
-func (t *Tally) Restore([]byte) error { return nil }
+func (t *AppliedReturns) Restore([]byte) error { return nil }
--- a/internal/experiment/atmostonce/caller.go
+++ b/internal/experiment/atmostonce/caller.go
@@ -29,7 +29,7 @@
 // caller sends one call in one way.
 type caller struct {
 	world  *world
-	way    Way
+	way    Strategy
 	name   string
 	ticket *fleetv1.CallTicket
 	// tries is how often the call was sent, limit how often it may be.
@@ -45,7 +45,7 @@
 		switch {
 		case err == nil:
 			return endAnswered
-		case err == errLost && c.way == WayPlain:
+		case err == errLost && c.way == StrategySendOnce:
 			return endUnknown
 		case err != errLost && result.From(err).NotRun() && c.tries == c.limit:
 			return endNotRun
@@ -64,9 +64,9 @@
 func (c *caller) send(n *node) (idempotency.Response, error) {
 	return n.attend(func() (idempotency.Response, error) {
 		switch c.way {
-		case WayKey:
+		case StrategyKey:
 			return n.byKey(c.name)
-		case WayTicket:
+		case StrategyTicket:
 			if c.ticket == nil {
 				c.ticket = n.runner.NewTicket("account", n.name)
 				return n.byTicket(c.ticket, c.name)
--- a/internal/experiment/atmostonce/options.go
+++ b/internal/experiment/atmostonce/options.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Way is how a caller has its call run.
-type Way string
+// Strategy is how a caller has its call run.
+type Strategy string
 
 // The ways compared.
 const (
-	// WayPlain sends the call once; a lost connection leaves it unknown.
-	WayPlain Way = "no name, sent once"
-	// WayBlind sends it again after a lost connection, as many programs do.
-	WayBlind Way = "no name, sent again"
-	// WayKey names it by a key of the caller's.
-	WayKey Way = "key"
-	// WayTicket names it by a ticket, fetched within the measured time.
-	WayTicket Way = "ticket"
+	// StrategySendOnce sends the call once; a lost connection leaves it unknown.
+	StrategySendOnce Strategy = "no name, sent once"
+	// StrategyBlindRetry sends it again after a lost connection, as many programs do.
+	StrategyBlindRetry Strategy = "no name, sent again"
+	// StrategyKey names it by a key of the caller's.
+	StrategyKey Strategy = "key"
+	// StrategyTicket names it by a ticket, fetched within the measured time.
+	StrategyTicket Strategy = "ticket"
 )
 
-// Scene is what happens around the calls.
-type Scene string
+// Scenario is what happens around the calls.
+type Scenario string
 
 // The scenes.
 const (
-	SceneQuiet  Scene = "quiet"
-	SceneOutage Scene = "log out of reach"
-	SceneKills  Scene = "nodes killed"
+	ScenarioNoFault     Scenario = "quiet"
+	ScenarioLogOutage   Scenario = "log out of reach"
+	ScenarioNodeCrashes Scenario = "nodes killed"
 )
 
 // Options of one run.
@@ -40,16 +40,16 @@
 	Gather time.Duration
 	// ServiceTime is how long a call runs.
 	ServiceTime time.Duration
-	// KillEvery is the time between two kills; CloseAfter is how long it takes until
+	// CrashInterval is the time between two kills; CloseAfter is how long it takes until
 	// the others hold a killed node for ended.
-	KillEvery  time.Duration
-	CloseAfter time.Duration
+	CrashInterval time.Duration
+	CloseDelay    time.Duration
 }
 
 // DefaultOptions returns a run of a few seconds.
 func DefaultOptions() Options {
 	return Options{
 		Seed: 1, Nodes: 6, Callers: 24, Calls: 25, LogDelay: 3 * time.Millisecond, Gather: 20 * time.Millisecond,
-		ServiceTime: 10 * time.Millisecond, KillEvery: 150 * time.Millisecond, CloseAfter: 300 * time.Millisecond,
+		ServiceTime: 10 * time.Millisecond, CrashInterval: 150 * time.Millisecond, CloseDelay: 300 * time.Millisecond,
 	}
 }
--- a/internal/experiment/atmostonce/report.go
+++ b/internal/experiment/atmostonce/report.go
@@ -8,9 +8,9 @@
 
 // Row is what one way came to in one scene.
 type Row struct {
-	Way   Way
-	Scene Scene
-	Calls int
+	Strategy Strategy
+	Scenario Scenario
+	Calls    int
 	// Answered calls brought their answer, at the first try or a later one.
 	Answered int
 	// NotRun calls were refused for good and had not run.
@@ -27,14 +27,14 @@
 	P50, P99 time.Duration
 }
 
-// Print writes rows as a table for docs/MEASUREMENTS.md.
-func Print(w io.Writer, rows []Row) error {
+// WriteMarkdown writes rows as a table for docs/MEASUREMENTS.md.
+func WriteMarkdown(w io.Writer, rows []Row) error {
 	_, err := fmt.Fprint(w, "| Scene | Way | Calls | Answered | Not run | Unknown (of them ran) | Ran twice | False \"not run\" | p50 | p99 |\n|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(w, "| %s | %s | %d | %d | %d | %d (%d) | %d | %d | %s | %s |\n", r.Scene, r.Way, r.Calls, r.Answered, r.NotRun,
+		_, err = fmt.Fprintf(w, "| %s | %s | %d | %d | %d | %d (%d) | %d | %d | %s | %s |\n", r.Scenario, r.Strategy, r.Calls, r.Answered, r.NotRun,
 			r.Unknown, r.UnknownRan, r.DoubleRuns, r.FalseNotRun, r.P50.Round(time.Millisecond/10), r.P99.Round(time.Millisecond/10))
 	}
 	return err
--- a/internal/experiment/atmostonce/run.go
+++ b/internal/experiment/atmostonce/run.go
@@ -17,8 +17,8 @@
 // Run compares all ways in all scenes.
 func Run(options Options) []Row {
 	var rows []Row
-	for _, scene := range []Scene{SceneQuiet, SceneOutage, SceneKills} {
-		for _, way := range []Way{WayPlain, WayBlind, WayKey, WayTicket} {
+	for _, scene := range []Scenario{ScenarioNoFault, ScenarioLogOutage, ScenarioNodeCrashes} {
+		for _, way := range []Strategy{StrategySendOnce, StrategyBlindRetry, StrategyKey, StrategyTicket} {
 			rows = append(rows, one(options, scene, way))
 		}
 	}
@@ -26,19 +26,19 @@
 }
 
 // one lets all callers send their calls in one way.
-func one(options Options, scene Scene, way Way) Row {
+func one(options Options, scene Scenario, way Strategy) Row {
 	w := newWorld(options)
 	defer w.stop()
 	time.Sleep(options.Gather) // followers reach the log's end
-	w.log.SetDown(scene == SceneOutage)
+	w.log.SetDown(scene == ScenarioLogOutage)
 	ended := make(chan struct{})
 	var faults sync.WaitGroup
-	if scene == SceneKills {
+	if scene == ScenarioNodeCrashes {
 		faults.Go(func() { w.keepKilling(ended) })
 	}
-	t := &tally{row: Row{Way: way, Scene: scene}, latency: hdrhistogram.New(lowest, highest, digits)}
+	t := &tally{row: Row{Strategy: way, Scenario: scene}, latency: hdrhistogram.New(lowest, highest, digits)}
 	limit := maxTries
-	if scene == SceneOutage {
+	if scene == ScenarioLogOutage {
 		limit, options.Calls = outageTries, 2
 	}
 	var callers sync.WaitGroup
@@ -61,7 +61,7 @@
 		select {
 		case <-ended:
 			return
-		case <-time.After(w.options.KillEvery):
+		case <-time.After(w.options.CrashInterval):
 			w.killOne()
 		}
 	}
--- a/internal/experiment/atmostonce/world.go
+++ b/internal/experiment/atmostonce/world.go
@@ -97,7 +97,7 @@
 	w.mu.Unlock()
 	old.kill()
 	old.runner.Stop()
-	time.AfterFunc(w.options.CloseAfter, func() {
+	time.AfterFunc(w.options.CloseDelay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.closed[old.name] = true
--- a/internal/experiment/budgets/report.go
+++ b/internal/experiment/budgets/report.go
@@ -28,8 +28,8 @@
 	}
 	for _, r := range rows {
 		if _, err := fmt.Fprintf(w, "| %s | %s | %d | %d | %d | %.3f%% | %d | %d | %d | %d | %s | %.1f | %.0f | %s | %s |\n",
-			r.Fault, r.Strategy, r.Requests, r.Refused, r.FalseEnough, 100*float64(r.FalseEnough)/float64(max(1, r.EnoughLeft)),
-			r.FalseScarce, r.FalseReachable, r.Overspend, r.FrozenPeak, r.FrozenFor, r.AppendsPerSecond, r.CrossingPerSecond, r.P50, r.P99); err != nil {
+			r.Fault, r.Strategy, r.Requests, r.Refused, r.FalseAmple, 100*float64(r.FalseAmple)/float64(max(1, r.AmpleRequests)),
+			r.FalseScarce, r.FalseReachable, r.Overspend, r.FrozenPeak, r.FrozenFor, r.AppendsPerSecond, r.CrossRegionBytesPerSecond, r.P50, r.P99); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/budgets/run.go
+++ b/internal/experiment/budgets/run.go
@@ -14,9 +14,9 @@
 	Requests int
 	// Refused counts all refusals. Of these, False came while the budget had the
 	// request's worst case left somewhere, unreserved: those with 5% of the prepaid
-	// amount or more left, and those with less. EnoughLeft counts requests of budgets
+	// amount or more left, and those with less. AmpleRequests counts requests of budgets
 	// with 5% or more left.
-	Refused, FalseEnough, FalseScarce, EnoughLeft int
+	Refused, FalseAmple, FalseScarce, AmpleRequests int
 	// FalseReachable counts those false refusals whose worst case lay within the reach
 	// of the node that refused.
 	FalseReachable int
@@ -25,8 +25,8 @@
 	// FrozenPeak is the most tokens out of use by a crash, FrozenFor how long any were.
 	FrozenPeak uint64
 	FrozenFor  time.Duration
-	// AppendsPerSecond is what the store took, CrossingPerSecond bytes between regions.
-	AppendsPerSecond, CrossingPerSecond float64
+	// AppendsPerSecond is what the store took, CrossRegionBytesPerSecond bytes between regions.
+	AppendsPerSecond, CrossRegionBytesPerSecond float64
 	// P50 and P99 are the time added before dispatch.
 	P50, P99 time.Duration
 }
@@ -84,7 +84,7 @@
 	}
 	seconds := r.Duration.Seconds()
 	r.row.AppendsPerSecond = float64(r.appends) / seconds
-	r.row.CrossingPerSecond = float64(r.crossing) / seconds
+	r.row.CrossRegionBytesPerSecond = float64(r.crossing) / seconds
 	r.row.P50 = time.Duration(r.added.ValueAtQuantile(50)) * time.Microsecond
 	r.row.P99 = time.Duration(r.added.ValueAtQuantile(99)) * time.Microsecond
 	return r.row
@@ -141,7 +141,7 @@
 	enough := left*20 >= r.prepaid[a.budget]
 	r.row.Requests++
 	if enough {
-		r.row.EnoughLeft++
+		r.row.AmpleRequests++
 	}
 	finish, took := r.strategy.reserve(&r.world, a)
 	if finish == nil {
@@ -163,7 +163,7 @@
 	r.row.Refused++
 	switch {
 	case falsely && enough:
-		r.row.FalseEnough++
+		r.row.FalseAmple++
 	case falsely:
 		r.row.FalseScarce++
 	}
--- a/internal/experiment/fleet/cost.go
+++ b/internal/experiment/fleet/cost.go
@@ -24,8 +24,8 @@
 	PingBytes, ReadBytes, OtherBytes float64
 	// LogBytes a second read from and appended to the log.
 	LogBytes float64
-	// CrossBytes a second that the whole fleet sends between the regions.
-	CrossBytes float64
+	// CrossRegionBytes a second that the whole fleet sends between the regions.
+	CrossRegionBytes float64
 	// CPU is the share of one core.
 	CPU float64
 	// Memory is heap and stacks in bytes.
@@ -51,7 +51,7 @@
 	last, after := c.total()
 	cost.PeerBytes = (last.peer - first.peer) / seconds / float64(count)
 	cost.LogBytes = (last.log - first.log) / seconds / float64(count)
-	cost.CrossBytes = (last.crossed - first.crossed) / seconds
+	cost.CrossRegionBytes = (last.crossed - first.crossed) / seconds
 	each := 1 / seconds / float64(count)
 	cost.Datagrams = (last.datagrams - first.datagrams) * each
 	cost.Pings, cost.Reads = (last.pings-first.pings)*each, (last.reads-first.reads)*each
--- a/internal/experiment/fleet/leaving.go
+++ b/internal/experiment/fleet/leaving.go
@@ -24,8 +24,8 @@
 	leavingPhase = 130 * time.Millisecond
 )
 
-// Leaving is when the last call reached upstreams that leave, counted until its answer.
-type Leaving struct {
+// LeavingLatency is when the last call reached upstreams that leave, counted until its answer.
+type LeavingLatency struct {
 	Nodes, Upstreams, Calls int
 	// Listed is from when the platform's list shows the upstream as leaving, Drained from
 	// the answer to the operator who drains it. In microseconds.
@@ -40,9 +40,9 @@
 	answered map[string]time.Time
 }
 
-// MeasureLeaving lets twice count upstreams leave one after the other, half of them by the
+// MeasureLeavingLatency lets twice count upstreams leave one after the other, half of them by the
 // platform's list and half drained by operators, while every node has a caller.
-func MeasureLeaving(nodes, count int) (Leaving, error) {
+func MeasureLeavingLatency(nodes, count int) (LeavingLatency, error) {
 	options := devfleet.Options{}
 	for i := range nodes {
 		options.Nodes = append(options.Nodes, devfleet.Location{Region: places[i%len(places)].region, DataCentre: places[i%len(places)].centre})
@@ -52,13 +52,13 @@
 	}
 	fleet, err := devfleet.Start(options)
 	if err != nil {
-		return Leaving{}, errors.Trace(err)
+		return LeavingLatency{}, errors.Trace(err)
 	}
 	defer fleet.Stop()
 	f := &leavingFleet{fleet: fleet, answered: map[string]time.Time{}}
 	wanted := fleet.SampleConfig()
 	if err := fleet.Apply(context.Background(), wanted); err != nil {
-		return Leaving{}, errors.Trace(err)
+		return LeavingLatency{}, errors.Trace(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
@@ -68,7 +68,7 @@
 	defer callers.Wait()
 	defer cancel()
 	time.Sleep(leavingWatch)
-	l := Leaving{Nodes: nodes, Upstreams: count, Listed: newHistogram(), Drained: newHistogram()}
+	l := LeavingLatency{Nodes: nodes, Upstreams: count, Listed: newHistogram(), Drained: newHistogram()}
 	var list []*platformv1.Instance
 	for i := range count {
 		list = append(list, &platformv1.Instance{Address: fleet.PlainUpstreams[i].GetAddress(), Role: "upstream",
@@ -79,7 +79,7 @@
 	for i := count; i < 2*count; i++ {
 		fleet.PlainUpstreams[i].Draining = true
 		if err := fleet.Apply(ctx, wanted); err != nil {
-			return Leaving{}, errors.Trace(err)
+			return LeavingLatency{}, errors.Trace(err)
 		}
 		f.watch(i, l.Drained)
 	}
@@ -131,8 +131,8 @@
 	return errors.Trace(err)
 }
 
-// WriteLeaving writes one row.
-func WriteLeaving(w io.Writer, l Leaving) error {
+// WriteLeavingLatency writes one row.
+func WriteLeavingLatency(w io.Writer, l LeavingLatency) error {
 	_, err := fmt.Fprintf(w, "| Nodes | Upstreams each | Calls | Last call after the list shows it, p50 / max ms | After an operator's answer, p50 / max ms |\n|---|---|---|---|---|\n| %d | %d | %d | %.0f / %.0f | %.0f / %.0f |\n",
 		l.Nodes, l.Upstreams, l.Calls, at(l.Listed, 50), at(l.Listed, 100), at(l.Drained, 50), at(l.Drained, 100))
 	return errors.Trace(err)
--- a/internal/experiment/fleet/report.go
+++ b/internal/experiment/fleet/report.go
@@ -47,7 +47,7 @@
 
 func writeCost(w io.Writer, name string, c Cost) error {
 	_, err := fmt.Fprintf(w, "| %s | %.2f | %.2f | %.2f | %.1f | %.2f | %.1f |\n", name, c.PeerBytes/kib, c.MaxPeerBytes/kib,
-		c.LogBytes/kib, c.CrossBytes/kib, c.CPU*percent, c.Memory/mib)
+		c.LogBytes/kib, c.CrossRegionBytes/kib, c.CPU*percent, c.Memory/mib)
 	return err
 }
 
@@ -58,16 +58,16 @@
 		return y + (y-x)/float64(b.Nodes-a.Nodes)*float64(projected-b.Nodes)
 	}
 	return Cost{Nodes: projected, PeerBytes: at(a.PeerBytes, b.PeerBytes), MaxPeerBytes: at(a.MaxPeerBytes, b.MaxPeerBytes),
-		LogBytes: at(a.LogBytes, b.LogBytes), CrossBytes: at(a.CrossBytes, b.CrossBytes), CPU: at(a.CPU, b.CPU), Memory: at(a.Memory, b.Memory)}
+		LogBytes: at(a.LogBytes, b.LogBytes), CrossRegionBytes: at(a.CrossRegionBytes, b.CrossRegionBytes), CPU: at(a.CPU, b.CPU), Memory: at(a.Memory, b.Memory)}
 }
 
-// WriteSpread writes one row for each fleet.
-func WriteSpread(w io.Writer, spreads []Spread) error {
+// WritePropagation writes one row for each fleet.
+func WritePropagation(w io.Writer, spreads []Propagation) error {
 	_, err := fmt.Fprintln(w, "| Nodes | Changes | Accepted p50 / p99 ms | In force p50 / p99 / max ms | On the last node p99 ms | Bytes between regions a change | Read over the link once | Most reads over it |\n|---|---|---|---|---|---|---|---|")
 	for _, s := range spreads {
 		if err == nil {
 			_, err = fmt.Fprintf(w, "| %d | %d | %.1f / %.1f | %.1f / %.1f / %.1f | %.1f | %.0f | %d | %d |\n", s.Nodes, s.Changes,
-				at(s.Accepted, 50), at(s.Accepted, 99), at(s.InForce, 50), at(s.InForce, 99), at(s.InForce, 100), at(s.Everywhere, 99), s.CrossBytes, s.Once, s.Most)
+				at(s.Accepted, 50), at(s.Accepted, 99), at(s.InForce, 50), at(s.InForce, 99), at(s.InForce, 100), at(s.OnLastNode, 99), s.CrossRegionBytes, s.ReadOnce, s.MaxReads)
 		}
 	}
 	return errors.Trace(err)
--- a/internal/experiment/fleet/spread.go
+++ b/internal/experiment/fleet/spread.go
@@ -18,43 +18,43 @@
 	figures      = 3
 )
 
-// Spread is how accepted changes reach all nodes.
-type Spread struct {
+// Propagation is how accepted changes reach all nodes.
+type Propagation struct {
 	Nodes   int
 	Changes int
 	// Accepted is from an operator's call to its answer, InForce from the answer
 	// until the change is in force on a node (0 where it was before the answer), and
-	// Everywhere until it is on the last one. In microseconds.
-	Accepted, InForce, Everywhere *hdrhistogram.Histogram
-	// CrossBytes is what crossed between the regions for each change beyond what the
+	// OnLastNode until it is on the last one. In microseconds.
+	Accepted, InForce, OnLastNode *hdrhistogram.Histogram
+	// CrossRegionBytes is what crossed between the regions for each change beyond what the
 	// fleet sends without changes.
-	CrossBytes float64
-	// Once is how many of the changes were read over the link exactly once, and Most is
+	CrossRegionBytes float64
+	// ReadOnce is how many of the changes were read over the link exactly once, and MaxReads is
 	// how often the one was that was read most.
-	Once, Most int
+	ReadOnce, MaxReads int
 }
 
-// MeasureSpread makes changes one after the other, at nodes in turn.
-func MeasureSpread(count, changes int, delay, pause time.Duration) (Spread, error) {
+// MeasurePropagation makes changes one after the other, at nodes in turn.
+func MeasurePropagation(count, changes int, delay, pause time.Duration) (Propagation, error) {
 	c, err := Start(count, delay)
 	if err != nil {
-		return Spread{}, errors.Trace(err)
+		return Propagation{}, errors.Trace(err)
 	}
 	defer c.Stop()
 	time.Sleep(restBefore)
-	s := Spread{Nodes: count, Changes: changes, Accepted: newHistogram(), InForce: newHistogram(), Everywhere: newHistogram()}
+	s := Propagation{Nodes: count, Changes: changes, Accepted: newHistogram(), InForce: newHistogram(), OnLastNode: newHistogram()}
 	quiet := c.crossedIn(time.Duration(changes) * pause)
 	before, _ := c.total()
 	started := time.Now()
 	for i := range changes {
 		if err := c.change(i, &s); err != nil {
-			return Spread{}, errors.Trace(err)
+			return Propagation{}, errors.Trace(err)
 		}
 		time.Sleep(pause)
 	}
 	after, _ := c.total()
-	s.CrossBytes = (after.crossed - before.crossed - quiet*time.Since(started).Seconds()) / float64(changes)
-	s.Once, s.Most = c.crossings.once()
+	s.CrossRegionBytes = (after.crossed - before.crossed - quiet*time.Since(started).Seconds()) / float64(changes)
+	s.ReadOnce, s.MaxReads = c.crossings.once()
 	return s, nil
 }
 
@@ -73,7 +73,7 @@
 }
 
 // change makes one change and records when each node had it in force.
-func (c *Cluster) change(i int, s *Spread) error {
+func (c *Cluster) change(i int, s *Propagation) error {
 	name := fmt.Sprint("account-", i)
 	var wait sync.WaitGroup
 	times := make([]time.Time, len(c.Nodes))
@@ -103,7 +103,7 @@
 		_ = s.InForce.RecordValue(max(took.Microseconds(), 1))
 	}
 	_ = s.Accepted.RecordValue(max(answered.Sub(asked).Microseconds(), 1))
-	_ = s.Everywhere.RecordValue(max(last.Microseconds(), 1))
+	_ = s.OnLastNode.RecordValue(max(last.Microseconds(), 1))
 	return nil
 }
 
--- a/internal/experiment/routing/bar.go
+++ b/internal/experiment/routing/bar.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Bar is one thing that the design must reach.
-type Bar struct {
+// Criterion is one thing that the design must reach.
+type Criterion struct {
 	Name     string `json:"name"`
 	Holds    bool   `json:"holds"`
 	Measured string `json:"measured"`
@@ -21,8 +21,8 @@
 )
 
 // judge compares the results with the bars of the issue.
-func judge(r Report) []Bar {
-	var bars []Bar
+func judge(r Report) []Criterion {
+	var bars []Criterion
 	for _, scenario := range []string{"load 80%", "load 100%", "load 130%"} {
 		bars = append(bars, r.beatsBaselines(scenario, ""), r.beatsBaselines(scenario, " + admission"))
 	}
@@ -39,8 +39,8 @@
 }
 
 // beatsBaselines compares with the baselines whose names end in suffix.
-func (r Report) beatsBaselines(scenario, suffix string) Bar {
-	ours := r.of(scenario, Ours)
+func (r Report) beatsBaselines(scenario, suffix string) Criterion {
+	ours := r.of(scenario, OwnPolicy)
 	first, goodput := Result{}, Result{}
 	for _, p := range baselines(suffix, nil) {
 		x := r.of(scenario, p.Name)
@@ -52,7 +52,7 @@
 		}
 	}
 	name := strings.TrimSpace("Better p95 first token and goodput than every baseline " + strings.TrimPrefix(suffix, " "))
-	return Bar{
+	return Criterion{
 		Name:  name + ", " + scenario,
 		Holds: ours.FirstP95 < first.FirstP95 && ours.Goodput > goodput.Goodput,
 		Measured: fmt.Sprintf("p95 %.0f ms against %.0f (%s); goodput %.1f/s against %.1f (%s)",
@@ -60,23 +60,23 @@
 	}
 }
 
-func (r Report) overload() []Bar {
-	calm, full := r.of("load 80%", Ours), r.of("load 130%", Ours)
-	crowd := r.of("flash crowd of one account at 80%", Ours)
+func (r Report) overload() []Criterion {
+	calm, full := r.of("load 80%", OwnPolicy), r.of("load 130%", OwnPolicy)
+	crowd := r.of("flash crowd of one account at 80%", OwnPolicy)
 	worst := Result{}
 	for _, x := range r.Results {
-		if x.Policy == Ours && x.Retries >= worst.Retries {
+		if x.Policy == OwnPolicy && x.Retries >= worst.Retries {
 			worst = x
 		}
 	}
-	return []Bar{
+	return []Criterion{
 		{Name: "Goodput at 130% is at least 95% of capacity", Holds: full.Goodput >= leastOverloadGoodput*r.Capacity,
 			Measured: fmt.Sprintf("%.1f/s of %.1f/s: %.1f%%", full.Goodput, r.Capacity, 100*full.Goodput/r.Capacity)},
 		{Name: "p95 first token at 130% is at most twice that at 80%", Holds: full.FirstP95 <= mostOverloadSlowdown*calm.FirstP95,
 			Measured: fmt.Sprintf("%.0f ms against %.0f ms", full.FirstP95, calm.FirstP95)},
-		{Name: "Small accounts are unharmed by the flash crowd", Holds: crowd.SmallGood >= calm.SmallGood-unharmed,
+		{Name: "Small accounts are unharmed by the flash crowd", Holds: crowd.SmallGoodShare >= calm.SmallGoodShare-unharmed,
 			Measured: fmt.Sprintf("%.1f%% of their requests good against %.1f%% without; p95 first token %.0f ms against %.0f ms",
-				100*crowd.SmallGood, 100*calm.SmallGood, crowd.SmallP95, calm.SmallP95)},
+				100*crowd.SmallGoodShare, 100*calm.SmallGoodShare, crowd.SmallP95, calm.SmallP95)},
 		{Name: "Retries add at most 10% load in the worst fault", Holds: worst.Retries <= mostRetryShare,
 			Measured: fmt.Sprintf("%.1f%% (%s)", 100*worst.Retries, worst.Scenario)},
 	}
--- a/internal/experiment/routing/capacity.go
+++ b/internal/experiment/routing/capacity.go
@@ -14,7 +14,7 @@
 func Capacity(seed uint64, seeds int) (perSecond float64, runs []Result) {
 	for _, rate := range saturations {
 		s := Scenario{Name: fmt.Sprintf("saturation at %.0f/s", rate), Load: 1, Seed: seed,
-			Warmup: 30 * time.Second, Length: length, Unbounded: true}
+			Warmup: 30 * time.Second, Length: length, NoDeadlines: true}
 		for _, r := range all(append(Policies(), greedy()), []Scenario{s}, rate, seeds) {
 			runs = append(runs, r)
 			perSecond = max(perSecond, r.Completed)
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -70,7 +70,7 @@
 		Service: serviceName, Region: n.region, Account: c.account.name, Team: c.account.team,
 		PromptTokens: c.prompt, AnswerTokens: meanAnswer, Prefix: c.prefix, Tried: a.tried, Priority: c.priority,
 	}
-	if !n.fleet.tally.scenario.Unbounded {
+	if !n.fleet.tally.scenario.NoDeadlines {
 		a.ask.Deadline = a.arrived.Add(firstTokenDeadline)
 	}
 	n.fleet.tally.offered(c, a.arrived)
--- a/internal/experiment/routing/policy.go
+++ b/internal/experiment/routing/policy.go
@@ -36,14 +36,14 @@
 	LimitLocal(service string, limit int)
 }
 
-// Ours is the name of the policy that nodes run.
-const Ours = "lavenderpin"
+// OwnPolicy is the name of the policy that nodes run.
+const OwnPolicy = "lavenderpin"
 
 // Policies returns ours first, then the baselines, then the baselines behind our
 // admission, which tells apart what the choice and what the admission brings.
 func Policies() []Policy {
 	list := []Policy{
-		{Name: Ours, Picker: newBalancer, Admission: admission.DefaultSettings, RetryBudget: true, Priorities: true},
+		{Name: OwnPolicy, Picker: newBalancer, Admission: admission.DefaultSettings, RetryBudget: true, Priorities: true},
 		{Name: "lavenderpin without admission", Picker: newBalancer, RetryBudget: true},
 	}
 	list = append(list, baselines("", nil)...)
--- a/internal/experiment/routing/priority.go
+++ b/internal/experiment/routing/priority.go
@@ -29,7 +29,7 @@
 }
 
 func priorityScenarios(seed uint64) []Scenario {
-	base := Scenario{Seed: seed, Warmup: warmup, Length: length, Bulk: bulkAccount}
+	base := Scenario{Seed: seed, Warmup: warmup, Length: length, BulkAccount: bulkAccount}
 	var list []Scenario
 	for _, s := range []struct {
 		name  string
@@ -43,7 +43,7 @@
 	} {
 		one := base
 		one.Name, one.Load = s.name, s.load
-		one.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, Extra: s.crowd}
+		one.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, ExtraRate: s.crowd}
 		list = append(list, one)
 	}
 	return list
--- a/internal/experiment/routing/report.go
+++ b/internal/experiment/routing/report.go
@@ -19,8 +19,8 @@
 	Saturation []Result `json:"saturation"`
 	Results    []Result `json:"results"`
 	// Priorities compares telling engines of priorities with not telling them.
-	Priorities []Result `json:"priorities"`
-	Bars       []Bar    `json:"bars"`
+	Priorities []Result    `json:"priorities"`
+	Criteria   []Criterion `json:"bars"`
 }
 
 // NewReport runs everything, with so many seeds from the one given on.
@@ -29,7 +29,7 @@
 	r.Capacity, r.Saturation = Capacity(seed, seeds)
 	r.Results = all(Policies(), Scenarios(seed), r.Capacity, seeds)
 	r.Priorities = Priorities(seed, r.Capacity, seeds)
-	r.Bars = judge(r)
+	r.Criteria = judge(r)
 	return r
 }
 
@@ -39,7 +39,7 @@
 	p.line("# Routing experiment, %d seeds from %d on, pooled\n", r.Seeds, r.Seed)
 	p.line("Capacity: %.1f requests/s (the most that any policy completed at saturation). Times are model time, in ms, of admitted requests.\n", r.Capacity)
 	p.line("| Bar | Holds | Measured |\n|---|---|---|")
-	for _, b := range r.Bars {
+	for _, b := range r.Criteria {
 		p.line("| %s | %s | %s |", b.Name, yesNo(b.Holds), b.Measured)
 	}
 	scenario := ""
@@ -52,7 +52,7 @@
 		}
 		p.line("| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.1f | %.1f | %.1f | %.0f | %.3f | %.1f | %.0f | %.0f | %d | %.1f | %.1f |",
 			x.Policy, x.FirstP50, x.FirstP95, x.FirstP99, x.GapP50, x.GapP95, x.GapP99, x.Goodput, 100*x.Refused, 100*x.Failed,
-			100*x.CacheHit, x.Jain, 100*x.SmallGood, x.SmallP95, x.QueueP95, x.Wasted, 100*x.Retries, x.CrossMB)
+			100*x.CacheHit, x.Jain, 100*x.SmallGoodShare, x.SmallP95, x.QueueP95, x.WastedTokens, 100*x.Retries, x.CrossMB)
 	}
 	r.writePriorities(p)
 	return p.err
--- a/internal/experiment/routing/run.go
+++ b/internal/experiment/routing/run.go
@@ -32,20 +32,20 @@
 	BulkP95       float64 `json:"bulk_first_token_p95_ms"`
 	BulkGoodput   float64 `json:"bulk_goodput_per_second"`
 	// Goodput counts requests answered whole within the deadlines, per second.
-	Goodput float64 `json:"goodput_per_second"`
-	Offered float64 `json:"offered_per_second"`
-	Whole   float64 `json:"whole_per_second"`
+	Goodput  float64 `json:"goodput_per_second"`
+	Offered  float64 `json:"offered_per_second"`
+	Answered float64 `json:"whole_per_second"`
 	// Completed counts all answers that ended within the measured time, per second.
 	Completed float64 `json:"completed_per_second"`
 	Refused   float64 `json:"refused_share"`
 	Failed    float64 `json:"failed_share"`
 	CacheHit  float64 `json:"cache_hit_share"`
 	Jain      float64 `json:"jain_over_teams"`
-	// SmallGood is the share of the small accounts' requests that were good.
-	SmallGood float64 `json:"small_accounts_good_share"`
-	Wasted    int     `json:"wasted_tokens"`
-	Retries   float64 `json:"retry_share"`
-	CrossMB   float64 `json:"cross_region_mb"`
+	// SmallGoodShare is the share of the small accounts' requests that were good.
+	SmallGoodShare float64 `json:"small_accounts_good_share"`
+	WastedTokens   int     `json:"wasted_tokens"`
+	Retries        float64 `json:"retry_share"`
+	CrossMB        float64 `json:"cross_region_mb"`
 }
 
 // drainTime is run on after the last arrival, so that open requests can end.
@@ -106,7 +106,7 @@
 	set := func(on bool) func() {
 		return func() {
 			f.link.cut = on && s.CutLink
-			for name, faults := range s.Sick {
+			for name, faults := range s.Faults {
 				if !on {
 					faults = enginemodel.Faults{}
 				}
@@ -129,12 +129,12 @@
 		GapP50: ms(t.gaps, 50), GapP95: ms(t.gaps, 95), GapP99: ms(t.gaps, 99), SmallP95: ms(t.small, 95), QueueP95: ms(t.queue, 95),
 		UrgentP50: ms(t.urgent, 50), UrgentP95: ms(t.urgent, 95), UrgentP99: ms(t.urgent, 99), UrgentGoodput: float64(t.urgentGood) / seconds,
 		BulkP50: ms(t.bulk, 50), BulkP95: ms(t.bulk, 95), BulkGoodput: float64(t.bulkGood) / seconds,
-		Goodput: float64(t.good) / seconds, Offered: float64(t.arrivals) / seconds, Whole: float64(t.whole) / seconds,
+		Goodput: float64(t.good) / seconds, Offered: float64(t.arrivals) / seconds, Answered: float64(t.whole) / seconds,
 		Completed: float64(t.completed) / seconds,
 		Refused:   float64(t.turnedAway) / arrivals, Failed: float64(t.failures) / arrivals,
 		CacheHit: float64(t.cached) / float64(max(t.prompt, 1)),
-		Jain:     jain(t.asked, t.served), SmallGood: float64(t.smallGood) / float64(max(t.smallArrivals, 1)),
-		Wasted: t.wasted / seeds, Retries: float64(t.retries) / arrivals, CrossMB: t.linkBytes / 1e6 / float64(seeds),
+		Jain:     jain(t.asked, t.served), SmallGoodShare: float64(t.smallGood) / float64(max(t.smallArrivals, 1)),
+		WastedTokens: t.wasted / seeds, Retries: float64(t.retries) / arrivals, CrossMB: t.linkBytes / 1e6 / float64(seeds),
 	}
 }
 
--- a/internal/experiment/routing/run_test.go
+++ b/internal/experiment/routing/run_test.go
@@ -13,7 +13,7 @@
 }
 
 // Figures that changed from run to run could not decide between two ways.
-func TestOneSeedGivesOneResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	for _, p := range Policies() {
 		is.Equal(Run(p, short(1), 40, 1), Run(p, short(1), 40, 1))
@@ -22,7 +22,7 @@
 
 // Overload is an ordinary day: without admission every request is late, so that nothing
 // is answered in time, although the engines are busy all the while.
-func TestOverloadLeavesGoodputWithAdmissionOnly(t *testing.T) {
+func TestAdmissionKeepsGoodputUnderOverload(t *testing.T) {
 	is := is.New(t)
 	policies := Policies()
 	ours, without := Run(policies[0], short(1), 90, 1), Run(policies[1], short(1), 90, 1)
@@ -31,7 +31,7 @@
 	is.Equal(ours.Failed, 0.0)
 }
 
-func TestFairnessIsJudgedByMaxMinShares(t *testing.T) {
+func TestJainIndexUsesMaxMinShares(t *testing.T) {
 	is := is.New(t)
 	asked := map[string]float64{"small": 10, "large": 200, "larger": 400}
 	is.Equal(maxMin(asked, 110), map[string]float64{"small": 10, "large": 50, "larger": 50})
@@ -41,10 +41,10 @@
 
 // A large account floods the engines with bulk work. Told of priorities, the engines
 // begin urgent requests first; else those wait behind the bulk work.
-func TestToldEnginesServeUrgentRequestsFirst(t *testing.T) {
+func TestEnginesWithPrioritiesServeUrgentRequestsFirst(t *testing.T) {
 	is := is.New(t)
 	flood := short(1)
-	flood.Bulk, flood.Crowd = bulkAccount, Crowd{From: 5 * time.Second, To: 25 * time.Second, Extra: 1}
+	flood.BulkAccount, flood.Crowd = bulkAccount, Crowd{From: 5 * time.Second, To: 25 * time.Second, ExtraRate: 1}
 	for _, policies := range [][]Policy{priorityPolicies()[:2], priorityPolicies()[2:]} {
 		untold, told := Run(policies[0], flood, 50, 2), Run(policies[1], flood, 50, 2)
 		is.True(told.UrgentP95 < untold.UrgentP95)
--- a/internal/experiment/routing/scenario.go
+++ b/internal/experiment/routing/scenario.go
@@ -14,9 +14,9 @@
 	Seed   uint64
 	Warmup time.Duration
 	Length time.Duration
-	// Sick engines get their faults at Onset after the warm-up, and lose them at
+	// Faults engines get their faults at Onset after the warm-up, and lose them at
 	// Recovery if that is set.
-	Sick     map[string]enginemodel.Faults
+	Faults   map[string]enginemodel.Faults
 	Onset    time.Duration
 	Recovery time.Duration
 	// CutLink cuts the regions apart from Onset to Recovery.
@@ -24,10 +24,10 @@
 	Crowd   Crowd
 	// NearShare of the calls come in at the near region; 0 means its share of engines.
 	NearShare float64
-	// Bulk names an account whose priority is lower than that of all others.
-	Bulk string
-	// Unbounded drops the deadlines, to measure capacity.
-	Unbounded bool
+	// BulkAccount names an account whose priority is lower than that of all others.
+	BulkAccount string
+	// NoDeadlines drops the deadlines, to measure capacity.
+	NoDeadlines bool
 }
 
 func (s Scenario) nearShare() float64 {
@@ -40,14 +40,14 @@
 // Crowd is a surge of requests from the largest account.
 type Crowd struct {
 	From, To time.Duration
-	// Extra requests, as a multiple of the normal rate of all.
-	Extra float64
+	// ExtraRate requests, as a multiple of the normal rate of all.
+	ExtraRate float64
 }
 
 func (c Crowd) extra(second float64) float64 {
 	at := time.Duration(second * float64(time.Second))
 	if at >= c.From && at < c.To {
-		return c.Extra
+		return c.ExtraRate
 	}
 	return 0
 }
@@ -71,7 +71,7 @@
 		return s
 	}
 	sick := func(faults enginemodel.Faults) func(*Scenario) {
-		return func(s *Scenario) { s.Sick = map[string]enginemodel.Faults{near + "-0": faults} }
+		return func(s *Scenario) { s.Faults = map[string]enginemodel.Faults{near + "-0": faults} }
 	}
 	return []Scenario{
 		with("load 50%", 0.5, nil),
@@ -89,7 +89,7 @@
 			s.NearShare, s.CutLink, s.Recovery = hotShare, true, 40*time.Second
 		}),
 		with("flash crowd of one account at 80%", 0.8, func(s *Scenario) {
-			s.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, Extra: 1}
+			s.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, ExtraRate: 1}
 		}),
 	}
 }
--- a/internal/experiment/routing/workload.go
+++ b/internal/experiment/routing/workload.go
@@ -88,7 +88,7 @@
 		c.region = near
 	}
 	c.prefix, c.prompt = w.promptOf(c.account)
-	if w.scenario.Bulk != "" && c.account.name == w.scenario.Bulk {
+	if w.scenario.BulkAccount != "" && c.account.name == w.scenario.BulkAccount {
 		c.priority = bulkPriority
 	}
 	return c
