--- a/internal/experiment/budgets/central.go
+++ b/internal/experiment/budgets/central.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// centralCounter asks one counter at the store for each reservation and tells it of
-// each end. Without the store nothing is served.
+// centralCounter keeps every budget in one counter at the store. Each reservation and
+// each settlement is a call to it; while the store is unreachable, all requests fail.
 type centralCounter struct {
-	available [budgets]uint64
-	total     [budgets]uint64
-	// lost holds reservations of crashed nodes, which nobody gives back.
-	lost uint64
-	open [nodes]uint64
+	available   [numBudgets]uint64
+	spentTokens [numBudgets]uint64
+	// lostReservations sums the reservations of crashed nodes, which are never released.
+	lostReservations uint64
+	reserved         [numNodes]uint64
 }
 
 func (c *centralCounter) name() string { return "central counter" }
 
-func (c *centralCounter) topUp(_ *world, budget int, tokens uint64) { c.available[budget] += tokens }
+func (c *centralCounter) topUp(_ *fleetModel, budget int, tokens uint64) {
+	c.available[budget] += tokens
+}
 
-func (c *centralCounter) exchange(w *world, node int) {
-	w.appends++
-	if far(node) {
-		w.crossing += askBytes
+func (c *centralCounter) exchange(m *fleetModel, node int) {
+	m.appends++
+	if isFar(node) {
+		m.crossRegionBytes += exchangeBytes
 	}
 }
 
-func (c *centralCounter) reserve(w *world, a arrival) (func(uint64), time.Duration) {
-	if !w.reachesLog(a.node) {
+func (c *centralCounter) reserve(m *fleetModel, a arrival) (func(uint64), time.Duration) {
+	if !m.reachesLog(a.node) {
 		return nil, 0
 	}
-	c.exchange(w, a.node)
-	took := 2*w.toLog(a.node) + appendDelay
+	c.exchange(m, a.node)
+	took := 2*m.logDelay(a.node) + appendDelay
 	if c.available[a.budget] < a.reserve {
 		return nil, took
 	}
 	c.available[a.budget] -= a.reserve
-	c.open[a.node] += a.reserve
+	c.reserved[a.node] += a.reserve
 	return func(used uint64) {
-		c.exchange(w, a.node)
-		c.open[a.node] -= a.reserve
+		c.exchange(m, a.node)
+		c.reserved[a.node] -= a.reserve
 		c.available[a.budget] += a.reserve - used
-		c.total[a.budget] += used
+		c.spentTokens[a.budget] += used
 	}, took
 }
 
-func (c *centralCounter) second(*world) {}
+func (c *centralCounter) tick(*fleetModel) {}
 
-func (c *centralCounter) crash(_ *world, node int) { c.lost += c.open[node] }
+func (c *centralCounter) crash(_ *fleetModel, node int) { c.lostReservations += c.reserved[node] }
 
-func (c *centralCounter) frozen(*world) uint64 { return c.lost }
+func (c *centralCounter) frozen(*fleetModel) uint64 { return c.lostReservations }
 
-func (c *centralCounter) spent(budget int) uint64 { return c.total[budget] }
+func (c *centralCounter) spent(budget int) uint64 { return c.spentTokens[budget] }
 
-func (c *centralCounter) reachable(w *world, node, budget int) uint64 {
-	if !w.reachesLog(node) {
+func (c *centralCounter) reachable(m *fleetModel, node, budget int) uint64 {
+	if !m.reachesLog(node) {
 		return 0
 	}
 	return c.available[budget]
--- a/internal/experiment/budgets/report_test.go
+++ b/internal/experiment/budgets/report_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// The same load is played on the fleet's policies and the baselines, with the
-// regions cut and with a crash. No account may end above its budget, and
-// the fleet must refuse less than either baseline while the cut lasts.
-func TestComparison(t *testing.T) {
+// Runs one load on the fleet's policies and the baselines, without a fault, with the
+// regions partitioned and with a node crash. No budget may be overspent, and the fleet
+// must refuse fewer requests falsely than either baseline during the partition.
+func TestStrategiesNeverOverspend(t *testing.T) {
 	is := is.New(t)
 	rows := map[string]Row{}
 	for _, r := range Compare(1, 45*time.Minute, 3) {
@@ -19,9 +19,9 @@
 	}
 	for _, policy := range []string{"endurance", "thrift"} {
 		r := rows["normal/"+policy]
-		is.True(r.FalseEnough*1000 < r.EnoughLeft)
+		is.True(r.FalseAmple*1000 < r.AmpleRequests)
 	}
-	ours := rows["region cut/endurance"].FalseEnough
-	is.True(ours < rows["region cut/static equal split"].FalseEnough)
-	is.True(ours < rows["region cut/central counter"].FalseEnough)
+	fleetRefusals := rows["region cut/endurance"].FalseAmple
+	is.True(fleetRefusals < rows["region cut/static equal split"].FalseAmple)
+	is.True(fleetRefusals < rows["region cut/central counter"].FalseAmple)
 }
--- a/internal/experiment/budgets/run.go
+++ b/internal/experiment/budgets/run.go
@@ -7,72 +7,74 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Row is what one strategy did under one scenario.
+// Row is the result of one strategy under one scenario.
 type Row struct {
 	Strategy string
 	Fault    Fault
 	Requests int
-	// Refused counts all refusals. Of these, False came while the budget had the
-	// request's worst case left somewhere, unreserved: those with 5% of the prepaid
-	// amount or more left, and those with less. EnoughLeft counts requests of budgets
-	// with 5% or more left.
-	Refused, FalseEnough, FalseScarce, EnoughLeft int
-	// FalseReachable counts those false refusals whose worst case lay within the reach
-	// of the node that refused.
+	// Refused counts all refusals. A refusal is false if the budget still had enough
+	// unreserved tokens anywhere for the request's worst case: FalseAmple counts those
+	// with at least 5% of the prepaid amount left, FalseScarce those with less.
+	// AmpleRequests counts all requests to budgets with at least 5% left.
+	Refused, FalseAmple, FalseScarce, AmpleRequests int
+	// FalseReachable counts the false refusals where the refusing node could have
+	// reached enough tokens for the worst case.
 	FalseReachable int
-	// Overspend is tokens beyond what was prepaid, over all budgets.
+	// Overspend is the number of tokens spent beyond the prepaid amounts, over all budgets.
 	Overspend uint64
-	// FrozenPeak is the most tokens out of use by a crash, FrozenFor how long any were.
+	// FrozenPeak is the maximum number of tokens made unusable by a crash, FrozenFor
+	// how long any were.
 	FrozenPeak uint64
 	FrozenFor  time.Duration
-	// AppendsPerSecond is what the store took, CrossingPerSecond bytes between regions.
-	AppendsPerSecond, CrossingPerSecond float64
-	// P50 and P99 are the time added before dispatch.
+	// AppendsPerSecond is the store's append rate, CrossRegionBytesPerSecond the traffic
+	// between regions.
+	AppendsPerSecond, CrossRegionBytesPerSecond float64
+	// P50 and P99 are percentiles of the latency added before dispatch.
 	P50, P99 time.Duration
 }
 
-type ending struct {
+type completion struct {
 	at     time.Duration
 	node   int
 	finish func(used uint64)
 	used   uint64
 }
 
-type endings []ending
+type completions []completion
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q completions) Len() int           { return len(q) }
+func (q completions) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q completions) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *completions) Push(x any)        { *q = append(*q, x.(completion)) }
+func (q *completions) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// run is one strategy under one scenario in progress.
+// run simulates one strategy under one scenario.
 type run struct {
-	world
-	strategy strategy
-	row      Row
-	added    *hdrhistogram.Histogram
-	endings  endings
-	topUps   []topUp
-	prepaid  [budgets]uint64
-	reserved [budgets]uint64
-	tick     time.Duration
+	fleetModel
+	strategy    strategy
+	row         Row
+	added       *hdrhistogram.Histogram
+	completions completions
+	topUps      []topUp
+	prepaid     [numBudgets]uint64
+	reserved    [numBudgets]uint64
+	nextTick    time.Duration
 }
 
-func newRun(s Scenario, by strategy) *run {
+func newRun(s Scenario, strat strategy) *run {
 	return &run{
-		world: world{Scenario: s}, strategy: by, row: Row{Strategy: by.name(), Fault: s.Fault},
+		fleetModel: fleetModel{Scenario: s}, strategy: strat, row: Row{Strategy: strat.name(), Fault: s.Fault},
 		added: hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3),
 	}
 }
 
-func (r *run) all() Row {
+func (r *run) execute() Row {
 	var arrivals []arrival
-	arrivals, r.topUps = r.load()
+	arrivals, r.topUps = r.generateLoad()
 	for _, a := range arrivals {
 		r.advance(a.at)
 		r.arrive(a)
@@ -84,49 +86,49 @@
 	}
 	seconds := r.Duration.Seconds()
 	r.row.AppendsPerSecond = float64(r.appends) / seconds
-	r.row.CrossingPerSecond = float64(r.crossing) / seconds
+	r.row.CrossRegionBytesPerSecond = float64(r.crossRegionBytes) / seconds
 	r.row.P50 = time.Duration(r.added.ValueAtQuantile(50)) * time.Microsecond
 	r.row.P99 = time.Duration(r.added.ValueAtQuantile(99)) * time.Microsecond
 	return r.row
 }
 
-// advance lets everything happen that is due by then, in order of time.
+// advance processes all events due up to the given time, in chronological order.
 func (r *run) advance(to time.Duration) {
 	for {
-		next := r.tick
-		if len(r.endings) > 0 {
-			next = min(next, r.endings[0].at)
+		next := r.nextTick
+		if len(r.completions) > 0 {
+			next = min(next, r.completions[0].at)
 		}
 		if next > to {
 			r.now = to
 			return
 		}
 		r.now = next
-		if len(r.endings) > 0 && r.endings[0].at == next {
-			r.end(heap.Pop(&r.endings).(ending))
+		if len(r.completions) > 0 && r.completions[0].at == next {
+			r.complete(heap.Pop(&r.completions).(completion))
 			continue
 		}
-		r.second()
-		r.tick += time.Second
+		r.tick()
+		r.nextTick += time.Second
 	}
 }
 
-// end finishes a request. One whose node died is left to recovery, which finishes it
-// from what the engine counted.
-func (r *run) end(e ending) { e.finish(e.used) }
+// complete settles a request. If its node crashed, recovery settles it instead, from the
+// engine's token count, so both cases are the same here.
+func (r *run) complete(c completion) { c.finish(c.used) }
 
-func (r *run) second() {
+func (r *run) tick() {
 	for len(r.topUps) > 0 && r.topUps[0].at <= r.now {
 		r.prepaid[r.topUps[0].budget] += r.topUps[0].tokens
-		r.strategy.topUp(&r.world, r.topUps[0].budget, r.topUps[0].tokens)
+		r.strategy.topUp(&r.fleetModel, r.topUps[0].budget, r.topUps[0].tokens)
 		r.topUps = r.topUps[1:]
 	}
 	if crashed := 1; r.Fault == NodeCrash && r.now >= r.faultStart() && !r.dead[crashed] {
 		r.dead[crashed] = true
-		r.strategy.crash(&r.world, crashed)
+		r.strategy.crash(&r.fleetModel, crashed)
 	}
-	r.strategy.second(&r.world)
-	if frozen := r.strategy.frozen(&r.world); frozen > 0 {
+	r.strategy.tick(&r.fleetModel)
+	if frozen := r.strategy.frozen(&r.fleetModel); frozen > 0 {
 		r.row.FrozenPeak = max(r.row.FrozenPeak, frozen)
 		r.row.FrozenFor += time.Second
 	}
@@ -134,36 +136,36 @@
 
 func (r *run) arrive(a arrival) {
 	if r.dead[a.node] {
-		a.node = witnessOf(a.node) // callers go on to another address
+		a.node = witnessFor(a.node) // callers retry at another address
 	}
 	spent := r.strategy.spent(a.budget)
 	left := r.prepaid[a.budget] - min(r.prepaid[a.budget], spent+r.reserved[a.budget])
-	enough := left*20 >= r.prepaid[a.budget]
+	ample := left*20 >= r.prepaid[a.budget]
 	r.row.Requests++
-	if enough {
-		r.row.EnoughLeft++
+	if ample {
+		r.row.AmpleRequests++
 	}
-	finish, took := r.strategy.reserve(&r.world, a)
+	finish, took := r.strategy.reserve(&r.fleetModel, a)
 	if finish == nil {
-		r.refuse(left >= a.reserve, enough)
-		if r.strategy.reachable(&r.world, a.node, a.budget) >= a.reserve {
+		r.recordRefusal(left >= a.reserve, ample)
+		if r.strategy.reachable(&r.fleetModel, a.node, a.budget) >= a.reserve {
 			r.row.FalseReachable++
 		}
 		return
 	}
 	_ = r.added.RecordValue(max(1, took.Microseconds()))
 	r.reserved[a.budget] += a.reserve
-	heap.Push(&r.endings, ending{a.at + a.duration, a.node, func(used uint64) {
+	heap.Push(&r.completions, completion{a.at + a.duration, a.node, func(used uint64) {
 		r.reserved[a.budget] -= a.reserve
 		finish(used)
 	}, a.used})
 }
 
-func (r *run) refuse(falsely, enough bool) {
+func (r *run) recordRefusal(falsely, ample bool) {
 	r.row.Refused++
 	switch {
-	case falsely && enough:
-		r.row.FalseEnough++
+	case falsely && ample:
+		r.row.FalseAmple++
 	case falsely:
 		r.row.FalseScarce++
 	}
--- a/internal/experiment/budgets/scenario.go
+++ b/internal/experiment/budgets/scenario.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Fault is what happens to the modelled fleet.
+// Fault is a failure injected into the simulated fleet.
 type Fault string
 
-// The faults of the comparison.
+// Faults that Compare injects.
 const (
 	NoFault   Fault = "normal"
 	RegionCut Fault = "region cut"
@@ -17,44 +17,46 @@
 )
 
 const (
-	nearNodes = 4
-	farNodes  = 2
-	nodes     = nearNodes + farNodes
-	budgets   = 50
+	nearNodes  = 4
+	farNodes   = 2
+	numNodes   = nearNodes + farNodes
+	numBudgets = 50
 
-	// Latencies and sizes of the brief: between data centres and between regions, one way.
+	// Latencies and sizes as specified for the deployment. The latencies are one-way,
+	// between data centres and between regions.
 	dcDelay     = 1500 * time.Microsecond
 	regionDelay = 30 * time.Millisecond
-	// appendDelay is what the store takes for an append, assumed.
+	// appendDelay is the assumed latency of an append at the store.
 	appendDelay = 5 * time.Millisecond
-	// gather is how long entries wait for their batch.
-	gather = 20 * time.Millisecond
-	// flush is how often a node with settlements appends.
-	flush = 200 * time.Millisecond
-	beat  = 5 * time.Second
-	chunk = 20_000
+	// gatherDelay is how long entries wait for their batch to be appended.
+	gatherDelay = 20 * time.Millisecond
+	// flushInterval is the shortest time between two appends of a node with settlements.
+	flushInterval     = 200 * time.Millisecond
+	heartbeatInterval = 5 * time.Second
+	claimChunk        = 20_000
 
-	// askBytes is a request and its answer between two nodes; entryBytes one entry in
-	// the log and batchBytes what a batch adds. Both are sizes of the real messages.
-	askBytes   = 130
-	entryBytes = 64
-	batchBytes = 50
+	// exchangeBytes is the size of a request and its response between two nodes,
+	// entryBytes that of one log entry and batchBytes the overhead of a batch. They are
+	// the sizes of the real messages.
+	exchangeBytes = 130
+	entryBytes    = 64
+	batchBytes    = 50
 )
 
-// Scenario is one load and one fault.
+// Scenario is a generated load combined with one fault.
 type Scenario struct {
 	Seed     uint64
 	Fault    Fault
 	Duration time.Duration
-	// Rate is requests per second over the whole fleet.
+	// Rate is the number of requests per second over the whole fleet.
 	Rate float64
 }
 
 func (s Scenario) faultStart() time.Duration { return s.Duration / 6 }
 func (s Scenario) faultEnd() time.Duration   { return s.Duration * 4 / 6 }
 
-// far tells whether a node stands in the region without the store.
-func far(node int) bool { return node >= nearNodes }
+// isFar reports whether a node is in the region without the store.
+func isFar(node int) bool { return node >= nearNodes }
 
 type arrival struct {
 	at       time.Duration
@@ -71,23 +73,23 @@
 	tokens uint64
 }
 
-// load draws arrivals and top-ups. Budgets are drawn by a zipf law; each has a home
-// region from which four in five of its requests come. Every third budget is paid
-// for only 85% of what it will want, half of it at the start and half by top-ups,
-// so it runs dry now and then.
-func (s Scenario) load() ([]arrival, []topUp) {
+// generateLoad draws arrivals and top-ups. Budgets follow a Zipf distribution; each has a
+// home region where four in five of its requests arrive. Every third budget is prepaid
+// for only 85% of its demand, the others for 130%; half is paid at the start and half
+// by top-ups, so that the former run out now and then.
+func (s Scenario) generateLoad() ([]arrival, []topUp) {
 	random := rand.New(rand.NewPCG(s.Seed, 7))
-	zipf := rand.NewZipf(random, 1.3, 4, budgets-1)
+	zipf := rand.NewZipf(random, 1.3, 4, numBudgets-1)
 	var arrivals []arrival
-	wanted := [budgets]uint64{}
+	demand := [numBudgets]uint64{}
 	for at := time.Duration(0); at < s.Duration; {
 		at += time.Duration(random.ExpFloat64() / s.Rate * float64(time.Second))
-		a := s.draw(random, at, int(zipf.Uint64()))
-		wanted[a.budget] += a.used
+		a := s.drawArrival(random, at, int(zipf.Uint64()))
+		demand[a.budget] += a.used
 		arrivals = append(arrivals, a)
 	}
 	var topUps []topUp
-	for budget, tokens := range wanted {
+	for budget, tokens := range demand {
 		paid := tokens * 13 / 10
 		if budget%3 == 0 {
 			paid = tokens * 85 / 100
@@ -101,13 +103,13 @@
 	return arrivals, topUps
 }
 
-func (s Scenario) draw(random *rand.Rand, at time.Duration, budget int) arrival {
-	home := budget%3 == 1
+func (s Scenario) drawArrival(random *rand.Rand, at time.Duration, budget int) arrival {
+	fromFar := budget%3 == 1
 	if random.IntN(5) == 0 {
-		home = !home
+		fromFar = !fromFar
 	}
 	node := random.IntN(nearNodes)
-	if home {
+	if fromFar {
 		node = nearNodes + random.IntN(farNodes)
 	}
 	prompt, answer := uint64(50+random.IntN(400)), uint64(100+random.IntN(500))
--- a/internal/experiment/budgets/shares.go
+++ b/internal/experiment/budgets/shares.go
@@ -14,28 +14,29 @@
 	"lavenderpin.dev/lavenderpin/fold"
 )
 
-// shares is the fleet's own way, under one policy.
+// shares is the production strategy: each node holds a share of every budget it uses,
+// sized by a budget.Policy.
 type shares struct {
-	policy  budget.Policy
-	clock   *clockwork.FakeClock
-	ledger  *budget.Ledger
-	holders [nodes]*budget.ShareHolder
-	offset  uint64
-	states  [nodes]map[string]*budget.SizingState
-	lacked  [nodes]map[string]uint64
-	// queued counts entries of a node that no second has appended yet.
-	queued   [nodes]int
-	total    [budgets]uint64
-	closedAt [nodes]time.Duration
-	topUps   int
+	policy    budget.Policy
+	clock     *clockwork.FakeClock
+	ledger    *budget.Ledger
+	holders   [numNodes]*budget.ShareHolder
+	offset    uint64
+	states    [numNodes]map[string]*budget.SizingState
+	shortfall [numNodes]map[string]uint64
+	// pendingEntries counts the entries of each node that await the next tick's append.
+	pendingEntries [numNodes]int
+	spentTokens    [numBudgets]uint64
+	crashedAt      [numNodes]time.Duration
+	topUpCount     int
 }
 
 func newShares(policy budget.Policy) *shares {
 	s := &shares{policy: policy, clock: clockwork.NewFakeClockAt(time.Unix(0, 0)), ledger: budget.NewLedger()}
-	for node := range nodes {
+	for node := range numNodes {
 		s.holders[node] = budget.NewShareHolder(strconv.Itoa(node), s.clock)
 		s.holders[node].ExtendRight(s.clock.Now().Add(policy.SpendRight))
-		s.states[node], s.lacked[node] = map[string]*budget.SizingState{}, map[string]uint64{}
+		s.states[node], s.shortfall[node] = map[string]*budget.SizingState{}, map[string]uint64{}
 		s.fold(node, &recordv1.Entry{Body: &recordv1.Entry_Heartbeat{Heartbeat: &recordv1.NodeHeartbeat{
 			Number: 1, Node: &recordv1.NodeInfo{PeerAddress: strconv.Itoa(node)},
 		}}})
@@ -45,19 +46,19 @@
 
 func (s *shares) name() string { return s.policy.Name }
 
-func nameOf(b int) string { return strconv.Itoa(b) }
+func budgetName(b int) string { return strconv.Itoa(b) }
 
 func (s *shares) fold(node int, entry *recordv1.Entry) fold.Verdict {
 	s.offset++
-	s.queued[node]++
+	s.pendingEntries[node]++
 	verdict, _ := s.ledger.Apply(fold.Position{Offset: s.offset, Writer: strconv.Itoa(node)}, entry)
 	return verdict
 }
 
-func (s *shares) topUp(_ *world, b int, tokens uint64) {
-	s.topUps++
+func (s *shares) topUp(_ *fleetModel, b int, tokens uint64) {
+	s.topUpCount++
 	s.fold(0, &recordv1.Entry{Body: &recordv1.Entry_TopUp{TopUp: &recordv1.TopUpEntry{
-		TopUp: &operatorv1.TopUp{Id: fmt.Sprint(s.topUps), Budget: nameOf(b), Tokens: tokens},
+		TopUp: &operatorv1.TopUp{Id: fmt.Sprint(s.topUpCount), Budget: budgetName(b), Tokens: tokens},
 	}}})
 }
 
@@ -67,48 +68,49 @@
 	return verdict.OK()
 }
 
-// reserve goes the way of budget.Reserver: own share, pool, parts at peers.
-func (s *shares) reserve(w *world, a arrival) (func(uint64), time.Duration) {
-	name, own := nameOf(a.budget), s.holders[a.node]
-	took := w.ask(a.node, witnessOf(a.node))
+// reserve follows budget.Reserver: own share first, then the pool, then parts at peers.
+func (s *shares) reserve(m *fleetModel, a arrival) (func(uint64), time.Duration) {
+	name, own := budgetName(a.budget), s.holders[a.node]
+	took := m.roundTrip(a.node, witnessFor(a.node))
 	if r, err := own.Reserve(name, a.reserve); err == nil {
 		return s.finisher(a, []*budget.Reservation{r}), took
 	}
 	if own.RightRemaining() <= 0 {
 		return nil, 0
 	}
-	s.lacked[a.node][name] += a.reserve
-	if pool := s.ledger.Budget(name).Pool; w.reachesLog(a.node) && pool > 0 {
-		took += gather + 2*w.toLog(a.node) + appendDelay
-		s.claim(a.node, name, max(a.reserve, min(chunk, pool/2)))
+	s.shortfall[a.node][name] += a.reserve
+	if pool := s.ledger.Budget(name).Pool; m.reachesLog(a.node) && pool > 0 {
+		took += gatherDelay + 2*m.logDelay(a.node) + appendDelay
+		s.claim(a.node, name, max(a.reserve, min(claimChunk, pool/2)))
 		if r, err := own.Reserve(name, a.reserve); err == nil {
 			return s.finisher(a, []*budget.Reservation{r}), took
 		}
 	}
-	return s.borrow(w, a, took)
+	return s.borrow(m, a, took)
 }
 
-// witnessOf is the node that another one tells of its requests: its neighbour.
-func witnessOf(node int) int {
-	if far(node) {
+// witnessFor returns the node that records the given node's requests: its neighbour
+// within the region.
+func witnessFor(node int) int {
+	if isFar(node) {
 		return nearNodes + (node-nearNodes+1)%farNodes
 	}
 	return (node + 1) % nearNodes
 }
 
-func (s *shares) borrow(w *world, a arrival, took time.Duration) (func(uint64), time.Duration) {
+func (s *shares) borrow(m *fleetModel, a arrival, took time.Duration) (func(uint64), time.Duration) {
 	var parts []*budget.Reservation
-	found := uint64(0)
-	for _, lender := range s.lenders(w, a) {
+	reserved := uint64(0)
+	for _, lender := range s.lenders(m, a) {
 		if lender != a.node {
-			took += w.ask(a.node, lender)
+			took += m.roundTrip(a.node, lender)
 		}
-		part, err := s.holders[lender].ReserveUpTo(nameOf(a.budget), a.reserve-found)
+		part, err := s.holders[lender].ReserveUpTo(budgetName(a.budget), a.reserve-reserved)
 		if err != nil {
 			continue
 		}
 		parts = append(parts, part)
-		if found += part.Tokens; found == a.reserve {
+		if reserved += part.Tokens; reserved == a.reserve {
 			return s.finisher(a, parts), took
 		}
 	}
@@ -118,10 +120,10 @@
 	return nil, took
 }
 
-// lenders lists the nodes that the log shows to hold a part: the own one first, then
-// the own region, then the largest share.
-func (s *shares) lenders(w *world, a arrival) []int {
-	line := s.ledger.Budget(nameOf(a.budget))
+// lenders lists the reachable nodes that hold a share according to the ledger: the node
+// itself first, then its own region, then by largest share.
+func (s *shares) lenders(m *fleetModel, a arrival) []int {
+	line := s.ledger.Budget(budgetName(a.budget))
 	left := func(node int) uint64 {
 		if share := line.Shares[strconv.Itoa(node)]; share != nil {
 			return share.Remaining()
@@ -129,8 +131,8 @@
 		return 0
 	}
 	var lenders []int
-	for node := range nodes {
-		if w.reaches(a.node, node) && left(node) > 0 {
+	for node := range numNodes {
+		if m.reaches(a.node, node) && left(node) > 0 {
 			lenders = append(lenders, node)
 		}
 	}
@@ -139,8 +141,8 @@
 		switch {
 		case (x == a.node) != (y == a.node):
 			return x == a.node
-		case far(x) != far(y):
-			return far(x) == far(a.node)
+		case isFar(x) != isFar(y):
+			return isFar(x) == isFar(a.node)
 		}
 		return left(x) > left(y)
 	})
@@ -149,45 +151,45 @@
 
 func (s *shares) finisher(a arrival, parts []*budget.Reservation) func(uint64) {
 	return func(used uint64) {
-		s.total[a.budget] += used
+		s.spentTokens[a.budget] += used
 		for _, part := range parts {
-			pays := min(used, part.Tokens)
-			part.Finish(pays)
-			used -= pays
+			charge := min(used, part.Tokens)
+			part.Finish(charge)
+			used -= charge
 		}
 	}
 }
 
-func (s *shares) second(w *world) {
-	s.clock.Advance(w.now - s.clock.Now().Sub(time.Unix(0, 0)))
+func (s *shares) tick(m *fleetModel) {
+	s.clock.Advance(m.now - s.clock.Now().Sub(time.Unix(0, 0)))
 	lines := map[string]budget.Line{}
 	for _, line := range s.ledger.Budgets() {
 		lines[line.Budget] = line
 	}
-	for node := range nodes {
-		if !w.reachesLog(node) {
+	for node := range numNodes {
+		if !m.reachesLog(node) {
 			continue
 		}
 		s.holders[node].ExtendRight(s.clock.Now().Add(s.policy.SpendRight))
 		for batch := s.holders[node].TakeSettlements(); batch != nil; batch = s.holders[node].TakeSettlements() {
-			s.queued[node] += len(batch.GetSettlements()) - 1
+			s.pendingEntries[node] += len(batch.GetSettlements()) - 1
 			s.fold(node, &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}})
 		}
-		s.size(w, node, lines)
-		if w.now%beat < time.Second {
-			s.queued[node]++
+		s.resize(m, node, lines)
+		if m.now%heartbeatInterval < time.Second {
+			s.pendingEntries[node]++
 		}
-		if s.queued[node] > 0 {
-			appendFlushes(w, node, s.queued[node])
-			s.queued[node] = 0
+		if s.pendingEntries[node] > 0 {
+			countFlushes(m, node, s.pendingEntries[node])
+			s.pendingEntries[node] = 0
 		}
 	}
-	s.release(w)
+	s.recoverCrashed(m)
 }
 
-// size looks at the budgets as they were folded at the beginning of the second.
-func (s *shares) size(w *world, node int, lines map[string]budget.Line) {
-	for _, name := range sorted(s.holders[node].Budgets()) {
+// resize adjusts a node's shares, based on the ledger as of the beginning of the tick.
+func (s *shares) resize(m *fleetModel, node int, lines map[string]budget.Line) {
+	for _, name := range sortNames(s.holders[node].Budgets()) {
 		state := s.states[node][name]
 		if state == nil {
 			state = &budget.SizingState{}
@@ -196,19 +198,19 @@
 		line := lines[name]
 		action := budget.SizeShare(s.policy, state, budget.SizingInput{
 			Budget: name, Available: s.holders[node].Available(name), Used: s.holders[node].Used(name),
-			Shortfall: s.lacked[node][name], Pool: line.Pool, Remaining: line.Remaining(), Nodes: nodes,
+			Shortfall: s.shortfall[node][name], Pool: line.Pool, Remaining: line.Remaining(), Nodes: numNodes,
 		}, s.clock.Now())
-		delete(s.lacked[node], name)
-		s.act(w, node, action)
+		delete(s.shortfall[node], name)
+		s.apply(m, node, action)
 	}
 }
 
-func sorted(names []string) []string {
+func sortNames(names []string) []string {
 	sort.Strings(names)
 	return names
 }
 
-func (s *shares) act(w *world, node int, action budget.SizingAction) {
+func (s *shares) apply(m *fleetModel, node int, action budget.SizingAction) {
 	switch {
 	case action.Claim > 0:
 		s.claim(node, action.Budget, action.Claim)
@@ -216,15 +218,16 @@
 		taken := s.holders[node].Debit(action.Budget, action.Return)
 		s.fold(node, &recordv1.Entry{Body: &recordv1.Entry_ShareReturn{ShareReturn: &recordv1.ShareReturn{Budget: action.Budget, Tokens: taken}}})
 	case action.Ask > 0:
-		s.ask(w, node, action)
+		s.askPeer(m, node, action)
 	}
 }
 
-// ask lets the reachable node that holds most move up to half of it.
-func (s *shares) ask(w *world, node int, action budget.SizingAction) {
+// askPeer makes the reachable node with the largest available share move up to half of
+// it to the asking node.
+func (s *shares) askPeer(m *fleetModel, node int, action budget.SizingAction) {
 	best := -1
-	for other := range nodes {
-		if other == node || !w.reaches(node, other) || !w.reachesLog(other) {
+	for other := range numNodes {
+		if other == node || !m.reaches(node, other) || !m.reachesLog(other) {
 			continue
 		}
 		if best < 0 || s.holders[other].Available(action.Budget) > s.holders[best].Available(action.Budget) {
@@ -234,7 +237,7 @@
 	if best < 0 {
 		return
 	}
-	w.ask(node, best)
+	m.roundTrip(node, best)
 	tokens := s.holders[best].Debit(action.Budget, min(action.Ask, s.holders[best].Available(action.Budget)/2))
 	if tokens == 0 {
 		return
@@ -245,28 +248,29 @@
 	s.holders[node].Credit(action.Budget, tokens)
 }
 
-func (s *shares) crash(w *world, node int) { s.closedAt[node] = w.now }
+func (s *shares) crash(m *fleetModel, node int) { s.crashedAt[node] = m.now }
 
-// release closes a dead node after its term and the margin, and gives its shares back.
-func (s *shares) release(w *world) {
-	for node := range nodes {
+// recoverCrashed closes a crashed node once its spend right plus a 5% margin has passed,
+// and returns its shares to the pool.
+func (s *shares) recoverCrashed(m *fleetModel) {
+	for node := range numNodes {
 		id := strconv.Itoa(node)
 		term := s.policy.SpendRight + s.policy.SpendRight/20
-		if !w.dead[node] || !s.ledger.IsOpen(id) || w.now < s.closedAt[node]+term {
+		if !m.dead[node] || !s.ledger.IsOpen(id) || m.now < s.crashedAt[node]+term {
 			continue
 		}
-		s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_Close{Close: &recordv1.IncarnationClose{Incarnation: id, LastHeartbeat: 1}}})
+		s.fold(witnessFor(node), &recordv1.Entry{Body: &recordv1.Entry_Close{Close: &recordv1.IncarnationClose{Incarnation: id, LastHeartbeat: 1}}})
 		if batch := s.holders[node].TakeSettlements(); batch != nil {
-			s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}})
+			s.fold(witnessFor(node), &recordv1.Entry{Body: &recordv1.Entry_Settlements{Settlements: batch}})
 		}
-		s.fold(witnessOf(node), &recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{Incarnation: id}}})
+		s.fold(witnessFor(node), &recordv1.Entry{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{Incarnation: id}}})
 	}
 }
 
-func (s *shares) frozen(w *world) uint64 {
+func (s *shares) frozen(m *fleetModel) uint64 {
 	total := uint64(0)
-	for node := range nodes {
-		if !w.dead[node] {
+	for node := range numNodes {
+		if !m.dead[node] {
 			continue
 		}
 		for _, line := range s.ledger.Budgets() {
@@ -278,16 +282,16 @@
 	return total
 }
 
-func (s *shares) spent(b int) uint64 { return s.total[b] }
+func (s *shares) spent(b int) uint64 { return s.spentTokens[b] }
 
-func (s *shares) reachable(w *world, node, b int) uint64 {
+func (s *shares) reachable(m *fleetModel, node, b int) uint64 {
 	total := uint64(0)
-	if w.reachesLog(node) {
-		total = s.ledger.Budget(nameOf(b)).Pool
+	if m.reachesLog(node) {
+		total = s.ledger.Budget(budgetName(b)).Pool
 	}
-	for other := range nodes {
-		if w.reaches(node, other) {
-			total += s.holders[other].Available(nameOf(b))
+	for other := range numNodes {
+		if m.reaches(node, other) {
+			total += s.holders[other].Available(budgetName(b))
 		}
 	}
 	return total
--- a/internal/experiment/budgets/split.go
+++ b/internal/experiment/budgets/split.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// staticSplit divides each top-up equally over the nodes; nothing moves afterwards.
-// Its settlements are appended as the fleet's own are.
+// staticSplit divides each top-up equally among the nodes and never rebalances. Its
+// settlements are appended at the same intervals as in shares.
 type staticSplit struct {
-	available [nodes][budgets]uint64
-	total     [budgets]uint64
-	pending   [nodes]int
+	available          [numNodes][numBudgets]uint64
+	spentTokens        [numBudgets]uint64
+	pendingSettlements [numNodes]int
 }
 
 func (s *staticSplit) name() string { return "static equal split" }
 
-func (s *staticSplit) topUp(_ *world, budget int, tokens uint64) {
-	for node := range nodes {
-		s.available[node][budget] += tokens / nodes
+func (s *staticSplit) topUp(_ *fleetModel, budget int, tokens uint64) {
+	for node := range numNodes {
+		s.available[node][budget] += tokens / numNodes
 	}
 }
 
-func (s *staticSplit) reserve(_ *world, a arrival) (func(uint64), time.Duration) {
-	held := &s.available[a.node][a.budget]
-	if *held < a.reserve {
+func (s *staticSplit) reserve(_ *fleetModel, a arrival) (func(uint64), time.Duration) {
+	balance := &s.available[a.node][a.budget]
+	if *balance < a.reserve {
 		return nil, 0
 	}
-	*held -= a.reserve
+	*balance -= a.reserve
 	return func(used uint64) {
-		*held += a.reserve - used
-		s.total[a.budget] += used
-		s.pending[a.node]++
+		*balance += a.reserve - used
+		s.spentTokens[a.budget] += used
+		s.pendingSettlements[a.node]++
 	}, 0
 }
 
-func (s *staticSplit) second(w *world) {
-	for node := range nodes {
-		if w.reachesLog(node) && s.pending[node] > 0 {
-			appendFlushes(w, node, s.pending[node])
-			s.pending[node] = 0
+func (s *staticSplit) tick(m *fleetModel) {
+	for node := range numNodes {
+		if m.reachesLog(node) && s.pendingSettlements[node] > 0 {
+			countFlushes(m, node, s.pendingSettlements[node])
+			s.pendingSettlements[node] = 0
 		}
 	}
 }
 
-// appendFlushes counts a second's appends of a node: at most one per flush.
-func appendFlushes(w *world, node, entries int) {
-	n := min(entries, int(time.Second/flush))
+// countFlushes counts a node's appends in one second, at most one per flushInterval.
+func countFlushes(m *fleetModel, node, entries int) {
+	n := min(entries, int(time.Second/flushInterval))
 	for range n {
-		w.append(node, entries/n)
+		m.countAppend(node, entries/n)
 	}
 }
 
-func (s *staticSplit) crash(*world, int) {}
+func (s *staticSplit) crash(*fleetModel, int) {}
 
-func (s *staticSplit) frozen(w *world) uint64 {
+func (s *staticSplit) frozen(m *fleetModel) uint64 {
 	total := uint64(0)
-	for node := range nodes {
+	for node := range numNodes {
 		for _, tokens := range s.available[node] {
-			if w.dead[node] {
+			if m.dead[node] {
 				total += tokens
 			}
 		}
@@ -62,12 +62,12 @@
 	return total
 }
 
-func (s *staticSplit) spent(budget int) uint64 { return s.total[budget] }
+func (s *staticSplit) spent(budget int) uint64 { return s.spentTokens[budget] }
 
-func (s *staticSplit) reachable(w *world, node, budget int) uint64 {
+func (s *staticSplit) reachable(m *fleetModel, node, budget int) uint64 {
 	total := uint64(0)
-	for other := range nodes {
-		if w.reaches(node, other) {
+	for other := range numNodes {
+		if m.reaches(node, other) {
 			total += s.available[other][budget]
 		}
 	}
--- a/internal/experiment/budgets/strategy.go
+++ b/internal/experiment/budgets/strategy.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// strategy is one way of holding budgets.
+// strategy decides how budgets are distributed over nodes and reserved.
 type strategy interface {
 	name() string
-	topUp(w *world, budget int, tokens uint64)
-	// reserve returns the tokens covered and the time it took; nil when refused.
-	reserve(w *world, a arrival) (finish func(used uint64), took time.Duration)
-	// second is called once per second of model time.
-	second(w *world)
-	// crash is told that a node is gone.
-	crash(w *world, node int)
-	// frozen returns tokens that nobody can use now because of a crash.
-	frozen(w *world) uint64
+	topUp(m *fleetModel, budget int, tokens uint64)
+	// reserve reserves a request's worst case and returns the function that settles the
+	// used tokens, nil if it was refused, and the latency of the reservation.
+	reserve(m *fleetModel, a arrival) (finish func(used uint64), took time.Duration)
+	// tick is called once per simulated second.
+	tick(m *fleetModel)
+	// crash is called once when a node crashes.
+	crash(m *fleetModel, node int)
+	// frozen returns the number of tokens that are currently unusable because of a crash.
+	frozen(m *fleetModel) uint64
 	spent(budget int) uint64
-	// reachable returns the unreserved tokens that a node could get hold of now.
-	reachable(w *world, node, budget int) uint64
+	// reachable returns the number of unreserved tokens that a node could obtain now.
+	reachable(m *fleetModel, node, budget int) uint64
 }
 
-// world is what all strategies see of the modelled fleet.
-type world struct {
+// fleetModel is the state of the simulated fleet that all strategies share.
+type fleetModel struct {
 	Scenario
 	now  time.Duration
-	dead [nodes]bool
-	// appends and crossing count what the store takes and what crosses between regions.
-	appends  uint64
-	crossing uint64
+	dead [numNodes]bool
+	// appends counts the appends to the store, crossRegionBytes the bytes sent between regions.
+	appends          uint64
+	crossRegionBytes uint64
 }
 
-func (w *world) cut() bool {
-	return w.Fault == RegionCut && w.now >= w.faultStart() && w.now < w.faultEnd()
+func (m *fleetModel) cut() bool {
+	return m.Fault == RegionCut && m.now >= m.faultStart() && m.now < m.faultEnd()
 }
 
-// reachesLog tells whether a node reaches the store, which stands in the near region.
-func (w *world) reachesLog(node int) bool { return !w.dead[node] && !(w.cut() && far(node)) }
+// reachesLog reports whether a node can reach the store, which is in the near region.
+func (m *fleetModel) reachesLog(node int) bool { return !m.dead[node] && !(m.cut() && isFar(node)) }
 
-func (w *world) reaches(a, b int) bool {
-	return !w.dead[a] && !w.dead[b] && (far(a) == far(b) || !w.cut())
+func (m *fleetModel) reaches(a, b int) bool {
+	return !m.dead[a] && !m.dead[b] && (isFar(a) == isFar(b) || !m.cut())
 }
 
-// ask counts one exchange between nodes and returns how long it takes.
-func (w *world) ask(a, b int) time.Duration {
-	if far(a) == far(b) {
+// roundTrip counts one request and response between two nodes and returns their latency.
+func (m *fleetModel) roundTrip(a, b int) time.Duration {
+	if isFar(a) == isFar(b) {
 		return 2 * dcDelay
 	}
-	w.crossing += askBytes
+	m.crossRegionBytes += exchangeBytes
 	return 2 * regionDelay
 }
 
-// toLog is the one-way delay to the store.
-func (w *world) toLog(node int) time.Duration {
-	if far(node) {
+// logDelay returns the one-way latency from a node to the store.
+func (m *fleetModel) logDelay(node int) time.Duration {
+	if isFar(node) {
 		return regionDelay
 	}
 	return dcDelay
 }
 
-// append counts one append of some entries, which each far node reads.
-func (w *world) append(node, entries int) {
+// countAppend counts one append of a batch of entries, which every far node reads.
+func (m *fleetModel) countAppend(node, entries int) {
 	size := uint64(batchBytes + entries*entryBytes)
-	w.appends++
-	w.crossing += farNodes * size
-	if far(node) {
-		w.crossing += size
+	m.appends++
+	m.crossRegionBytes += farNodes * size
+	if isFar(node) {
+		m.crossRegionBytes += size
 	}
 }
