--- a/internal/experiment/routing/attempts.go
+++ b/internal/experiment/routing/attempts.go
@@ -13,123 +13,123 @@
 
 const (
 	maxAttempts = 3
-	// silence is how long an attempt may go without a token.
-	silence     = 10 * time.Second
-	dialTimeout = 2 * time.Second
+	// tokenTimeout is the maximum time between two tokens of an attempt.
+	tokenTimeout = 10 * time.Second
+	dialTimeout  = 2 * time.Second
 )
 
-// attempts is one request on its way at a node.
-type attempts struct {
-	node    *node
-	call    call
-	ask     routing.Request
-	arrived time.Time
-	item    *admission.Request
-	tried   map[string]bool
-	made    int
-	first   time.Time
-	over    bool
+// request is the state of one request at a node, over all of its attempts.
+type request struct {
+	node             *node
+	call             call
+	routingRequest   routing.Request
+	arrived          time.Time
+	admissionRequest *admission.Request
+	tried            map[string]bool
+	attemptCount     int
+	firstTokenAt     time.Time
+	finished         bool
 }
 
-func (a *attempts) decided(err error) {
+func (r *request) onAdmission(err error) {
 	if err != nil {
-		a.node.fleet.tally.refused(a.call)
+		r.node.fleet.metrics.recordRefusal(r.call)
 		return
 	}
-	a.node.fleet.sim.After(0, a.begin)
+	r.node.fleet.sim.After(0, r.start)
 }
 
-func (a *attempts) begin() {
-	a.node.fleet.tally.admitted(a.call, a.node.fleet.sim.Now().Sub(a.arrived))
-	if a.node.budget != nil {
-		a.node.budget.FirstAttempt()
+func (r *request) start() {
+	r.node.fleet.metrics.recordAdmission(r.call, r.node.fleet.sim.Now().Sub(r.arrived))
+	if r.node.retryBudget != nil {
+		r.node.retryBudget.FirstAttempt()
 	}
-	a.try()
+	r.tryNext()
 }
 
-func (a *attempts) try() {
-	pick, err := a.node.picker.Pick(a.ask, a.node.fleet.upstreams)
+func (r *request) tryNext() {
+	pick, err := r.node.picker.Pick(r.routingRequest, r.node.fleet.upstreams)
 	if err != nil {
-		a.finish(err)
+		r.finish(err)
 		return
 	}
-	a.made++
-	if a.made > 1 {
-		a.node.fleet.tally.retried(a.call)
+	r.attemptCount++
+	if r.attemptCount > 1 {
+		r.node.fleet.metrics.recordRetry(r.call)
 	}
-	t := &attempt{attempts: a, pick: pick, name: pick.Upstream.GetName()}
+	t := &attempt{request: r, pick: pick, name: pick.Upstream.GetName()}
 	t.send()
 }
 
-// failed tries another upstream if the rules allow it.
-func (a *attempts) failed(name string, err error) {
-	a.tried[name] = true
-	if a.made >= maxAttempts || (a.node.budget != nil && !a.node.budget.TryRetry()) {
-		a.finish(err)
+// retry tries another upstream, unless maxAttempts or the retry budget is used up.
+func (r *request) retry(name string, err error) {
+	r.tried[name] = true
+	if r.attemptCount >= maxAttempts || (r.node.retryBudget != nil && !r.node.retryBudget.TryRetry()) {
+		r.finish(err)
 		return
 	}
-	a.try()
+	r.tryNext()
 }
 
-func (a *attempts) finish(err error) {
-	if a.over {
+func (r *request) finish(err error) {
+	if r.finished {
 		return
 	}
-	a.over = true
-	now := a.node.fleet.sim.Now()
-	if a.item != nil {
-		a.node.core.Release(now, a.item)
+	r.finished = true
+	now := r.node.fleet.sim.Now()
+	if r.admissionRequest != nil {
+		r.node.scheduler.Release(now, r.admissionRequest)
 	}
-	a.node.fleet.tally.finished(a.call, a.arrived, a.first, now, err)
+	r.node.fleet.metrics.recordFinish(r.call, r.arrived, r.firstTokenAt, now, err)
 }
 
-// attempt is one try at one engine.
+// attempt is one attempt of a request at one engine.
 type attempt struct {
-	attempts *attempts
-	pick     routing.PickResult
-	name     string
-	cancel   func()
-	heard    time.Time
-	tokens   int
-	over     bool
+	request     *request
+	pick        routing.PickResult
+	name        string
+	cancel      func()
+	lastTokenAt time.Time
+	tokenCount  int
+	ended       bool
 }
 
 func (t *attempt) remote() bool {
-	f := t.attempts.node.fleet
-	return f.regions[t.name] != t.attempts.node.region
+	f := t.request.node.fleet
+	return f.regions[t.name] != t.request.node.region
 }
 
 func (t *attempt) send() {
-	f, c := t.attempts.node.fleet, t.attempts.call
-	t.heard = f.sim.Now()
+	f, c := t.request.node.fleet, t.request.call
+	t.lastTokenAt = f.sim.Now()
 	if t.remote() && f.link.cut {
 		f.sim.After(dialTimeout, func() { t.end(enginemodel.ErrDead) })
 		return
 	}
 	delay := localHop
 	if t.remote() {
-		delay = f.link.delay(t.attempts.node.region, float64(c.prompt*bytesPerPromptToken+requestOverhead))
+		delay = f.link.delay(t.request.node.region, float64(c.prompt*bytesPerPromptToken+requestOverhead))
 	}
-	f.sim.After(delay, t.arrive)
-	f.sim.After(silence, t.watch)
+	f.sim.After(delay, t.submit)
+	f.sim.After(tokenTimeout, t.checkTimeout)
 }
 
-func (t *attempt) arrive() {
-	c := t.attempts.call
-	t.cancel = t.attempts.node.fleet.byName[t.name].Submit(&enginemodel.Request{
-		Prefix: c.prefix, PromptTokens: c.prompt, AnswerTokens: c.answer, MaxAnswerTokens: mostAnswer,
-		Priority: t.attempts.node.enginePriority(c), OnToken: t.token, OnEnd: func(_ time.Time, err error) { t.end(err) },
+func (t *attempt) submit() {
+	c := t.request.call
+	t.cancel = t.request.node.fleet.byName[t.name].Submit(&enginemodel.Request{
+		Prefix: c.prefix, PromptTokens: c.prompt, AnswerTokens: c.answer, MaxAnswerTokens: maxAnswerTokens,
+		Priority: t.request.node.enginePriority(c), OnToken: t.onToken, OnEnd: func(_ time.Time, err error) { t.end(err) },
 	})
 }
 
-// watch gives up on an attempt that has been silent for too long.
-func (t *attempt) watch() {
-	f := t.attempts.node.fleet
-	if t.over {
+// checkTimeout fails and cancels an attempt without a token for tokenTimeout.
+func (t *attempt) checkTimeout() {
+	f := t.request.node.fleet
+	if t.ended {
 		return
 	}
-	if left := silence - f.sim.Now().Sub(t.heard); left > 0 {
-		f.sim.After(left, t.watch)
+	if left := tokenTimeout - f.sim.Now().Sub(t.lastTokenAt); left > 0 {
+		f.sim.After(left, t.checkTimeout)
 		return
 	}
 	t.end(enginemodel.ErrFailed)
@@ -138,12 +138,12 @@
 	}
 }
 
-func (t *attempt) token(at time.Time, n int) {
-	if t.over {
+func (t *attempt) onToken(at time.Time, n int) {
+	if t.ended {
 		return
 	}
-	a := t.attempts
-	f := a.node.fleet
+	r := t.request
+	f := r.node.fleet
 	if t.remote() {
 		f.link.bytes += bytesPerChunk
 		if f.link.cut {
@@ -151,19 +151,19 @@
 		}
 	}
 	if n > 1 {
-		f.tally.between(a.call, at.Sub(t.heard))
+		f.metrics.recordTokenGap(r.call, at.Sub(t.lastTokenAt))
 	}
-	t.heard = at
-	t.tokens = n
+	t.lastTokenAt = at
+	t.tokenCount = n
 	if n == 1 {
 		t.pick.FirstToken()
-		if a.first.IsZero() {
-			a.first = at.Add(t.hop())
+		if r.firstTokenAt.IsZero() {
+			r.firstTokenAt = at.Add(t.latency())
 		}
 	}
 }
 
-func (t *attempt) hop() time.Duration {
+func (t *attempt) latency() time.Duration {
 	if t.remote() {
 		return linkLatency
 	}
@@ -171,19 +171,19 @@
 }
 
 func (t *attempt) end(err error) {
-	if t.over {
+	if t.ended {
 		return
 	}
-	t.over = true
-	t.pick.Done(resultOf(err))
+	t.ended = true
+	t.pick.Done(toResult(err))
 	if err == nil {
-		t.attempts.finish(nil)
+		t.request.finish(nil)
 		return
 	}
-	t.attempts.failed(t.name, err)
+	t.request.retry(t.name, err)
 }
 
-func resultOf(err error) error {
+func toResult(err error) error {
 	switch {
 	case err == nil:
 		return nil
--- a/internal/experiment/routing/baseline.go
+++ b/internal/experiment/routing/baseline.go
@@ -8,30 +8,30 @@
 	"lavenderpin.dev/lavenderpin/routing"
 )
 
-// chooser picks among the usable upstreams of the region.
-type chooser func(b *baseline, ask *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream
+// chooseFunc chooses one of the candidate upstreams.
+type chooseFunc func(b *baseline, request *routing.Request, candidates []*operatorv1.Upstream) *operatorv1.Upstream
 
-// baseline is a plain picker to compare with. It prefers its own region and leaves
-// out what failed the same request before, and no more.
+// baseline is a simple picker for comparison. It prefers upstreams of its own region and
+// skips those that already failed the same request; it has no other rules.
 type baseline struct {
-	random  *rand.Rand
-	choose  chooser
-	turn    int
-	reports map[string]routing.LoadReport
-	blocks  map[string]map[uint64]bool
+	random       *rand.Rand
+	choose       chooseFunc
+	next         int
+	reports      map[string]routing.LoadReport
+	cachedBlocks map[string]map[uint64]bool
 }
 
-func newBaseline(random *rand.Rand, choose chooser) *baseline {
-	return &baseline{random: random, choose: choose, reports: map[string]routing.LoadReport{}, blocks: map[string]map[uint64]bool{}}
+func newBaseline(random *rand.Rand, choose chooseFunc) *baseline {
+	return &baseline{random: random, choose: choose, reports: map[string]routing.LoadReport{}, cachedBlocks: map[string]map[uint64]bool{}}
 }
 
 // Pick implements routing.Picker.
-func (b *baseline) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
+func (b *baseline) Pick(request routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	var local, remote []*operatorv1.Upstream
 	for _, u := range candidates {
 		switch {
-		case ask.Tried[u.GetName()]:
-		case u.GetRegion() == ask.Region:
+		case request.Tried[u.GetName()]:
+		case u.GetRegion() == request.Region:
 			local = append(local, u)
 		default:
 			remote = append(remote, u)
@@ -43,30 +43,30 @@
 	if len(local) == 0 {
 		return routing.PickResult{}, result.New(result.NoUpstream, "none left")
 	}
-	return routing.PickResult{Upstream: b.choose(b, &ask, local), Done: func(error) {}}, nil
+	return routing.PickResult{Upstream: b.choose(b, &request, local), Done: func(error) {}}, nil
 }
 
-// Report takes in a load report.
+// Report stores an upstream's latest load report.
 func (b *baseline) Report(_, upstream string, report routing.LoadReport) {
 	b.reports[upstream] = report
 }
 
-// CacheEvents takes in cache events.
+// CacheEvents applies cache events to the set of blocks that an upstream caches.
 func (b *baseline) CacheEvents(_, upstream string, events []routing.CacheEvent) {
-	if b.blocks[upstream] == nil {
-		b.blocks[upstream] = map[uint64]bool{}
+	if b.cachedBlocks[upstream] == nil {
+		b.cachedBlocks[upstream] = map[uint64]bool{}
 	}
 	for _, e := range events {
 		if e.Stored {
-			b.blocks[upstream][e.Hash] = true
+			b.cachedBlocks[upstream][e.Hash] = true
 		} else {
-			delete(b.blocks[upstream], e.Hash)
+			delete(b.cachedBlocks[upstream], e.Hash)
 		}
 	}
 }
 
-// Pressure returns what the latest reports say, so that admission can stand before a
-// baseline too.
+// Pressure sums the latest load reports of a region, so that a baseline can be combined
+// with admission control.
 func (b *baseline) Pressure(_, region string) (here, elsewhere routing.Pressure) {
 	for name, r := range b.reports {
 		if name[:len(region)] == region {
@@ -78,50 +78,50 @@
 	return here, routing.Pressure{}
 }
 
-// LimitLocal does nothing: a baseline knows no other region.
+// LimitLocal does nothing: a baseline doesn't balance load between regions.
 func (b *baseline) LimitLocal(string, int) {}
 
-func chooseRandom(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
-	return usable[b.random.IntN(len(usable))]
+func chooseRandom(b *baseline, _ *routing.Request, candidates []*operatorv1.Upstream) *operatorv1.Upstream {
+	return candidates[b.random.IntN(len(candidates))]
 }
 
-func chooseInTurn(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
-	b.turn++
-	return usable[b.turn%len(usable)]
+func chooseRoundRobin(b *baseline, _ *routing.Request, candidates []*operatorv1.Upstream) *operatorv1.Upstream {
+	b.next++
+	return candidates[b.next%len(candidates)]
 }
 
-func chooseLeastReported(b *baseline, _ *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
-	best := usable[b.random.IntN(len(usable))]
-	for _, u := range usable {
-		if b.load(u) < b.load(best) {
+func chooseLeastLoaded(b *baseline, _ *routing.Request, candidates []*operatorv1.Upstream) *operatorv1.Upstream {
+	best := candidates[b.random.IntN(len(candidates))]
+	for _, u := range candidates {
+		if b.queueLength(u) < b.queueLength(best) {
 			best = u
 		}
 	}
 	return best
 }
 
-func (b *baseline) load(u *operatorv1.Upstream) int {
+func (b *baseline) queueLength(u *operatorv1.Upstream) int {
 	r := b.reports[u.GetName()]
 	return r.Running + r.Waiting
 }
 
-func chooseMostCached(b *baseline, ask *routing.Request, usable []*operatorv1.Upstream) *operatorv1.Upstream {
-	best := usable[b.random.IntN(len(usable))]
-	most := b.depth(best, ask)
-	for _, u := range usable {
-		if depth := b.depth(u, ask); depth > most {
-			best, most = u, depth
+func chooseMostCached(b *baseline, request *routing.Request, candidates []*operatorv1.Upstream) *operatorv1.Upstream {
+	best := candidates[b.random.IntN(len(candidates))]
+	longest := b.cachedPrefixLength(best, request)
+	for _, u := range candidates {
+		if cachedPrefixLength := b.cachedPrefixLength(u, request); cachedPrefixLength > longest {
+			best, longest = u, cachedPrefixLength
 		}
 	}
 	return best
 }
 
-func (b *baseline) depth(u *operatorv1.Upstream, ask *routing.Request) int {
-	held := b.blocks[u.GetName()]
-	for i, hash := range ask.Prefix {
-		if !held[hash] {
+func (b *baseline) cachedPrefixLength(u *operatorv1.Upstream, request *routing.Request) int {
+	cached := b.cachedBlocks[u.GetName()]
+	for i, hash := range request.Prefix {
+		if !cached[hash] {
 			return i
 		}
 	}
-	return len(ask.Prefix)
+	return len(request.Prefix)
 }
--- a/internal/experiment/routing/doc.go
+++ b/internal/experiment/routing/doc.go
@@ -1,9 +1,9 @@
-// Package routing compares ways of choosing upstreams and of admitting requests, side
-// by side over the engine model. The picker and the admission core are those that
-// nodes run; engines, links and callers are models in model time. One seed gives one
-// report.
+// Package routing compares policies for upstream selection and admission control in a
+// simulation. The picker and the admission scheduler are the production code; engines,
+// links and callers are simulated. The same seed always yields the same report.
 //
 // Every policy sees the same arrivals, engines and faults. The baselines choose among
-// the engines of their own region, as lavenderpin does first, so that a difference
-// isn't merely the link between the regions. Callers don't come back after a refusal.
+// the engines of their own region, which lavenderpin also prefers, so that differences
+// don't stem merely from the link between the regions. Callers don't retry after a
+// refusal.
 package routing
--- a/internal/experiment/routing/fairness.go
+++ b/internal/experiment/routing/fairness.go
@@ -6,15 +6,16 @@
 	"sort"
 )
 
-// jain returns Jain's index over the teams' served tokens, each in proportion to its
-// max-min fair share of all that was served. 1 is fair; 1/n is one team having all.
-func jain(asked, served map[string]float64) float64 {
+// jainIndex returns Jain's fairness index over the teams' served tokens, each relative to
+// its max-min fair share of the total. 1 is perfectly fair; 1/n means that one of n teams
+// got everything.
+func jainIndex(requested, served map[string]float64) float64 {
 	total := 0.0
-	teams := slices.Sorted(maps.Keys(asked)) // sums in another order differ in the last digits
+	teams := slices.Sorted(maps.Keys(requested)) // a fixed order keeps floating-point sums reproducible
 	for _, team := range teams {
 		total += served[team]
 	}
-	shares := maxMin(asked, total)
+	shares := maxMinShares(requested, total)
 	sum, squares, n := 0.0, 0.0, 0.0
 	for _, team := range teams {
 		share := shares[team]
@@ -32,18 +33,18 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin divides a total among demands: nobody gets more than asked for, and the rest
-// is divided evenly.
-func maxMin(asked map[string]float64, total float64) map[string]float64 {
-	names := make([]string, 0, len(asked))
-	for name := range asked {
+// maxMinShares computes the max-min fair division of a total among demands: no share
+// exceeds its demand, and the remainder is divided equally among the others.
+func maxMinShares(requested map[string]float64, total float64) map[string]float64 {
+	names := make([]string, 0, len(requested))
+	for name := range requested {
 		names = append(names, name)
 	}
-	sort.Slice(names, func(i, j int) bool { return asked[names[i]] < asked[names[j]] })
+	sort.Slice(names, func(i, j int) bool { return requested[names[i]] < requested[names[j]] })
 	shares := map[string]float64{}
 	for i, name := range names {
-		even := total / float64(len(names)-i)
-		shares[name] = min(asked[name], even)
+		equalShare := total / float64(len(names)-i)
+		shares[name] = min(requested[name], equalShare)
 		total -= shares[name]
 	}
 	return shares
--- a/internal/experiment/routing/fleet.go
+++ b/internal/experiment/routing/fleet.go
@@ -17,20 +17,20 @@
 	far         = "south"
 )
 
-// The sizes of the smaller of the brief's deployments.
+// Sizes of the smaller of the specified deployments.
 const (
 	nearEngines = 6
 	farEngines  = 4
 	nearNodes   = 4
 	farNodes    = 2
-	// nearShare of the requests come in at the near region.
+	// nearShare is the share of requests that arrive at the near region.
 	nearShare = 0.6
 	localHop  = 1500 * time.Microsecond
 )
 
 var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is one run's model of engines, nodes and the link.
+// fleet simulates the engines, the nodes and the link of one run.
 type fleet struct {
 	sim       *enginemodel.Simulator
 	clock     *clockwork.FakeClock
@@ -41,7 +41,7 @@
 	upstreams []*operatorv1.Upstream
 	nodes     []*node
 	link      *link
-	tally     *tally
+	metrics   *metrics
 }
 
 func newFleet(policy Policy, scenario Scenario) *fleet {
@@ -51,7 +51,7 @@
 		random:  rand.New(rand.NewPCG(scenario.Seed, 7)),
 		byName:  map[string]*enginemodel.Engine{},
 		regions: map[string]string{},
-		tally:   newTally(scenario),
+		metrics: newMetrics(scenario),
 	}
 	f.sim.Moved = func(by time.Duration) { f.clock.Advance(by) }
 	f.link = newLink(f.sim)
@@ -74,7 +74,7 @@
 		name := fmt.Sprintf("%s-%d", region, i)
 		var listeners []enginemodel.Listener
 		for _, node := range f.nodes {
-			listeners = append(listeners, node.listen(region))
+			listeners = append(listeners, node.listener(region))
 		}
 		e := enginemodel.NewEngine(name, params, f.sim, scenario.Seed*1000+uint64(len(f.engines)), listeners...)
 		f.engines = append(f.engines, e)
@@ -83,7 +83,7 @@
 	}
 }
 
-// nodesOf returns the nodes of a region, which its callers use.
+// nodesOf returns the nodes of a region, which serve the callers of that region.
 func (f *fleet) nodesOf(region string) []*node {
 	if region == near {
 		return f.nodes[:nearNodes]
--- a/internal/experiment/routing/link.go
+++ b/internal/experiment/routing/link.go
@@ -9,32 +9,33 @@
 const (
 	linkLatency        = 30 * time.Millisecond
 	linkBytesPerSecond = 30e6 / 8
-	// Sizes of messages, in bytes.
+	// Message sizes in bytes.
 	bytesPerPromptToken = 4
 	requestOverhead     = 500
 	bytesPerChunk       = 220
 )
 
-// link joins the two regions. Messages of one direction go one after another.
+// link simulates the link between the two regions. Messages in the same direction are
+// serialized.
 type link struct {
-	sim   *enginemodel.Simulator
-	cut   bool
-	bytes float64
-	free  map[string]time.Time
+	sim    *enginemodel.Simulator
+	cut    bool
+	bytes  float64
+	freeAt map[string]time.Time
 }
 
 func newLink(sim *enginemodel.Simulator) *link {
-	return &link{sim: sim, free: map[string]time.Time{}}
+	return &link{sim: sim, freeAt: map[string]time.Time{}}
 }
 
-// delay books a message and returns how long it takes to cross.
+// delay enqueues a message and returns the time until it is delivered.
 func (l *link) delay(from string, bytes float64) time.Duration {
 	l.bytes += bytes
-	begin := l.sim.Now()
-	if free := l.free[from]; free.After(begin) {
-		begin = free
+	start := l.sim.Now()
+	if freeAt := l.freeAt[from]; freeAt.After(start) {
+		start = freeAt
 	}
-	end := begin.Add(time.Duration(bytes / linkBytesPerSecond * float64(time.Second)))
-	l.free[from] = end
+	end := start.Add(time.Duration(bytes / linkBytesPerSecond * float64(time.Second)))
+	l.freeAt[from] = end
 	return end.Sub(l.sim.Now()) + linkLatency
 }
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -16,33 +16,33 @@
 
 var modelSlots = float64(enginemodel.DefaultParams().Slots)
 
-// node is a router node: the real picker and admission core, with model time.
+// node is a router node: the production picker and admission scheduler in simulated time.
 type node struct {
-	fleet  *fleet
-	region string
-	picker routing.Picker
-	core   *admission.Scheduler
-	budget *admission.RetryBudget
-	// tells is set if engines are told of priorities.
-	tells bool
+	fleet       *fleet
+	region      string
+	picker      routing.Picker
+	scheduler   *admission.Scheduler
+	retryBudget *admission.RetryBudget
+	// forwardPriorities passes request priorities on to the engines.
+	forwardPriorities bool
 }
 
-// enginePriority returns the priority that an engine is told.
+// enginePriority returns the priority passed to the engine.
 func (n *node) enginePriority(c call) int {
-	if n.tells {
+	if n.forwardPriorities {
 		return c.priority
 	}
 	return 0
 }
 
 func newNode(f *fleet, policy Policy, region string, number, slots int) *node {
-	n := &node{fleet: f, region: region, tells: policy.Priorities}
+	n := &node{fleet: f, region: region, forwardPriorities: policy.Priorities}
 	n.picker = policy.Picker(f.clock, rand.New(rand.NewPCG(f.random.Uint64(), uint64(number))))
 	if policy.RetryBudget {
-		n.budget = admission.NewRetryBudget()
+		n.retryBudget = admission.NewRetryBudget()
 	}
 	if policy.Admission != nil {
-		n.core = admission.NewScheduler(policy.Admission(slots))
+		n.scheduler = admission.NewScheduler(policy.Admission(slots))
 		f.sim.After(expireEvery, n.expire)
 		f.sim.After(observeEvery, n.observe)
 	}
@@ -50,51 +50,53 @@
 }
 
 func (n *node) expire() {
-	n.core.Expire(n.fleet.clock.Now())
+	n.scheduler.Expire(n.fleet.clock.Now())
 	n.fleet.sim.After(expireEvery, n.expire)
 }
 
 func (n *node) observe() {
-	if p, ok := n.picker.(pressured); ok {
+	if p, ok := n.picker.(pressureReporter); ok {
 		here, elsewhere := p.Pressure(serviceName, n.region)
-		n.core.Observe(n.fleet.clock.Now(), here, elsewhere)
-		p.LimitLocal(serviceName, n.core.LocalLimit())
+		n.scheduler.Observe(n.fleet.clock.Now(), here, elsewhere)
+		p.LimitLocal(serviceName, n.scheduler.LocalLimit())
 	}
 	n.fleet.sim.After(observeEvery, n.observe)
 }
 
-// take runs a caller's request.
-func (n *node) take(c call) {
-	a := &attempts{node: n, call: c, arrived: n.fleet.sim.Now(), tried: map[string]bool{}}
-	a.ask = routing.Request{
+// handle processes a caller's request.
+func (n *node) handle(c call) {
+	r := &request{node: n, call: c, arrived: n.fleet.sim.Now(), tried: map[string]bool{}}
+	r.routingRequest = routing.Request{
 		Service: serviceName, Region: n.region, Account: c.account.name, Team: c.account.team,
-		PromptTokens: c.prompt, AnswerTokens: meanAnswer, Prefix: c.prefix, Tried: a.tried, Priority: c.priority,
+		PromptTokens: c.prompt, AnswerTokens: meanAnswerTokens, Prefix: c.prefix, Tried: r.tried, Priority: c.priority,
 	}
-	if !n.fleet.tally.scenario.Unbounded {
-		a.ask.Deadline = a.arrived.Add(firstTokenDeadline)
+	if !n.fleet.metrics.scenario.NoDeadlines {
+		r.routingRequest.Deadline = r.arrived.Add(firstTokenDeadline)
 	}
-	n.fleet.tally.offered(c, a.arrived)
-	if n.core == nil {
-		a.begin()
+	n.fleet.metrics.recordArrival(c, r.arrived)
+	if n.scheduler == nil {
+		r.start()
 		return
 	}
-	a.item = n.core.Submit(a.arrived, a.ask, a.decided)
+	r.admissionRequest = n.scheduler.Submit(r.arrived, r.routingRequest, r.onAdmission)
 }
 
-// listen returns what hears the engines of a region on this node's behalf.
-func (n *node) listen(region string) enginemodel.Listener { return &ear{node: n, region: region} }
+// listener returns the listener for events from the engines of a region.
+func (n *node) listener(region string) enginemodel.Listener {
+	return &engineListener{node: n, region: region}
+}
 
-// ear passes an engine's reports to a node's picker. Cache events of the other region
-// aren't fetched: they would cross the link.
-type ear struct {
+// engineListener passes engine reports to a node's picker. It drops cache events of the
+// other region, which nodes don't fetch because they would cross the link.
+type engineListener struct {
 	node   *node
 	region string
 }
 
 // Load implements enginemodel.Listener.
-func (e *ear) Load(engine string, r enginemodel.Report) {
-	f, ok := e.node.picker.(feed)
-	if !ok || (e.region != e.node.region && e.node.fleet.link.cut) {
+func (l *engineListener) Load(engine string, r enginemodel.Report) {
+	f, ok := l.node.picker.(reportReceiver)
+	if !ok || (l.region != l.node.region && l.node.fleet.link.cut) {
 		return
 	}
 	f.Report(serviceName, engine, routing.LoadReport{Age: r.Age, Running: r.Running, Waiting: r.Waiting,
@@ -102,14 +104,14 @@
 }
 
 // CacheEvents implements enginemodel.Listener.
-func (e *ear) CacheEvents(engine string, events []enginemodel.CacheEvent) {
-	f, ok := e.node.picker.(feed)
-	if !ok || e.region != e.node.region {
+func (l *engineListener) CacheEvents(engine string, events []enginemodel.CacheEvent) {
+	f, ok := l.node.picker.(reportReceiver)
+	if !ok || l.region != l.node.region {
 		return
 	}
-	heard := make([]routing.CacheEvent, len(events))
+	converted := make([]routing.CacheEvent, len(events))
 	for i, event := range events {
-		heard[i] = routing.CacheEvent(event)
+		converted[i] = routing.CacheEvent(event)
 	}
-	f.CacheEvents(serviceName, engine, heard)
+	f.CacheEvents(serviceName, engine, converted)
 }
--- a/internal/experiment/routing/plot.go
+++ b/internal/experiment/routing/plot.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// loads are the scenarios of the plots, with their share of the capacity.
-var loads = []struct {
+// plotLoads lists the plotted scenarios with their load in percent of the capacity.
+var plotLoads = []struct {
 	scenario string
 	percent  float64
 }{{"load 50%", 50}, {"load 80%", 80}, {"load 100%", 100}, {"load 130%", 130}}
@@ -22,7 +22,7 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// plot draws p95 first token and goodput over load.
+// plot draws the p95 time to first token and the goodput over load.
 func (r Report) plot(dir string) error {
 	err := r.draw(filepath.Join(dir, "first-token.svg"), "p95 first token of admitted requests", "ms", true,
 		func(x Result) float64 { return x.FirstP95 })
@@ -50,8 +50,8 @@
 			continue
 		}
 		points := plotter.XYs{}
-		for _, l := range loads {
-			points = append(points, plotter.XY{X: l.percent, Y: max(value(r.of(l.scenario, policy.Name)), 1)})
+		for _, l := range plotLoads {
+			points = append(points, plotter.XY{X: l.percent, Y: max(value(r.result(l.scenario, policy.Name)), 1)})
 		}
 		lines = append(lines, policy.Name, points)
 	}
--- a/internal/experiment/routing/policy.go
+++ b/internal/experiment/routing/policy.go
@@ -10,54 +10,55 @@
 	"lavenderpin.dev/lavenderpin/routing"
 )
 
-// Policy is one way to choose and to admit.
+// Policy combines an upstream picker with admission control.
 type Policy struct {
 	Name string
-	// Picker returns a node's picker.
+	// Picker returns a new picker for a node.
 	Picker func(clock clockwork.Clock, random *rand.Rand) routing.Picker
-	// Admission returns the settings of the admission core in front, for so many slots
-	// per node; nil for none.
+	// Admission returns the settings of the admission scheduler for the given number of
+	// slots per node; nil disables admission control.
 	Admission func(slots int) admission.Settings
-	// RetryBudget bounds retries.
+	// RetryBudget limits retries by a budget.
 	RetryBudget bool
-	// Priorities are told to the engines.
+	// Priorities passes request priorities on to the engines.
 	Priorities bool
 }
 
-// feed is what a picker may want to hear.
-type feed interface {
+// reportReceiver is implemented by pickers that use load reports and cache events.
+type reportReceiver interface {
 	Report(service, upstream string, report routing.LoadReport)
 	CacheEvents(service, upstream string, events []routing.CacheEvent)
 }
 
-// pressured tells how full the engines are.
-type pressured interface {
+// pressureReporter is implemented by pickers that report how loaded the engines are.
+type pressureReporter interface {
 	Pressure(service, region string) (here, elsewhere routing.Pressure)
 	LimitLocal(service string, limit int)
 }
 
-// Ours is the name of the policy that nodes run.
-const Ours = "lavenderpin"
+// OwnPolicy is the name of the policy used in production.
+const OwnPolicy = "lavenderpin"
 
-// Policies returns ours first, then the baselines, then the baselines behind our
-// admission, which tells apart what the choice and what the admission brings.
+// Policies returns the own policy with and without admission control, then the baselines,
+// then the baselines with the own admission control. The last separate the effect of
+// upstream selection from that of admission.
 func Policies() []Policy {
 	list := []Policy{
-		{Name: Ours, Picker: newBalancer, Admission: admission.DefaultSettings, RetryBudget: true, Priorities: true},
+		{Name: OwnPolicy, Picker: newBalancer, Admission: admission.DefaultSettings, RetryBudget: true, Priorities: true},
 		{Name: "lavenderpin without admission", Picker: newBalancer, RetryBudget: true},
 	}
-	list = append(list, baselines("", nil)...)
-	return append(list, baselines(" + admission", admission.DefaultSettings)...)
+	list = append(list, baselinePolicies("", nil)...)
+	return append(list, baselinePolicies(" + admission", admission.DefaultSettings)...)
 }
 
-// greedy admits as much as keeps the engines busiest, whatever the wait. It shows what
-// the engines can complete, so that the capacity doesn't hang on how cautious the
-// admission of Ours is.
-func greedy() Policy {
+// greedyPolicy admits enough requests to maximize throughput, regardless of latency. It
+// shows what the engines can complete, so that the measured capacity doesn't depend on how
+// cautious the admission control of OwnPolicy is.
+func greedyPolicy() Policy {
 	return Policy{Name: "lavenderpin for throughput only", Picker: newBalancer, RetryBudget: true,
 		Admission: func(slots int) admission.Settings {
 			s := admission.DefaultSettings(slots)
-			s.TargetWaitingRatio = greedyWaitingShare
+			s.TargetWaitingRatio = greedyWaitingRatio
 			s.MaxWait = greedyMaxWait
 			s.StandingWait = greedyMaxWait
 			return s
@@ -65,7 +66,7 @@
 }
 
 const (
-	greedyWaitingShare = 0.1
+	greedyWaitingRatio = 0.1
 	greedyMaxWait      = 3 * time.Second
 )
 
@@ -73,16 +74,16 @@
 	return routing.NewBalancer(routing.DefaultSettings(), clock, random.Uint64, nil)
 }
 
-func baselines(suffix string, admit func(slots int) admission.Settings) []Policy {
-	simple := func(name string, choose chooser) Policy {
+func baselinePolicies(suffix string, admit func(slots int) admission.Settings) []Policy {
+	newPolicy := func(name string, choose chooseFunc) Policy {
 		return Policy{Name: name + suffix, Admission: admit, Picker: func(_ clockwork.Clock, random *rand.Rand) routing.Picker {
 			return newBaseline(random, choose)
 		}}
 	}
 	return []Policy{
-		simple("random", chooseRandom),
-		simple("round robin", chooseInTurn),
-		simple("least reported load", chooseLeastReported),
-		simple("cache only", chooseMostCached),
+		newPolicy("random", chooseRandom),
+		newPolicy("round robin", chooseRoundRobin),
+		newPolicy("least reported load", chooseLeastLoaded),
+		newPolicy("cache only", chooseMostCached),
 	}
 }
--- a/internal/experiment/routing/run.go
+++ b/internal/experiment/routing/run.go
@@ -10,11 +10,11 @@
 	"lavenderpin.dev/lavenderpin/internal/enginemodel"
 )
 
-// Result is what one policy did in one scenario.
+// Result holds the results of one policy in one scenario.
 type Result struct {
 	Policy   string `json:"policy"`
 	Scenario string `json:"scenario"`
-	// Times in milliseconds, of admitted requests.
+	// Latencies of admitted requests, in milliseconds.
 	FirstP50 float64 `json:"first_token_p50_ms"`
 	FirstP95 float64 `json:"first_token_p95_ms"`
 	FirstP99 float64 `json:"first_token_p99_ms"`
@@ -23,7 +23,7 @@
 	GapP99   float64 `json:"between_tokens_p99_ms"`
 	SmallP95 float64 `json:"small_accounts_first_token_p95_ms"`
 	QueueP95 float64 `json:"admission_wait_p95_ms"`
-	// Of requests that aren't bulk work, and of those that are.
+	// Results for requests of all other accounts (urgent) and of the bulk account.
 	UrgentP50     float64 `json:"urgent_first_token_p50_ms"`
 	UrgentP95     float64 `json:"urgent_first_token_p95_ms"`
 	UrgentP99     float64 `json:"urgent_first_token_p99_ms"`
@@ -31,61 +31,63 @@
 	BulkP50       float64 `json:"bulk_first_token_p50_ms"`
 	BulkP95       float64 `json:"bulk_first_token_p95_ms"`
 	BulkGoodput   float64 `json:"bulk_goodput_per_second"`
-	// Goodput counts requests answered whole within the deadlines, per second.
-	Goodput float64 `json:"goodput_per_second"`
-	Offered float64 `json:"offered_per_second"`
-	Whole   float64 `json:"whole_per_second"`
-	// Completed counts all answers that ended within the measured time, per second.
+	// Goodput is the rate of requests answered completely within the deadlines.
+	Goodput  float64 `json:"goodput_per_second"`
+	Offered  float64 `json:"offered_per_second"`
+	Answered float64 `json:"whole_per_second"`
+	// Completed is the rate of all answers that ended within the measured period.
 	Completed float64 `json:"completed_per_second"`
 	Refused   float64 `json:"refused_share"`
 	Failed    float64 `json:"failed_share"`
 	CacheHit  float64 `json:"cache_hit_share"`
 	Jain      float64 `json:"jain_over_teams"`
-	// SmallGood is the share of the small accounts' requests that were good.
-	SmallGood float64 `json:"small_accounts_good_share"`
-	Wasted    int     `json:"wasted_tokens"`
-	Retries   float64 `json:"retry_share"`
-	CrossMB   float64 `json:"cross_region_mb"`
+	// SmallGoodShare is the share of the small accounts' requests that count as goodput.
+	SmallGoodShare float64 `json:"small_accounts_good_share"`
+	WastedTokens   int     `json:"wasted_tokens"`
+	Retries        float64 `json:"retry_share"`
+	CrossMB        float64 `json:"cross_region_mb"`
 }
 
-// drainTime is run on after the last arrival, so that open requests can end.
+// drainTime is how long a run goes on after the last arrival, so that requests in flight
+// can finish.
 const drainTime = 40 * time.Second
 
-// Run plays a scenario with a policy at an arrival rate per second, once for each seed
-// from the scenario's on, and pools what the callers saw.
+// Run simulates a scenario under a policy at an arrival rate per second, for the given
+// number of consecutive seeds beginning with the scenario's, and pools the results.
 func Run(policy Policy, scenario Scenario, rate float64, seeds int) Result {
-	var pooled *tally
+	var pooled *metrics
 	for i := range seeds {
 		s := scenario
 		s.Seed += uint64(i)
-		t := play(policy, s, rate)
+		m := simulate(policy, s, rate)
 		if pooled == nil {
-			pooled = t
+			pooled = m
 			continue
 		}
-		pooled.merge(t)
+		pooled.merge(m)
 	}
 	return pooled.result(policy, seeds)
 }
 
-func play(policy Policy, scenario Scenario, rate float64) *tally {
+func simulate(policy Policy, scenario Scenario, rate float64) *metrics {
 	f := newFleet(policy, scenario)
-	f.schedule(scenario)
+	f.scheduleFaults(scenario)
 	w := newWorkload(scenario, rate)
-	f.arrive(w, modelStart.Add(scenario.Warmup+scenario.Length))
+	f.scheduleArrivals(w, modelStart.Add(scenario.Warmup+scenario.Length))
 	f.sim.RunUntil(modelStart.Add(scenario.Warmup + scenario.Length + drainTime))
 	for _, e := range f.engines {
 		totals := e.Totals()
-		f.tally.prompt += totals.PromptTokens
-		f.tally.cached += totals.CachedTokens
-		f.tally.wasted += totals.WastedTokens
+		f.metrics.prompt += totals.PromptTokens
+		f.metrics.cached += totals.CachedTokens
+		f.metrics.wasted += totals.WastedTokens
 	}
-	f.tally.linkBytes = f.link.bytes
-	return f.tally
+	f.metrics.linkBytes = f.link.bytes
+	return f.metrics
 }
 
-// arrive lets callers in one after another. A caller uses any node of its region.
-func (f *fleet) arrive(w *workload, end time.Time) {
+// scheduleArrivals schedules the next arrival, which schedules the one after it. A call
+// goes to a pseudo-random node of its region.
+func (f *fleet) scheduleArrivals(w *workload, end time.Time) {
 	c := w.draw()
 	at := modelStart.Add(c.at)
 	if !at.Before(end) {
@@ -93,20 +95,20 @@
 	}
 	f.sim.After(at.Sub(f.sim.Now()), func() {
 		nodes := f.nodesOf(c.region)
-		nodes[int(nodeRoll(c.id)%uint64(len(nodes)))].take(c)
-		f.arrive(w, end)
+		nodes[int(nodeHash(c.id)%uint64(len(nodes)))].handle(c)
+		f.scheduleArrivals(w, end)
 	})
 }
 
-// nodeRoll spreads callers over nodes alike for every policy.
-func nodeRoll(id int) uint64 { return (uint64(id) * 0x9e3779b97f4a7c15) >> 33 }
+// nodeHash spreads calls over nodes in the same way for every policy.
+func nodeHash(id int) uint64 { return (uint64(id) * 0x9e3779b97f4a7c15) >> 33 }
 
-// schedule switches the scenario's faults on and off.
-func (f *fleet) schedule(s Scenario) {
+// scheduleFaults schedules the onset of and the recovery from the scenario's faults.
+func (f *fleet) scheduleFaults(s Scenario) {
 	set := func(on bool) func() {
 		return func() {
 			f.link.cut = on && s.CutLink
-			for name, faults := range s.Sick {
+			for name, faults := range s.Faults {
 				if !on {
 					faults = enginemodel.Faults{}
 				}
@@ -120,31 +122,38 @@
 	}
 }
 
-func (t *tally) result(policy Policy, seeds int) Result {
-	seconds := t.scenario.Length.Seconds() * float64(seeds)
-	arrivals := float64(max(t.arrivals, 1))
+func (m *metrics) result(policy Policy, seeds int) Result {
+	seconds := m.scenario.Length.Seconds() * float64(seeds)
+	arrivals := float64(max(m.arrivals, 1))
 	return Result{
-		Policy: policy.Name, Scenario: t.scenario.Name,
-		FirstP50: ms(t.first, 50), FirstP95: ms(t.first, 95), FirstP99: ms(t.first, 99),
-		GapP50: ms(t.gaps, 50), GapP95: ms(t.gaps, 95), GapP99: ms(t.gaps, 99), SmallP95: ms(t.small, 95), QueueP95: ms(t.queue, 95),
-		UrgentP50: ms(t.urgent, 50), UrgentP95: ms(t.urgent, 95), UrgentP99: ms(t.urgent, 99), UrgentGoodput: float64(t.urgentGood) / seconds,
-		BulkP50: ms(t.bulk, 50), BulkP95: ms(t.bulk, 95), BulkGoodput: float64(t.bulkGood) / seconds,
-		Goodput: float64(t.good) / seconds, Offered: float64(t.arrivals) / seconds, Whole: float64(t.whole) / seconds,
-		Completed: float64(t.completed) / seconds,
-		Refused:   float64(t.turnedAway) / arrivals, Failed: float64(t.failures) / arrivals,
-		CacheHit: float64(t.cached) / float64(max(t.prompt, 1)),
-		Jain:     jain(t.asked, t.served), SmallGood: float64(t.smallGood) / float64(max(t.smallArrivals, 1)),
-		Wasted: t.wasted / seeds, Retries: float64(t.retries) / arrivals, CrossMB: t.linkBytes / 1e6 / float64(seeds),
+		Policy: policy.Name, Scenario: m.scenario.Name,
+		FirstP50: quantileMS(m.firstToken, 50), FirstP95: quantileMS(m.firstToken, 95),
+		FirstP99: quantileMS(m.firstToken, 99),
+		GapP50:   quantileMS(m.tokenGaps, 50), GapP95: quantileMS(m.tokenGaps, 95),
+		GapP99:   quantileMS(m.tokenGaps, 99),
+		SmallP95: quantileMS(m.smallFirstToken, 95), QueueP95: quantileMS(m.admissionWait, 95),
+		UrgentP50: quantileMS(m.urgentFirstToken, 50), UrgentP95: quantileMS(m.urgentFirstToken, 95),
+		UrgentP99: quantileMS(m.urgentFirstToken, 99), UrgentGoodput: float64(m.urgentWithinDeadlines) / seconds,
+		BulkP50: quantileMS(m.bulkFirstToken, 50), BulkP95: quantileMS(m.bulkFirstToken, 95),
+		BulkGoodput: float64(m.bulkWithinDeadlines) / seconds,
+		Goodput:     float64(m.withinDeadlines) / seconds, Offered: float64(m.arrivals) / seconds,
+		Answered:  float64(m.answered) / seconds,
+		Completed: float64(m.completed) / seconds,
+		Refused:   float64(m.refusals) / arrivals, Failed: float64(m.failures) / arrivals,
+		CacheHit:       float64(m.cached) / float64(max(m.prompt, 1)),
+		Jain:           jainIndex(m.requestedTokens, m.servedTokens),
+		SmallGoodShare: float64(m.smallWithinDeadlines) / float64(max(m.smallArrivals, 1)),
+		WastedTokens:   m.wasted / seeds, Retries: float64(m.retries) / arrivals, CrossMB: m.linkBytes / 1e6 / float64(seeds),
 	}
 }
 
-func ms(h *hdrhistogram.Histogram, quantile float64) float64 {
+func quantileMS(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// all runs every policy in every scenario, a few at a time. Each run is
+// runAll runs every policy in every scenario, with limited concurrency. Each run is
 // deterministic, so their order doesn't matter.
-func all(policies []Policy, scenarios []Scenario, rate float64, seeds int) []Result {
+func runAll(policies []Policy, scenarios []Scenario, rate float64, seeds int) []Result {
 	results := make([]Result, len(policies)*len(scenarios))
 	var group errgroup.Group
 	group.SetLimit(max(1, runtime.GOMAXPROCS(0)/3))
@@ -156,6 +165,6 @@
 			})
 		}
 	}
-	_ = group.Wait() // no run fails
+	_ = group.Wait() // runs never return an error
 	return results
 }
--- a/internal/experiment/routing/scenario.go
+++ b/internal/experiment/routing/scenario.go
@@ -6,28 +6,29 @@
 	"lavenderpin.dev/lavenderpin/internal/enginemodel"
 )
 
-// Scenario is one experiment: load, faults and length.
+// Scenario describes the load, the faults and the length of a run.
 type Scenario struct {
 	Name string
-	// Load is the offered rate as a share of the capacity.
+	// Load is the arrival rate as a share of the capacity.
 	Load   float64
 	Seed   uint64
 	Warmup time.Duration
 	Length time.Duration
-	// Sick engines get their faults at Onset after the warm-up, and lose them at
-	// Recovery if that is set.
-	Sick     map[string]enginemodel.Faults
+	// Faults maps engines to their faults, which begin at Onset after the warm-up and end
+	// at Recovery if that is set.
+	Faults   map[string]enginemodel.Faults
 	Onset    time.Duration
 	Recovery time.Duration
-	// CutLink cuts the regions apart from Onset to Recovery.
+	// CutLink partitions the regions from Onset to Recovery.
 	CutLink bool
 	Crowd   Crowd
-	// NearShare of the calls come in at the near region; 0 means its share of engines.
+	// NearShare is the share of calls that arrive at the near region; 0 means the near
+	// region's share of the engines.
 	NearShare float64
-	// Bulk names an account whose priority is lower than that of all others.
-	Bulk string
-	// Unbounded drops the deadlines, to measure capacity.
-	Unbounded bool
+	// BulkAccount names an account with a lower priority than all others.
+	BulkAccount string
+	// NoDeadlines disables the deadlines, to measure capacity.
+	NoDeadlines bool
 }
 
 func (s Scenario) nearShare() float64 {
@@ -40,14 +41,14 @@
 // Crowd is a surge of requests from the largest account.
 type Crowd struct {
 	From, To time.Duration
-	// Extra requests, as a multiple of the normal rate of all.
-	Extra float64
+	// ExtraRate is the additional arrival rate, as a multiple of the normal total rate.
+	ExtraRate float64
 }
 
 func (c Crowd) extra(second float64) float64 {
 	at := time.Duration(second * float64(time.Second))
 	if at >= c.From && at < c.To {
-		return c.Extra
+		return c.ExtraRate
 	}
 	return 0
 }
@@ -55,14 +56,15 @@
 const (
 	warmup = 20 * time.Second
 	length = 60 * time.Second
-	// hotShare of the calls at the near region is more than its engines can serve at 80%.
-	hotShare = 0.85
+	// hotRegionShare is the share of calls at the near region that exceeds what its engines
+	// can serve at 80% load.
+	hotRegionShare = 0.85
 )
 
-// Scenarios returns those of the report.
+// Scenarios returns the scenarios of the main comparison.
 func Scenarios(seed uint64) []Scenario {
 	base := Scenario{Seed: seed, Warmup: warmup, Length: length, Onset: 10 * time.Second}
-	with := func(name string, load float64, change func(*Scenario)) Scenario {
+	scenario := func(name string, load float64, change func(*Scenario)) Scenario {
 		s := base
 		s.Name, s.Load = name, load
 		if change != nil {
@@ -70,26 +72,26 @@
 		}
 		return s
 	}
-	sick := func(faults enginemodel.Faults) func(*Scenario) {
-		return func(s *Scenario) { s.Sick = map[string]enginemodel.Faults{near + "-0": faults} }
+	faulty := func(faults enginemodel.Faults) func(*Scenario) {
+		return func(s *Scenario) { s.Faults = map[string]enginemodel.Faults{near + "-0": faults} }
 	}
 	return []Scenario{
-		with("load 50%", 0.5, nil),
-		with("load 80%", 0.8, nil),
-		with("load 100%", 1.0, nil),
-		with("load 130%", 1.3, nil),
-		with("one slow engine (x4) at 80%", 0.8, sick(enginemodel.Faults{SlowBy: 4})),
-		with("one hanging engine at 80%", 0.8, sick(enginemodel.Faults{Hang: true})),
-		with("one engine dies at 80%", 0.8, sick(enginemodel.Faults{Dead: true})),
-		with("one engine fails half its requests at 80%", 0.8, sick(enginemodel.Faults{ErrorShare: 0.5})),
-		with("one engine crosses answers at 80%", 0.8, sick(enginemodel.Faults{CrossShare: 0.2})),
-		with("region cut at 80%", 0.8, func(s *Scenario) { s.CutLink, s.Recovery = true, 40*time.Second }),
-		with("hot region (85% of the calls in one) at 80%", 0.8, func(s *Scenario) { s.NearShare = hotShare }),
-		with("hot region, and the regions cut apart, at 80%", 0.8, func(s *Scenario) {
-			s.NearShare, s.CutLink, s.Recovery = hotShare, true, 40*time.Second
+		scenario("load 50%", 0.5, nil),
+		scenario("load 80%", 0.8, nil),
+		scenario("load 100%", 1.0, nil),
+		scenario("load 130%", 1.3, nil),
+		scenario("one slow engine (x4) at 80%", 0.8, faulty(enginemodel.Faults{SlowBy: 4})),
+		scenario("one hanging engine at 80%", 0.8, faulty(enginemodel.Faults{Hang: true})),
+		scenario("one engine dies at 80%", 0.8, faulty(enginemodel.Faults{Dead: true})),
+		scenario("one engine fails half its requests at 80%", 0.8, faulty(enginemodel.Faults{ErrorShare: 0.5})),
+		scenario("one engine crosses answers at 80%", 0.8, faulty(enginemodel.Faults{CrossShare: 0.2})),
+		scenario("region cut at 80%", 0.8, func(s *Scenario) { s.CutLink, s.Recovery = true, 40*time.Second }),
+		scenario("hot region (85% of the calls in one) at 80%", 0.8, func(s *Scenario) { s.NearShare = hotRegionShare }),
+		scenario("hot region, and the regions cut apart, at 80%", 0.8, func(s *Scenario) {
+			s.NearShare, s.CutLink, s.Recovery = hotRegionShare, true, 40*time.Second
 		}),
-		with("flash crowd of one account at 80%", 0.8, func(s *Scenario) {
-			s.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, Extra: 1}
+		scenario("flash crowd of one account at 80%", 0.8, func(s *Scenario) {
+			s.Crowd = Crowd{From: warmup + 10*time.Second, To: warmup + 40*time.Second, ExtraRate: 1}
 		}),
 	}
 }
--- a/internal/experiment/routing/workload.go
+++ b/internal/experiment/routing/workload.go
@@ -11,24 +11,24 @@
 
 const (
 	documentsPerAccount = 4
-	leastBlocks         = 24
-	mostBlocks          = 40
-	leastTail           = 50
-	mostTail            = 600
-	meanAnswer          = 100
-	answerSpread        = 0.6
-	leastAnswer         = 8
-	mostAnswer          = 512
-	// firstTokenDeadline is what callers ask for.
+	minBlocks           = 24
+	maxBlocks           = 40
+	minTailTokens       = 50
+	maxTailTokens       = 600
+	meanAnswerTokens    = 100
+	answerLogSigma      = 0.6
+	minAnswerTokens     = 8
+	maxAnswerTokens     = 512
+	// firstTokenDeadline is the deadline that callers set for the first token.
 	firstTokenDeadline = 2500 * time.Millisecond
-	// wholeDeadline bounds the whole answer.
-	wholeDeadline = 30 * time.Second
+	// answerDeadline is the deadline for the complete answer.
+	answerDeadline = 30 * time.Second
 )
 
-// bulkPriority is that of an account whose work isn't urgent.
+// bulkPriority is the priority of an account with non-urgent work.
 const bulkPriority = -5
 
-// account is a client account of the model: ten of them, three large, in four teams.
+// account is a simulated client account: one of ten, three of them large, in four teams.
 type account struct {
 	name  string
 	team  string
@@ -54,13 +54,13 @@
 	prefix  []uint64
 	prompt  int
 	answer  int
-	// priority of the account; higher goes first.
+	// priority is that of the account; higher goes first.
 	priority int
 }
 
-// workload draws arrivals: a Poisson process whose rate the scenario sets. Each
-// account has a few documents that its prompts begin with, the first ones more often,
-// and a tail of its own.
+// workload generates arrivals as a Poisson process. During a crowd, its rate rises as the
+// scenario says. Each prompt begins with one of the account's few documents, earlier ones
+// more often, followed by a unique tail.
 type workload struct {
 	random   *rand.Rand
 	scenario Scenario
@@ -79,22 +79,22 @@
 	extra := w.scenario.Crowd.extra(w.at)
 	w.at += w.random.ExpFloat64() / (w.rate * (1 + extra))
 	w.next++
-	c := call{id: w.next, at: time.Duration(w.at * float64(time.Second)), region: far, answer: w.answerLength()}
-	c.account = w.pickAccount()
+	c := call{id: w.next, at: time.Duration(w.at * float64(time.Second)), region: far, answer: w.answerTokens()}
+	c.account = w.drawAccount()
 	if w.random.Float64() < extra/(1+extra) {
 		c.account = w.accounts[0]
 	}
 	if w.random.Float64() < w.scenario.nearShare() {
 		c.region = near
 	}
-	c.prefix, c.prompt = w.promptOf(c.account)
-	if w.scenario.Bulk != "" && c.account.name == w.scenario.Bulk {
+	c.prefix, c.prompt = w.drawPrompt(c.account)
+	if w.scenario.BulkAccount != "" && c.account.name == w.scenario.BulkAccount {
 		c.priority = bulkPriority
 	}
 	return c
 }
 
-func (w *workload) pickAccount() account {
+func (w *workload) drawAccount() account {
 	roll := w.random.Float64()
 	for _, a := range w.accounts {
 		if roll -= a.share; roll < 0 {
@@ -104,19 +104,19 @@
 	return w.accounts[len(w.accounts)-1]
 }
 
-func (w *workload) answerLength() int {
-	length := meanAnswer * math.Exp(answerSpread*w.random.NormFloat64()-answerSpread*answerSpread/2)
-	return min(max(int(length), leastAnswer), mostAnswer)
+func (w *workload) answerTokens() int {
+	length := meanAnswerTokens * math.Exp(answerLogSigma*w.random.NormFloat64()-answerLogSigma*answerLogSigma/2)
+	return min(max(int(length), minAnswerTokens), maxAnswerTokens)
 }
 
-func (w *workload) promptOf(a account) (prefix []uint64, tokens int) {
+func (w *workload) drawPrompt(a account) (prefix []uint64, tokens int) {
 	document := min(int(w.random.ExpFloat64()*1.2), documentsPerAccount-1)
 	seed := rand.New(rand.NewPCG(nameSeed(a.name), uint64(document)))
-	blocks := leastBlocks + seed.IntN(mostBlocks-leastBlocks+1)
+	blocks := minBlocks + seed.IntN(maxBlocks-minBlocks+1)
 	for range blocks {
 		prefix = append(prefix, seed.Uint64()|1)
 	}
-	tail := leastTail + w.random.IntN(mostTail-leastTail+1)
+	tail := minTailTokens + w.random.IntN(maxTailTokens-minTailTokens+1)
 	blockTokens := enginemodel.DefaultParams().BlockTokens
 	for range tail / blockTokens {
 		prefix = append(prefix, w.random.Uint64()|1)
