--- a/cmd/lavenderbench/fleet.go
+++ b/cmd/lavenderbench/fleet.go
@@ -22,20 +22,20 @@
 // Run prints the tables.
 func (c *fleetCmd) Run() error {
 	var costs []fleet.Cost
-	var spreads []fleet.Spread
+	var spreads []fleet.Propagation
 	for _, size := range c.Sizes {
 		if c.Leaving > 0 {
-			leaving, err := fleet.MeasureLeaving(size, c.Leaving)
+			leaving, err := fleet.MeasureLeavingLatency(size, c.Leaving)
 			if err != nil {
 				return errors.Trace(err)
 			}
-			if err := fleet.WriteLeaving(os.Stdout, leaving); err != nil {
+			if err := fleet.WriteLeavingLatency(os.Stdout, leaving); err != nil {
 				return errors.Trace(err)
 			}
 			continue
 		}
 		if c.Changes > 0 {
-			spread, err := fleet.MeasureSpread(size, c.Changes, c.Delay, c.Pause)
+			spread, err := fleet.MeasurePropagation(size, c.Changes, c.Delay, c.Pause)
 			if err != nil {
 				return errors.Trace(err)
 			}
@@ -49,7 +49,7 @@
 		costs = append(costs, cost)
 	}
 	if c.Changes > 0 {
-		return errors.Trace(fleet.WriteSpread(os.Stdout, spreads))
+		return errors.Trace(fleet.WritePropagation(os.Stdout, spreads))
 	}
 	if len(costs) == 0 {
 		return nil
--- a/internal/experiment/fleet/cluster.go
+++ b/internal/experiment/fleet/cluster.go
@@ -22,19 +22,19 @@
 	keyValidity  = 24 * time.Hour
 	startTimeout = 5 * time.Minute
 	startPoll    = 50 * time.Millisecond
-	startAtOnce  = 20
+	startBatch   = 20
 )
 
-// places spreads the nodes as today's fleets are: four of seven in the region of
-// the log, over two data centres, three in the other region.
-var places = []struct{ region, centre string }{
+// locations distributes the nodes like current deployments: four of seven in the region
+// of the log, over two data centres, and three in the other region.
+var locations = []struct{ region, centre string }{
 	{"cz-bohemia", "praha-a"}, {"cz-morava", "brno-a"}, {"cz-bohemia", "plzen-a"}, {"cz-morava", "brno-a"},
 	{"cz-bohemia", "praha-a"}, {"cz-morava", "brno-a"}, {"cz-bohemia", "plzen-a"},
 }
 
 const logRegion = "cz-bohemia"
 
-// Cluster is a running fleet without callers.
+// Cluster is a running fleet without client traffic.
 type Cluster struct {
 	Log   *standin.Log
 	Nodes []*node.Node
@@ -43,39 +43,39 @@
 	logs    []*countingLog
 	callers []*countingCaller
 	regions sync.Map // from socket address to region
-	// delay is how long the way between the regions takes.
-	delay     time.Duration
-	crossings *crossings
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
+	// delay is the one-way latency between the regions.
+	delay       time.Duration
+	changeReads *changeReads
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
-// Start starts a fleet whose regions are a delay apart, and waits until every node hands
-// out the addresses of all.
+// Start starts a fleet with the given one-way latency between its regions, and waits until
+// every node returns the addresses of all nodes.
 func Start(count int, delay time.Duration) (*Cluster, error) {
 	authority, err := tlskeys.NewAuthority(time.Now(), keyValidity)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{Log: standin.NewLog(), cancel: cancel, delay: delay, crossings: &crossings{times: map[string]int{}}}
+	c := &Cluster{Log: standin.NewLog(), cancel: cancel, delay: delay, changeReads: &changeReads{reads: map[string]int{}}}
 	for i := range count {
-		if err := c.start(ctx, authority, i); err != nil {
+		if err := c.startNode(ctx, authority, i); err != nil {
 			c.Stop()
 			return nil, errors.Trace(err)
 		}
-		if i%startAtOnce == startAtOnce-1 {
+		if i%startBatch == startBatch-1 {
 			time.Sleep(startPoll)
 		}
 	}
-	if err := c.await(); err != nil {
+	if err := c.awaitAddresses(); err != nil {
 		c.Stop()
 		return nil, errors.Trace(err)
 	}
 	return c, nil
 }
 
-func (c *Cluster) start(ctx context.Context, authority tlskeys.KeyPair, i int) error {
+func (c *Cluster) startNode(ctx context.Context, authority tlskeys.KeyPair, i int) error {
 	pair, err := authority.Issue(time.Now(), keyValidity)
 	if err != nil {
 		return errors.Trace(err)
@@ -84,26 +84,26 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Trace(err)
 	}
-	place := places[i%len(places)]
-	c.regions.Store(udp.LocalAddr().String(), place.region)
+	location := locations[i%len(locations)]
+	c.regions.Store(conn.LocalAddr().String(), location.region)
 	remote := func(address string) bool {
 		region, known := c.regions.Load(address)
-		return known && region != place.region
+		return known && region != location.region
 	}
-	socket := &countingConn{PacketConn: udp, remote: func(to net.Addr) bool { return remote(to.String()) }, delay: c.delay}
+	socket := &countingConn{PacketConn: conn, remote: func(to net.Addr) bool { return remote(to.String()) }, delay: c.delay}
 	counted := &countingLog{Log: c.Log}
-	if place.region != logRegion {
-		counted.delay, counted.crossings = c.delay, c.crossings
+	if location.region != logRegion {
+		counted.delay, counted.changeReads = c.delay, c.changeReads
 	}
 	transport := peer.NewQUIC(socket, peerTLS)
-	caller := &countingCaller{Caller: transport, remote: remote, crossings: c.crossings}
+	caller := &countingCaller{Caller: transport, remote: remote, changeReads: c.changeReads}
 	settings := node.DefaultSettings()
-	settings.Region, settings.DataCentre = place.region, place.centre
-	settings.PeerAddress = udp.LocalAddr().String()
+	settings.Region, settings.DataCentre = location.region, location.centre
+	settings.PeerAddress = conn.LocalAddr().String()
 	settings.HTTPAddress = fmt.Sprintf("127.0.0.1:%d", 20000+i)
 	settings.OperatorAddress = fmt.Sprintf("127.0.0.1:%d", 30000+i)
 	n, err := node.New(settings, node.Deps{
@@ -117,15 +117,15 @@
 	c.sockets = append(c.sockets, socket)
 	c.logs = append(c.logs, counted)
 	c.callers = append(c.callers, caller)
-	c.running.Go(func() { _ = transport.Serve(ctx, n.HandlePeer) })
-	c.running.Go(func() {
+	c.wg.Go(func() { _ = transport.Serve(ctx, n.HandlePeer) })
+	c.wg.Go(func() {
 		_ = n.Run(ctx)
 		_ = transport.Close()
 	})
 	return nil
 }
 
-func (c *Cluster) await() error {
+func (c *Cluster) awaitAddresses() error {
 	deadline := time.Now().Add(startTimeout)
 	for _, n := range c.Nodes {
 		for {
@@ -134,7 +134,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("a node hands out %d of %d addresses after %s", len(list), len(c.Nodes), startTimeout)
+				return errors.Errorf("node returns %d of %d addresses after %s", len(list), len(c.Nodes), startTimeout)
 			}
 			time.Sleep(startPoll)
 		}
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// Stop ends all nodes at once.
+// Stop stops all nodes at the same time and waits for them.
 func (c *Cluster) Stop() {
 	c.cancel()
-	c.running.Wait()
+	c.wg.Wait()
 }
--- a/internal/experiment/fleet/countingcaller.go
+++ b/internal/experiment/fleet/countingcaller.go
@@ -10,35 +10,35 @@
 	"lavenderpin.dev/lavenderpin/peer"
 )
 
-// callCount is the calls of one kind that a node made, and the bytes of their
-// requests and answers before framing.
-type callCount struct{ calls, bytes atomic.Int64 }
+// callStats counts the calls of one kind that a node made, and the bytes of their
+// requests and responses before framing.
+type callStats struct{ calls, bytes atomic.Int64 }
 
-// countingCaller counts a node's calls by what they are for.
+// countingCaller counts a node's calls by kind.
 type countingCaller struct {
 	peer.Caller
-	pings, reads, others callCount
-	// remote tells whether an address is in the other region.
-	remote    func(address string) bool
-	crossings *crossings
+	pings, reads, others callStats
+	// remote reports whether an address is in the other region.
+	remote      func(address string) bool
+	changeReads *changeReads
 }
 
 // Call implements peer.Caller.
 func (c *countingCaller) Call(ctx context.Context, address string, request *fleetv1.Request) (*fleetv1.Response, error) {
 	response, err := c.Caller.Call(ctx, address, request)
-	count := &c.others
+	stats := &c.others
 	switch request.GetBody().(type) {
 	case *fleetv1.Request_Ping:
-		count = &c.pings
+		stats = &c.pings
 	case *fleetv1.Request_LogRead:
-		count = &c.reads
+		stats = &c.reads
 	}
 	if c.remote(address) {
 		for _, entry := range response.GetLogSlice().GetRecords() {
-			c.crossings.add(entry.GetData())
+			c.changeReads.record(entry.GetData())
 		}
 	}
-	count.calls.Add(1)
-	count.bytes.Add(int64(proto.Size(request) + proto.Size(response)))
+	stats.calls.Add(1)
+	stats.bytes.Add(int64(proto.Size(request) + proto.Size(response)))
 	return response, err
 }
--- a/internal/experiment/fleet/countingconn.go
+++ b/internal/experiment/fleet/countingconn.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// datagramOverhead is the IPv4 and UDP headers of a datagram.
+// datagramOverhead is the size of the IPv4 and UDP headers of a datagram.
 const datagramOverhead = 28
 
-// countingConn counts the bytes of a node's socket, headers included.
+// countingConn counts the bytes of a node's socket, including headers, and delays
+// datagrams to the other region.
 type countingConn struct {
 	net.PacketConn
 	sent     atomic.Int64
 	received atomic.Int64
-	// datagrams counts those sent.
+	// datagrams counts the datagrams sent.
 	datagrams atomic.Int64
-	// crossed counts what was sent to the other region.
-	crossed atomic.Int64
-	remote  func(net.Addr) bool
-	// delay is how long a datagram to the other region takes.
+	// crossRegionBytes counts the bytes sent to the other region.
+	crossRegionBytes atomic.Int64
+	remote           func(net.Addr) bool
+	// delay is the one-way latency to the other region.
 	delay time.Duration
 }
 
@@ -32,13 +33,13 @@
 	if !c.remote(to) {
 		return c.PacketConn.WriteTo(p, to)
 	}
-	c.crossed.Add(size)
+	c.crossRegionBytes.Add(size)
 	if c.delay == 0 {
 		return c.PacketConn.WriteTo(p, to)
 	}
-	late := slices.Clone(p)
-	// A datagram that can't be sent any more is lost, as on a link.
-	time.AfterFunc(c.delay, func() { _, _ = c.PacketConn.WriteTo(late, to) })
+	datagram := slices.Clone(p)
+	// A datagram that fails to be sent after the delay is lost, as on a real link.
+	time.AfterFunc(c.delay, func() { _, _ = c.PacketConn.WriteTo(datagram, to) })
 	return len(p), nil
 }
 
--- a/internal/experiment/fleet/countinglog.go
+++ b/internal/experiment/fleet/countinglog.go
@@ -8,14 +8,15 @@
 	"lavenderpin.dev/lavenderpin/ports"
 )
 
-// countingLog counts what one node reads of the log and appends to it.
+// countingLog counts the bytes that one node reads from and appends to the log, and
+// delays both.
 type countingLog struct {
 	ports.Log
 	bytes atomic.Int64
-	// delay is how far the log is, one way.
+	// delay is the one-way latency to the log.
 	delay time.Duration
-	// crossings, when set, is told of what is read over the link.
-	crossings *crossings
+	// changeReads records what is read over the link; nil for nodes in the log's region.
+	changeReads *changeReads
 }
 
 // Append implements ports.Log.
@@ -30,11 +31,11 @@
 // Read implements ports.Log.
 func (l *countingLog) Read(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
 	time.Sleep(l.delay)
-	slice, err := l.Log.Read(ctx, stream, from, max, wait)
+	result, err := l.Log.Read(ctx, stream, from, max, wait)
 	time.Sleep(l.delay)
-	for _, r := range slice.Records {
+	for _, r := range result.Records {
 		l.bytes.Add(int64(len(r.Data)))
-		l.crossings.add(r.Data)
+		l.changeReads.record(r.Data)
 	}
-	return slice, err
+	return result, err
 }
