--- a/internal/experiment/atmostonce/caller.go
+++ b/internal/experiment/atmostonce/caller.go
@@ -9,70 +9,70 @@
 )
 
 const (
-	// maxTries is how often a caller sends a call, and outageTries how often while the
-	// log is out of reach.
-	maxTries    = 30
-	outageTries = 2
-	// pause lies between two tries.
-	pause = 50 * time.Millisecond
+	// maxAttempts is how often a caller sends a call at most, maxOutageAttempts the same
+	// while the log is unreachable.
+	maxAttempts       = 30
+	maxOutageAttempts = 2
+	// retryDelay is the time between two attempts.
+	retryDelay = 50 * time.Millisecond
 )
 
-// ending is how a call ended for its caller.
-type ending int
+// callOutcome is the outcome of a call as its caller knows it.
+type callOutcome int
 
 const (
-	endAnswered ending = iota
-	endNotRun
-	endUnknown
+	outcomeAnswered callOutcome = iota
+	outcomeNotRun
+	outcomeUnknown
 )
 
-// caller sends one call in one way.
+// caller sends one call under one strategy.
 type caller struct {
-	world  *world
-	way    Way
-	name   string
-	ticket *fleetv1.CallTicket
-	// tries is how often the call was sent, limit how often it may be.
-	tries, limit int
+	fleet    *fleet
+	strategy Strategy
+	name     string
+	ticket   *fleetv1.CallTicket
+	// attempts is how often the call was sent, attemptLimit the maximum.
+	attempts, attemptLimit int
 }
 
-// run sends the call until it has ended for good.
-func (c *caller) run() ending {
-	lost := false
-	for c.tries < c.limit {
-		c.tries++
-		_, err := c.send(c.world.any())
+// run sends the call until its outcome is final.
+func (c *caller) run() callOutcome {
+	maybeRan := false
+	for c.attempts < c.attemptLimit {
+		c.attempts++
+		_, err := c.send(c.fleet.randomNode())
 		switch {
 		case err == nil:
-			return endAnswered
-		case err == errLost && c.way == WayPlain:
-			return endUnknown
-		case err != errLost && result.From(err).NotRun() && c.tries == c.limit:
-			return endNotRun
-		case err != errLost && !result.CodeOf(err).Info().Retry:
-			return endUnknown
+			return outcomeAnswered
+		case err == errConnectionLost && c.strategy == StrategySendOnce:
+			return outcomeUnknown
+		case err != errConnectionLost && result.From(err).NotRun() && c.attempts == c.attemptLimit:
+			return outcomeNotRun
+		case err != errConnectionLost && !result.CodeOf(err).Info().Retry:
+			return outcomeUnknown
 		}
-		lost = lost || err == errLost || !result.From(err).NotRun()
-		time.Sleep(pause)
+		maybeRan = maybeRan || err == errConnectionLost || !result.From(err).NotRun()
+		time.Sleep(retryDelay)
 	}
-	if lost {
-		return endUnknown
+	if maybeRan {
+		return outcomeUnknown
 	}
-	return endNotRun
+	return outcomeNotRun
 }
 
 func (c *caller) send(n *node) (idempotency.Response, error) {
-	return n.attend(func() (idempotency.Response, error) {
-		switch c.way {
-		case WayKey:
-			return n.byKey(c.name)
-		case WayTicket:
+	return n.serve(func() (idempotency.Response, error) {
+		switch c.strategy {
+		case StrategyKey:
+			return n.runWithKey(c.name)
+		case StrategyTicket:
 			if c.ticket == nil {
 				c.ticket = n.runner.NewTicket("account", n.name)
-				return n.byTicket(c.ticket, c.name)
+				return n.runWithTicket(c.ticket, c.name)
 			}
-			return n.byTicket(c.ticket, c.name)
+			return n.runWithTicket(c.ticket, c.name)
 		}
-		return n.run(c.name)(n.ctx)
+		return n.runFunc(c.name)(n.ctx)
 	})
 }
--- a/internal/experiment/atmostonce/fleet.go
+++ b/internal/experiment/atmostonce/fleet.go
@@ -11,95 +11,96 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// world is a fleet of runners over one log.
-type world struct {
+// fleet is a set of nodes with one shared log.
+type fleet struct {
 	options Options
 	log     *standin.Log
 	service *service
-	loops   sync.WaitGroup
+	wg      sync.WaitGroup
 
-	mu     sync.Mutex
-	random *rand.Rand
-	slots  []*node
-	nodes  map[string]*node
-	closed map[string]bool
-	kills  int
+	mu          sync.Mutex
+	random      *rand.Rand
+	slots       []*node
+	nodes       map[string]*node
+	closedNodes map[string]bool
+	crashes     int
 }
 
-func newWorld(options Options) *world {
-	w := &world{
-		options: options, log: standin.NewLog(), service: &service{time: options.ServiceTime, runs: map[string]int{}},
-		random: rand.New(rand.NewPCG(options.Seed, options.Seed)), nodes: map[string]*node{}, closed: map[string]bool{},
+func newFleet(options Options) *fleet {
+	f := &fleet{
+		options: options, log: standin.NewLog(), service: &service{duration: options.ServiceTime, runs: map[string]int{}},
+		random: rand.New(rand.NewPCG(options.Seed, options.Seed)), nodes: map[string]*node{}, closedNodes: map[string]bool{},
 	}
-	w.log.SetDelay(options.LogDelay)
+	f.log.SetDelay(options.LogDelay)
 	for i := range options.Nodes {
-		n := newNode(w, fmt.Sprint("node", i))
-		w.slots = append(w.slots, n)
-		w.nodes[n.name] = n
+		n := newNode(f, fmt.Sprint("node", i))
+		f.slots = append(f.slots, n)
+		f.nodes[n.name] = n
 	}
-	return w
+	return f
 }
 
-func (w *world) stop() {
-	for _, n := range w.nodes {
-		n.kill()
+func (f *fleet) stop() {
+	for _, n := range f.nodes {
+		n.cancel()
 		n.runner.Stop()
 	}
-	w.loops.Wait()
+	f.wg.Wait()
 }
 
-func (w *world) draw(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.IntN(n)
+func (f *fleet) randomIndex(n int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.random.IntN(n)
 }
 
-func (w *world) any() *node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.slots[w.random.IntN(len(w.slots))]
+func (f *fleet) randomNode() *node {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.slots[f.random.IntN(len(f.slots))]
 }
 
-func (w *world) node(name string) *node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.nodes[name]
+func (f *fleet) node(name string) *node {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.nodes[name]
 }
 
-func (w *world) isOpen(name string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.closed[name]
+func (f *fleet) isOpen(name string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return !f.closedNodes[name]
 }
 
-// forwarded turns an exchange with a dead node into what the asking node answers.
-func (w *world) forwarded(owner string, answer idempotency.Response, err error) (idempotency.Response, error) {
-	if err != errLost {
+// forwardedResult maps the result of a forwarded call to the response of the forwarding
+// node, in particular if the connection to the owner was lost.
+func (f *fleet) forwardedResult(owner string, answer idempotency.Response, err error) (idempotency.Response, error) {
+	if err != errConnectionLost {
 		return answer, err
 	}
-	if w.isOpen(owner) {
+	if f.isOpen(owner) {
 		return idempotency.Response{}, result.New(result.PeerUnreachable, "%s doesn't answer", owner)
 	}
 	return idempotency.Response{}, result.New(result.OutcomeUnknown, "%s is gone", owner)
 }
 
-// killOne kills a node and puts a new incarnation in its place.
-func (w *world) killOne() {
-	at := w.draw(len(w.slots))
-	w.mu.Lock()
-	old := w.slots[at]
-	w.kills++
-	name := fmt.Sprintf("node%d.%d", at, w.kills)
-	w.mu.Unlock()
-	fresh := newNode(w, name)
-	w.mu.Lock()
-	w.slots[at], w.nodes[name] = fresh, fresh
-	w.mu.Unlock()
-	old.kill()
+// crashOne kills a random node and replaces it by a new incarnation.
+func (f *fleet) crashOne() {
+	slot := f.randomIndex(len(f.slots))
+	f.mu.Lock()
+	old := f.slots[slot]
+	f.crashes++
+	name := fmt.Sprintf("node%d.%d", slot, f.crashes)
+	f.mu.Unlock()
+	replacement := newNode(f, name)
+	f.mu.Lock()
+	f.slots[slot], f.nodes[name] = replacement, replacement
+	f.mu.Unlock()
+	old.cancel()
 	old.runner.Stop()
-	time.AfterFunc(w.options.CloseAfter, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.closed[old.name] = true
+	time.AfterFunc(f.options.CloseDelay, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.closedNodes[old.name] = true
 	})
 }
--- a/internal/experiment/atmostonce/node.go
+++ b/internal/experiment/atmostonce/node.go
@@ -16,45 +16,47 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// errLost is a connection that broke: its caller knows nothing of the call.
-var errLost = errors.New("the connection was lost")
+// errConnectionLost is returned when a connection breaks: the caller can't know whether the
+// call ran.
+var errConnectionLost = errors.New("connection lost")
 
-// node is one incarnation with its runner.
+// node is one incarnation of a node with its runner.
 type node struct {
-	world  *world
+	fleet  *fleet
 	name   string
 	runner *idempotency.Runner
 	ctx    context.Context
-	kill   context.CancelFunc
+	cancel context.CancelFunc
 }
 
-func newNode(w *world, name string) *node {
+func newNode(f *fleet, name string) *node {
 	clock := clockwork.NewRealClock()
 	events := event.NewRecorder(event.NewHLC(clock), name, 1, log.NewNopLogger())
-	writer := recordlog.NewWriter(w.log, "fleet", name, clock, events.Clock(), w.options.Gather)
+	writer := recordlog.NewWriter(f.log, "fleet", name, clock, events.Clock(), f.options.Gather)
 	claims := idempotency.NewClaims(idempotency.DefaultLimits())
-	follower := recordlog.NewFollower(w.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *recordv1.Batch, v []fold.Verdict) {
+	follower := recordlog.NewFollower(f.log, "fleet", clock, fold.NewEngine(claims), func(_ uint64, b *recordv1.Batch, v []fold.Verdict) {
 		writer.HandleFolded(b, v)
 	})
-	n := &node{world: w, name: name}
-	n.ctx, n.kill = context.WithCancel(context.Background())
+	n := &node{fleet: f, name: name}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.runner = idempotency.NewRunner(idempotency.Options{
-		Incarnation: name, Claims: claims, Log: writer, IsOpen: w.isOpen, Clock: clock, Events: events,
+		Incarnation: name, Claims: claims, Log: writer, IsOpen: f.isOpen, Clock: clock, Events: events,
 	})
-	w.loops.Go(func() { writer.Run(n.ctx) })
-	w.loops.Go(func() { follower.Run(n.ctx) })
+	f.wg.Go(func() { writer.Run(n.ctx) })
+	f.wg.Go(func() { follower.Run(n.ctx) })
 	return n
 }
 
-// attend runs what a node does for a request; a killed node answers nothing.
-func (n *node) attend(do func() (idempotency.Response, error)) (idempotency.Response, error) {
+// serve runs the handler of a request on a node. If the node is killed, the caller gets
+// errConnectionLost.
+func (n *node) serve(handler func() (idempotency.Response, error)) (idempotency.Response, error) {
 	type outcome struct {
 		answer idempotency.Response
 		err    error
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		answer, err := do()
+		answer, err := handler()
 		done <- outcome{answer, err}
 	}()
 	select {
@@ -64,25 +66,25 @@
 		}
 	case <-n.ctx.Done():
 	}
-	time.Sleep(time.Millisecond) // how soon a caller sees that the connection broke
-	return idempotency.Response{}, errLost
+	time.Sleep(time.Millisecond) // the time until a caller detects the broken connection
+	return idempotency.Response{}, errConnectionLost
 }
 
-// run calls the service, unless the node is dead.
-func (n *node) run(name string) idempotency.RunFunc {
+// runFunc returns a function that calls the service, unless the node is dead.
+func (n *node) runFunc(name string) idempotency.RunFunc {
 	return func(context.Context) (idempotency.Response, error) {
 		if n.ctx.Err() != nil {
 			return idempotency.Response{}, result.New(result.NoUpstream, "a dead node sends nothing")
 		}
-		return n.world.service.call(name)
+		return n.fleet.service.call(name)
 	}
 }
 
-func (n *node) byKey(name string) (idempotency.Response, error) {
+func (n *node) runWithKey(name string) (idempotency.Response, error) {
 	call := idempotency.Call{ID: idempotency.ID{Account: "account", Key: name}}
-	return n.runner.Do(context.Background(), call, n.run(name), func(ctx context.Context, owner string) (idempotency.Response, error) {
-		peer := n.world.node(owner)
-		answer, err := peer.attend(func() (idempotency.Response, error) { return peer.runner.Do(ctx, call, peer.run(name), nil) })
-		return n.world.forwarded(owner, answer, err)
+	return n.runner.Do(context.Background(), call, n.runFunc(name), func(ctx context.Context, owner string) (idempotency.Response, error) {
+		peer := n.fleet.node(owner)
+		answer, err := peer.serve(func() (idempotency.Response, error) { return peer.runner.Do(ctx, call, peer.runFunc(name), nil) })
+		return n.fleet.forwardedResult(owner, answer, err)
 	})
 }
--- a/internal/experiment/atmostonce/options.go
+++ b/internal/experiment/atmostonce/options.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// Way is how a caller has its call run.
-type Way string
+// Strategy is how a caller identifies and retries its call.
+type Strategy string
 
-// The ways compared.
+// The compared strategies.
 const (
-	// WayPlain sends the call once; a lost connection leaves it unknown.
-	WayPlain Way = "no name, sent once"
-	// WayBlind sends it again after a lost connection, as many programs do.
-	WayBlind Way = "no name, sent again"
-	// WayKey names it by a key of the caller's.
-	WayKey Way = "key"
-	// WayTicket names it by a ticket, fetched within the measured time.
-	WayTicket Way = "ticket"
+	// StrategySendOnce sends the call once; after a lost connection its outcome is unknown.
+	StrategySendOnce Strategy = "no name, sent once"
+	// StrategyBlindRetry sends it again after a lost connection, as many clients do.
+	StrategyBlindRetry Strategy = "no name, sent again"
+	// StrategyKey identifies it by an idempotency key that the caller chose.
+	StrategyKey Strategy = "key"
+	// StrategyTicket identifies it by a ticket; fetching it is part of the measured latency.
+	StrategyTicket Strategy = "ticket"
 )
 
-// Scene is what happens around the calls.
-type Scene string
+// Scenario is the fault that is present during the calls.
+type Scenario string
 
-// The scenes.
+// The scenarios.
 const (
-	SceneQuiet  Scene = "quiet"
-	SceneOutage Scene = "log out of reach"
-	SceneKills  Scene = "nodes killed"
+	ScenarioNoFault     Scenario = "quiet"
+	ScenarioLogOutage   Scenario = "log out of reach"
+	ScenarioNodeCrashes Scenario = "nodes killed"
 )
 
-// Options of one run.
+// Options configures one run.
 type Options struct {
 	Seed  uint64
 	Nodes int
-	// Callers send Calls each, one after the other.
+	// Callers is the number of concurrent callers; each sends Calls calls sequentially.
 	Callers int
 	Calls   int
-	// LogDelay is how long the log takes for each append and read.
+	// LogDelay is the latency of each append to and read from the log.
 	LogDelay time.Duration
-	// Gather is the nodes' group commit.
+	// Gather is the group commit delay of the nodes' log writers.
 	Gather time.Duration
-	// ServiceTime is how long a call runs.
+	// ServiceTime is how long the service takes for a call.
 	ServiceTime time.Duration
-	// KillEvery is the time between two kills; CloseAfter is how long it takes until
-	// the others hold a killed node for ended.
-	KillEvery  time.Duration
-	CloseAfter time.Duration
+	// CrashInterval is the time between two crashes; CloseDelay is the time until the other
+	// nodes consider a crashed node closed.
+	CrashInterval time.Duration
+	CloseDelay    time.Duration
 }
 
-// DefaultOptions returns a run of a few seconds.
+// DefaultOptions returns options for a run of a few seconds.
 func DefaultOptions() Options {
 	return Options{
 		Seed: 1, Nodes: 6, Callers: 24, Calls: 25, LogDelay: 3 * time.Millisecond, Gather: 20 * time.Millisecond,
-		ServiceTime: 10 * time.Millisecond, KillEvery: 150 * time.Millisecond, CloseAfter: 300 * time.Millisecond,
+		ServiceTime: 10 * time.Millisecond, CrashInterval: 150 * time.Millisecond, CloseDelay: 300 * time.Millisecond,
 	}
 }
--- a/internal/experiment/atmostonce/run.go
+++ b/internal/experiment/atmostonce/run.go
@@ -9,111 +9,111 @@
 )
 
 const (
-	lowest  = 1
-	highest = int64(time.Minute / time.Microsecond)
-	digits  = 3
+	minLatency        = 1
+	maxLatency        = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Run compares all ways in all scenes.
+// Run runs every strategy in every scenario.
 func Run(options Options) []Row {
 	var rows []Row
-	for _, scene := range []Scene{SceneQuiet, SceneOutage, SceneKills} {
-		for _, way := range []Way{WayPlain, WayBlind, WayKey, WayTicket} {
-			rows = append(rows, one(options, scene, way))
+	for _, scenario := range []Scenario{ScenarioNoFault, ScenarioLogOutage, ScenarioNodeCrashes} {
+		for _, strategy := range []Strategy{StrategySendOnce, StrategyBlindRetry, StrategyKey, StrategyTicket} {
+			rows = append(rows, runOne(options, scenario, strategy))
 		}
 	}
 	return rows
 }
 
-// one lets all callers send their calls in one way.
-func one(options Options, scene Scene, way Way) Row {
-	w := newWorld(options)
-	defer w.stop()
-	time.Sleep(options.Gather) // followers reach the log's end
-	w.log.SetDown(scene == SceneOutage)
-	ended := make(chan struct{})
+// runOne runs all callers under one strategy in one scenario.
+func runOne(options Options, scenario Scenario, strategy Strategy) Row {
+	f := newFleet(options)
+	defer f.stop()
+	time.Sleep(options.Gather) // wait until followers reach the end of the log
+	f.log.SetDown(scenario == ScenarioLogOutage)
+	done := make(chan struct{})
 	var faults sync.WaitGroup
-	if scene == SceneKills {
-		faults.Go(func() { w.keepKilling(ended) })
+	if scenario == ScenarioNodeCrashes {
+		faults.Go(func() { f.crashPeriodically(done) })
 	}
-	t := &tally{row: Row{Way: way, Scene: scene}, latency: hdrhistogram.New(lowest, highest, digits)}
-	limit := maxTries
-	if scene == SceneOutage {
-		limit, options.Calls = outageTries, 2
+	res := &results{row: Row{Strategy: strategy, Scenario: scenario}, latency: hdrhistogram.New(minLatency, maxLatency, significantDigits)}
+	attemptLimit := maxAttempts
+	if scenario == ScenarioLogOutage {
+		attemptLimit, options.Calls = maxOutageAttempts, 2
 	}
 	var callers sync.WaitGroup
 	for i := range options.Callers {
 		callers.Go(func() {
 			for k := range options.Calls {
-				t.send(&caller{world: w, way: way, name: fmt.Sprintf("call-%d-%d", i, k), limit: limit})
+				res.record(&caller{fleet: f, strategy: strategy, name: fmt.Sprintf("call-%d-%d", i, k), attemptLimit: attemptLimit})
 			}
 		})
 	}
 	callers.Wait()
-	close(ended)
+	close(done)
 	faults.Wait()
-	time.Sleep(2 * options.ServiceTime) // what dead nodes sent has run by now
-	return t.judge(w)
+	time.Sleep(2 * options.ServiceTime) // wait for calls that dead nodes had sent
+	return res.summarize(f)
 }
 
-func (w *world) keepKilling(ended <-chan struct{}) {
+func (f *fleet) crashPeriodically(done <-chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-done:
 			return
-		case <-time.After(w.options.KillEvery):
-			w.killOne()
+		case <-time.After(f.options.CrashInterval):
+			f.crashOne()
 		}
 	}
 }
 
-// tally gathers how calls ended.
-type tally struct {
-	mu      sync.Mutex
-	row     Row
-	latency *hdrhistogram.Histogram
-	endings map[string]ending
+// results collects the outcomes of calls.
+type results struct {
+	mu       sync.Mutex
+	row      Row
+	latency  *hdrhistogram.Histogram
+	outcomes map[string]callOutcome
 }
 
-func (t *tally) send(c *caller) {
+func (r *results) record(c *caller) {
 	started := time.Now()
-	end := c.run()
-	took := time.Since(started)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.endings == nil {
-		t.endings = map[string]ending{}
+	outcome := c.run()
+	elapsed := time.Since(started)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.outcomes == nil {
+		r.outcomes = map[string]callOutcome{}
 	}
-	t.endings[c.name] = end
-	if end == endAnswered && c.tries == 1 {
-		_ = t.latency.RecordValue(took.Microseconds())
+	r.outcomes[c.name] = outcome
+	if outcome == outcomeAnswered && c.attempts == 1 {
+		_ = r.latency.RecordValue(elapsed.Microseconds())
 	}
 }
 
-// judge compares what callers were told with what the service ran.
-func (t *tally) judge(w *world) Row {
-	for name, end := range t.endings {
-		ran := w.service.ran(name)
-		t.row.Calls++
-		if ran > 1 {
-			t.row.DoubleRuns++
+// summarize compares the outcomes known to callers with the runs counted by the service.
+func (r *results) summarize(f *fleet) Row {
+	for name, outcome := range r.outcomes {
+		runCount := f.service.runCount(name)
+		r.row.Calls++
+		if runCount > 1 {
+			r.row.DoubleRuns++
 		}
-		switch end {
-		case endAnswered:
-			t.row.Answered++
-		case endNotRun:
-			t.row.NotRun++
-			if ran > 0 {
-				t.row.FalseNotRun++
+		switch outcome {
+		case outcomeAnswered:
+			r.row.Answered++
+		case outcomeNotRun:
+			r.row.NotRun++
+			if runCount > 0 {
+				r.row.FalseNotRun++
 			}
-		case endUnknown:
-			t.row.Unknown++
-			if ran > 0 {
-				t.row.UnknownRan++
+		case outcomeUnknown:
+			r.row.Unknown++
+			if runCount > 0 {
+				r.row.UnknownRan++
 			}
 		}
 	}
-	t.row.P50 = time.Duration(t.latency.ValueAtQuantile(50)) * time.Microsecond
-	t.row.P99 = time.Duration(t.latency.ValueAtQuantile(99)) * time.Microsecond
-	return t.row
+	r.row.P50 = time.Duration(r.latency.ValueAtQuantile(50)) * time.Microsecond
+	r.row.P99 = time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond
+	return r.row
 }
--- a/internal/experiment/atmostonce/run_test.go
+++ b/internal/experiment/atmostonce/run_test.go
@@ -8,22 +8,22 @@
 	"github.com/matryer/is"
 )
 
-// With LAVENDERPIN_MEASURE=1 it prints the whole table; else a small run checks that
-// named calls ran at most once and that the blind way shows what goes wrong.
-func TestWaysOfRunningOnce(t *testing.T) {
-	// Nodes are killed all the time while crews file orders. A named order may end
-	// unknown, but none runs twice and none that ran is called "not run".
+// With LAVENDERPIN_MEASURE set, prints the tables of the full experiment. Otherwise, a small
+// run checks the strategies that identify calls.
+func TestNamedCallsRunAtMostOnce(t *testing.T) {
+	// Nodes crash periodically while callers send calls with a key or a ticket. The outcome
+	// of a call may be unknown, but none runs twice and none that ran is reported as not run.
 	is := is.New(t)
 	options := DefaultOptions()
 	if os.Getenv("LAVENDERPIN_MEASURE") != "" {
-		is.NoErr(Print(os.Stdout, Run(options)))
-		options.LogDelay = 60 * time.Millisecond // the log stands in the other region
-		is.NoErr(Print(os.Stdout, []Row{one(options, SceneQuiet, WayKey), one(options, SceneQuiet, WayTicket)}))
+		is.NoErr(WriteMarkdown(os.Stdout, Run(options)))
+		options.LogDelay = 60 * time.Millisecond // a log in the other region
+		is.NoErr(WriteMarkdown(os.Stdout, []Row{runOne(options, ScenarioNoFault, StrategyKey), runOne(options, ScenarioNoFault, StrategyTicket)}))
 		return
 	}
 	options.Callers, options.Calls = 12, 8
-	for _, way := range []Way{WayKey, WayTicket} {
-		row := one(options, SceneKills, way)
+	for _, strategy := range []Strategy{StrategyKey, StrategyTicket} {
+		row := runOne(options, ScenarioNodeCrashes, strategy)
 		is.Equal(row.DoubleRuns, 0)
 		is.Equal(row.FalseNotRun, 0)
 		is.Equal(row.Answered+row.NotRun+row.Unknown, row.Calls)
--- a/internal/experiment/atmostonce/ticket.go
+++ b/internal/experiment/atmostonce/ticket.go
@@ -7,13 +7,13 @@
 	"lavenderpin.dev/lavenderpin/idempotency"
 )
 
-func (n *node) byTicket(ticket *fleetv1.CallTicket, name string) (idempotency.Response, error) {
+func (n *node) runWithTicket(ticket *fleetv1.CallTicket, name string) (idempotency.Response, error) {
 	digest := idempotency.Digest{1}
-	return n.runner.DoTicket(context.Background(), ticket, digest, n.run(name), func(ctx context.Context, owner string) (idempotency.Response, error) {
-		peer := n.world.node(owner)
-		answer, err := peer.attend(func() (idempotency.Response, error) {
-			return peer.runner.DoTicket(ctx, ticket, digest, peer.run(name), nil)
+	return n.runner.DoTicket(context.Background(), ticket, digest, n.runFunc(name), func(ctx context.Context, owner string) (idempotency.Response, error) {
+		peer := n.fleet.node(owner)
+		answer, err := peer.serve(func() (idempotency.Response, error) {
+			return peer.runner.DoTicket(ctx, ticket, digest, peer.runFunc(name), nil)
 		})
-		return n.world.forwarded(owner, answer, err)
+		return n.fleet.forwardedResult(owner, answer, err)
 	})
 }
