--- a/cmd/lavenderbench/appends.go
+++ b/cmd/lavenderbench/appends.go
@@ -26,12 +26,12 @@
 	var runs []func()
 	for i := range rows {
 		options := appends.DefaultOptions()
-		options.Seed, options.Settlements, options.Claims = c.Seed, c.Settlements, c.Claims
+		options.Seed, options.SettlementsPerSecond, options.ClaimsPerSecond = c.Seed, c.Settlements, c.Claims
 		options.Nodes, options.DataCentres, options.Gathered = c.Nodes[i/2], c.DataCentres[i/2], i%2 == 1
 		runs = append(runs, func() { rows[i] = appends.Run(options) })
 	}
 	inBubbles(runs, func() int {
-		if err := appends.Write(os.Stdout, rows); err != nil {
+		if err := appends.WriteMarkdown(os.Stdout, rows); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
--- a/gather/failure_test.go
+++ b/gather/failure_test.go
@@ -49,7 +49,7 @@
 
 // roles returns the node that gathers when all views are complete, and another one.
 func (f *fleet) roles() (gatherer, other *appends.Node) {
-	chosen := gather.ChooseGatherer(f.nodes[0].Info, f.Seen(f.nodes[0].Name()), minNodes(1))
+	chosen := gather.ChooseGatherer(f.nodes[0].Info, f.VisibleMembers(f.nodes[0].Name()), minNodes(1))
 	for _, n := range f.nodes {
 		if n.Info == chosen {
 			gatherer = n
@@ -71,7 +71,7 @@
 func (f *fleet) checkApplied(is *is.I, n *appends.Node, want ...uint64) {
 	is.Helper()
 	time.Sleep(time.Minute)
-	is.Equal(f.Folded.Of(n.Name()), want)
+	is.Equal(f.Applied.Tokens(n.Name()), want)
 }
 
 // neverRespond simulates a call of a node that is dead or cut off.
@@ -135,13 +135,13 @@
 		dead, n := f.roles()
 		f.OnCall = neverRespond
 		dead.Stop()
-		is.Equal(n.Took(1), appends.Soon+responseTimeout)
-		is.Equal(n.Took(2), appends.Soon)
+		is.Equal(n.MeasureSubmit(1), appends.GatherDelay+responseTimeout)
+		is.Equal(n.MeasureSubmit(2), appends.GatherDelay)
 		is.Equal(n.Appender.Fallbacks(), uint64(1))
 		f.Remove(dead) // the members noticed
 		f.OnCall = nil
 		time.Sleep(gather.DefaultPolicy().MinBackoff)
-		is.Equal(n.Took(3), appends.Soon)
+		is.Equal(n.MeasureSubmit(3), appends.GatherDelay)
 		synctest.Wait()
 		is.Equal(n.Appender.Forwarded(), uint64(1)) // another node gathers
 		f.checkApplied(is, n, 1, 2, 3)
@@ -158,8 +158,8 @@
 		f := newFleet(t, 5, paused, nil)
 		paused.Log = f.Log
 		_, n := f.roles()
-		is.Equal(n.Took(1), appends.Soon+responseTimeout)
-		is.Equal(n.Took(2), appends.Soon)
+		is.Equal(n.MeasureSubmit(1), appends.GatherDelay+responseTimeout)
+		is.Equal(n.MeasureSubmit(2), appends.GatherDelay)
 		is.Equal(len(f.Records()), 2)
 		f.checkApplied(is, n, 1, 2)
 		is.Equal(len(f.Records()), 3) // the late copy arrived, and is void
@@ -175,8 +175,8 @@
 			return neverRespond(ctx, to, handle)
 		}
 		_, n := f.roles()
-		is.Equal(n.Took(1), appends.Soon)
-		is.True(n.Took(2) < responseTimeout)
+		is.Equal(n.MeasureSubmit(1), appends.GatherDelay)
+		is.True(n.MeasureSubmit(2) < responseTimeout)
 		is.Equal(len(f.Records()), 2)
 		is.Equal(n.Appender.Fallbacks(), uint64(0))
 		f.checkApplied(is, n, 1, 2)
@@ -193,7 +193,7 @@
 		}
 		_, n := f.roles()
 		for tokens := range uint64(3) {
-			n.Took(tokens)
+			n.MeasureSubmit(tokens)
 		}
 		is.Equal(len(f.Records()), 3)
 		f.checkApplied(is, n, 0, 1, 2)
@@ -205,7 +205,7 @@
 // no entry is lost or counted twice.
 func TestConcurrentGatherersApplyOnce(t *testing.T) {
 	runWithFleet(t, 10, func(is *is.I, f *fleet) {
-		f.Views = func(name string, all []membership.Member) []membership.Member {
+		f.FilterMembers = func(name string, all []membership.Member) []membership.Member {
 			return slices.DeleteFunc(all, func(m membership.Member) bool { return (m.Node.GetIncarnation() < "f") != (name < "f") })
 		}
 		f.submitAll(1)
@@ -231,10 +231,10 @@
 		_, n := f.roles()
 		const rounds = 300
 		for tokens := range uint64(rounds) {
-			is.True(n.Took(tokens) < responseTimeout)
+			is.True(n.MeasureSubmit(tokens) < responseTimeout)
 			time.Sleep(time.Second)
 		}
-		is.Equal(len(f.Folded.Of(n.Name())), rounds)
+		is.Equal(len(f.Applied.Tokens(n.Name())), rounds)
 		is.True(n.Appender.Fallbacks() <= 9) // after 5, 10, 20, 40 and then every 60 s
 	})
 }
@@ -244,7 +244,7 @@
 // such node is gone, all records must be in the plain form that it reads.
 func TestOldNodesReceivePlainRecords(t *testing.T) {
 	runWithFleet(t, 5, func(is *is.I, f *fleet) {
-		f.Old.Store(true)
+		f.HasPlainReader.Store(true)
 		f.submitAll(1)
 		time.Sleep(time.Second)
 		records := f.Records()
@@ -252,7 +252,7 @@
 		for _, r := range records {
 			is.NoErr(record.CheckJoinable(r.Data)) // a plain batch of one writer
 		}
-		f.Old.Store(false)
+		f.HasPlainReader.Store(false)
 		f.submitAll(2)
 		for _, n := range f.nodes {
 			f.checkApplied(is, n, 1, 2)
@@ -288,9 +288,9 @@
 func TestStoppedGathererFailsBatchesAtOnce(t *testing.T) {
 	runWithFleet(t, 5, func(is *is.I, f *fleet) {
 		gatherer, n := f.roles()
-		n.Took(1)
+		n.MeasureSubmit(1)
 		ticket := n.Submit(2)
-		time.Sleep(2 * appends.Soon) // forwarded, and queued for the gatherer's interval
+		time.Sleep(2 * appends.GatherDelay) // forwarded, and queued for the gatherer's interval
 		gatherer.Stop()
 		began := time.Now()
 		<-ticket.Done()
--- a/gather/history_test.go
+++ b/gather/history_test.go
@@ -40,7 +40,7 @@
 	faults := &peerFaults{random: newRandom(seed)}
 	log := &faultyLog{random: newRandom(seed + seedCount)}
 	f := newFleet(t, writers, log, log)
-	log.Log, f.OnCall, f.Views = f.Log, faults.call, faults.view
+	log.Log, f.OnCall, f.FilterMembers = f.Log, faults.call, faults.view
 	var wait sync.WaitGroup
 	for _, n := range f.nodes {
 		wait.Go(func() { submitEntries(n, faults) })
--- a/internal/experiment/appends/doc.go
+++ b/internal/experiment/appends/doc.go
@@ -1,4 +1,4 @@
-// Package appends runs the part of a fleet that appends to the log, journal writers,
-// gatherers and followers, over an in-memory log: to count appends at sizes that whole
-// nodes don't fit one process at, and to let tests fail each step of it.
+// Package appends runs the append path of a fleet (log writers, gatherers and a follower)
+// over an in-memory log. It counts appends at fleet sizes for which complete nodes don't
+// fit into one process, and lets tests inject a failure at each step.
 package appends
--- a/internal/experiment/appends/fleet.go
+++ b/internal/experiment/appends/fleet.go
@@ -22,25 +22,26 @@
 	"lavenderpin.dev/lavenderpin/result"
 )
 
-// Stream is the log stream in use.
+// Stream is the log stream of the fleet.
 const Stream = "fleet"
 
-// CallFunc passes a call to a node on; handle runs it there.
+// CallFunc delivers a call to a node; handle processes it there.
 type CallFunc func(ctx context.Context, to string, handle func() *fleetv1.Response) (*fleetv1.Response, error)
 
-// Fleet is a number of nodes over one log. It is the nodes' peer.Caller.
+// Fleet is a set of nodes with one shared log. It implements peer.Caller for the nodes.
 type Fleet struct {
 	Log    *standin.Log
 	Policy gather.Policy
-	// Folded is what took effect. One follower folds for all nodes: every node's fold
-	// gives the same, and hundreds of them would only cost time.
-	Folded *Tally
-	// Old says that a node of the fleet reads plain records only.
-	Old atomic.Bool
-	// OnCall may fail or delay calls between nodes; nil passes them at once.
+	// Applied records the applied entries. One follower folds for all nodes: every node's
+	// fold yields the same result, and hundreds of followers would only cost time.
+	Applied *AppliedReturns
+	// HasPlainReader means that some node of the fleet can only read plain records, so that
+	// gathered ones must not be written.
+	HasPlainReader atomic.Bool
+	// OnCall may fail or delay calls between nodes; nil delivers them immediately.
 	OnCall CallFunc
-	// Views may change what a node sees of the others; nil shows all.
-	Views func(name string, all []membership.Member) []membership.Member
+	// FilterMembers may change which members a node sees; nil shows all others.
+	FilterMembers func(name string, all []membership.Member) []membership.Member
 
 	ctx   context.Context
 	clock clockwork.Clock
@@ -52,14 +53,14 @@
 
 var _ peer.Caller = (*Fleet)(nil)
 
-// NewFleet returns a fleet without nodes, which runs until ctx ends.
+// NewFleet returns a fleet without nodes, which runs until ctx is done.
 func NewFleet(ctx context.Context, clock clockwork.Clock, policy gather.Policy) *Fleet {
-	f := &Fleet{Log: standin.NewLog(), Policy: policy, Folded: NewTally(), ctx: ctx, clock: clock, nodes: map[string]*Node{}}
-	go recordlog.NewFollower(f.Log, Stream, clock, fold.NewEngine(f.Folded), f.folded).Run(ctx)
+	f := &Fleet{Log: standin.NewLog(), Policy: policy, Applied: NewAppliedReturns(), ctx: ctx, clock: clock, nodes: map[string]*Node{}}
+	go recordlog.NewFollower(f.Log, Stream, clock, fold.NewEngine(f.Applied), f.handleFolded).Run(ctx)
 	return f
 }
 
-func (f *Fleet) folded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (f *Fleet) handleFolded(_ uint64, batch *recordv1.Batch, verdicts []fold.Verdict) {
 	f.mu.Lock()
 	n := f.nodes[batch.GetWriter()]
 	f.mu.Unlock()
@@ -68,17 +69,17 @@
 	}
 }
 
-// Add starts a node. It gathers by way of gathered and appends for itself by way of
-// alone.
-func (f *Fleet) Add(info *recordv1.NodeInfo, gathered, alone ports.Log) *Node {
+// Add starts a node. Its gatherer appends to gatherLog, its own writer to directLog.
+func (f *Fleet) Add(info *recordv1.NodeInfo, gatherLog, directLog ports.Log) *Node {
 	n := &Node{Info: info, clock: f.clock}
 	events := event.NewRecorder(event.NewHLC(f.clock), n.Name(), 100, golog.NewNopLogger())
-	n.Gatherer = gather.NewGatherer(gathered, Stream, f.clock, f.Policy, f.allRead)
+	n.Gatherer = gather.NewGatherer(gatherLog, Stream, f.clock, f.Policy, f.gatheredSupported)
 	n.Appender = gather.NewAppender(gather.Config{
-		Self: info, Members: func() []membership.Member { return f.Seen(n.Name()) }, Local: n.Gatherer,
-		Direct: recordlog.NewLogAppender(alone, Stream, f.allRead), Peers: f, Clock: f.clock, Events: events, Policy: f.Policy, GatheredSupported: f.allRead,
+		Self: info, Members: func() []membership.Member { return f.VisibleMembers(n.Name()) }, Local: n.Gatherer,
+		Direct: recordlog.NewLogAppender(directLog, Stream, f.gatheredSupported), Peers: f,
+		Clock: f.clock, Events: events, Policy: f.Policy, GatheredSupported: f.gatheredSupported,
 	})
-	n.Writer = recordlog.NewWriter(alone, Stream, n.Name(), f.clock, events.Clock(), Soon)
+	n.Writer = recordlog.NewWriter(directLog, Stream, n.Name(), f.clock, events.Clock(), GatherDelay)
 	n.Writer.SetAppender(n.Appender)
 	ctx, stop := context.WithCancel(f.ctx)
 	n.Stop = stop
@@ -92,9 +93,9 @@
 	return n
 }
 
-func (f *Fleet) allRead() bool { return !f.Old.Load() }
+func (f *Fleet) gatheredSupported() bool { return !f.HasPlainReader.Load() }
 
-// Remove takes a node out of what the others see.
+// Remove hides a node from the other members.
 func (f *Fleet) Remove(n *Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,23 +107,23 @@
 	}
 }
 
-// Seen returns what a node sees of the others.
-func (f *Fleet) Seen(name string) []membership.Member {
+// VisibleMembers returns the other members as the named node sees them.
+func (f *Fleet) VisibleMembers(name string) []membership.Member {
 	f.mu.Lock()
-	seen := make([]membership.Member, 0, len(f.members))
+	visible := make([]membership.Member, 0, len(f.members))
 	for _, m := range f.members {
 		if m.Node.GetIncarnation() != name {
-			seen = append(seen, m)
+			visible = append(visible, m)
 		}
 	}
 	f.mu.Unlock()
-	if f.Views != nil {
-		return f.Views(name, seen)
+	if f.FilterMembers != nil {
+		return f.FilterMembers(name, visible)
 	}
-	return seen
+	return visible
 }
 
-// Call implements peer.Caller for batches that are handed on.
+// Call implements peer.Caller for hand-on requests.
 func (f *Fleet) Call(ctx context.Context, address string, r *fleetv1.Request) (*fleetv1.Response, error) {
 	handle := func() *fleetv1.Response { return f.handle(address, r.GetHandOn()) }
 	if f.OnCall != nil {
@@ -131,7 +132,7 @@
 	return handle(), nil
 }
 
-// handle does as node.Node does.
+// handle appends a batch that was handed on, in the same way as node.Node.
 func (f *Fleet) handle(address string, r *fleetv1.HandOn) *fleetv1.Response {
 	f.mu.Lock()
 	n := f.nodes[address]
@@ -146,11 +147,11 @@
 	return &fleetv1.Response{Body: &fleetv1.Response_HandedOn{HandedOn: &fleetv1.HandedOn{Offset: offset}}}
 }
 
-// Records returns what the log holds.
+// Records returns all records of the log.
 func (f *Fleet) Records() []ports.Record {
-	slice, err := f.Log.Read(f.ctx, Stream, 1, 1<<30, 0)
+	readResult, err := f.Log.Read(f.ctx, Stream, 1, 1<<30, 0)
 	if err != nil {
 		return nil
 	}
-	return slice.Records
+	return readResult.Records
 }
--- a/internal/experiment/appends/node.go
+++ b/internal/experiment/appends/node.go
@@ -11,17 +11,17 @@
 	"lavenderpin.dev/lavenderpin/recordlog"
 )
 
-// Soon is how long a node's writer gathers before each append, as node.DefaultSettings
-// has it.
-const Soon = 20 * time.Millisecond
+// GatherDelay is how long a node's writer collects entries before each append, the same as
+// in node.DefaultSettings.
+const GatherDelay = 20 * time.Millisecond
 
-// Node is the part of a node that appends.
+// Node is the append path of a node.
 type Node struct {
 	Info     *recordv1.NodeInfo
 	Writer   *recordlog.Writer
 	Gatherer *gather.Gatherer
 	Appender *gather.Appender
-	// Stop ends the node as its process would end.
+	// Stop stops the node abruptly, like the end of its process.
 	Stop  context.CancelFunc
 	clock clockwork.Clock
 }
@@ -29,15 +29,15 @@
 // Name returns the node's incarnation.
 func (n *Node) Name() string { return n.Info.GetIncarnation() }
 
-// Submit writes an entry that the tallies keep under its tokens.
+// Submit submits a share return, which AppliedReturns records by its tokens.
 func (n *Node) Submit(tokens uint64) *recordlog.Ticket {
 	return n.Writer.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareReturn{
 		ShareReturn: &recordv1.ShareReturn{Budget: "casco-reports", Tokens: tokens}}})
 }
 
-// Took submits an entry and returns how long its verdict took.
-func (n *Node) Took(tokens uint64) time.Duration {
-	began := n.clock.Now()
+// MeasureSubmit submits an entry and returns the time until its verdict.
+func (n *Node) MeasureSubmit(tokens uint64) time.Duration {
+	start := n.clock.Now()
 	<-n.Submit(tokens).Done()
-	return n.clock.Since(began)
+	return n.clock.Since(start)
 }
--- a/internal/experiment/appends/options.go
+++ b/internal/experiment/appends/options.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Options say what runs.
+// Options configures one run.
 type Options struct {
 	Seed               uint64
 	Nodes, DataCentres int
-	// Gathered lets nodes hand their batches on; otherwise each appends for itself.
+	// Gathered makes nodes hand their batches on to a gatherer; otherwise each node appends
+	// its own.
 	Gathered bool
-	// Settlements and Claims are those of one node in a second.
-	Settlements, Claims float64
-	// Flush is how long settlements wait for their batch.
-	Flush time.Duration
-	// LogDelay and PeerDelay are how long a call to the log, and one to another node of
-	// the data centre and back, take.
+	// SettlementsPerSecond and ClaimsPerSecond are the rates of one node.
+	SettlementsPerSecond, ClaimsPerSecond float64
+	// FlushDelay is how long settlements wait for their batch.
+	FlushDelay time.Duration
+	// LogDelay is the latency of a call to the log, PeerDelay the round-trip time to another
+	// node of the data centre.
 	LogDelay, PeerDelay time.Duration
-	Length              time.Duration
+	Duration            time.Duration
 }
 
-// DefaultOptions returns two years' load of one node and the delays of today.
+// DefaultOptions returns the load of one node as expected in two years, with current
+// latencies.
 func DefaultOptions() Options {
-	return Options{Seed: 1, Settlements: 22.6, Claims: 0.5, Flush: 200 * time.Millisecond,
-		LogDelay: 3 * time.Millisecond, PeerDelay: time.Millisecond, Length: 20 * time.Second}
+	return Options{Seed: 1, SettlementsPerSecond: 22.6, ClaimsPerSecond: 0.5, FlushDelay: 200 * time.Millisecond,
+		LogDelay: 3 * time.Millisecond, PeerDelay: time.Millisecond, Duration: 20 * time.Second}
 }
