--- a/allotment/planner.go
+++ b/allotment/planner.go
@@ -68,10 +68,10 @@
 		if p.fleet.IsPlanner() {
 			if err := p.runTerm(ctx); err != nil && ctx.Err() == nil {
 				p.events.Record(event.LeaseLost, "lease", producerName, "reason", err)
-				periodic.Pause(ctx, roundInterval)
+				periodic.Sleep(ctx, roundInterval)
 			}
 		}
-		periodic.Pause(ctx, plannerCheckInterval)
+		periodic.Sleep(ctx, plannerCheckInterval)
 	}
 }
 
@@ -90,7 +90,7 @@
 		if rounds < initialRounds {
 			pause = initialRoundInterval
 		}
-		periodic.Pause(ctx, pause)
+		periodic.Sleep(ctx, pause)
 	}
 	return nil
 }
--- a/allotment/planner_test.go
+++ b/allotment/planner_test.go
@@ -100,9 +100,9 @@
 	first, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	ledger := topics.Ledger.(*memtopic.Topic)
-	ledger.Lose = true
+	ledger.DropResponses = true
 	is.True(first.round(ctx) != nil)
-	ledger.Lose = false
+	ledger.DropResponses = false
 	second, err := newTestPlanner(topics).beginTerm(ctx)
 	is.NoErr(err)
 	is.NoErr(second.round(ctx))
@@ -184,7 +184,7 @@
 		is := is.New(t)
 		topics := newTopics()
 		spend := topics.Spend.(*memtopic.Topic)
-		spend.Gate = make(chan struct{})
+		spend.AppendGate = make(chan struct{})
 		n := newNode(topics, &bootclock.Fake{}, "n1", "i1")
 		const callers = 20
 		results := make(chan error, callers)
@@ -192,7 +192,7 @@
 			go func() { results <- n.reporter.Report(context.Background()) }()
 		}
 		synctest.Wait()
-		close(spend.Gate)
+		close(spend.AppendGate)
 		for range callers {
 			is.NoErr(<-results)
 		}
--- a/cmd/lavenderbench/capacity.go
+++ b/cmd/lavenderbench/capacity.go
@@ -17,7 +17,7 @@
 
 // Run measures the slopes and computes the roles at the size of two years.
 func (c *capacityCmd) Run() error {
-	measured := capacity.Measure(capacity.TwoYears(), capacity.FullSamples())
+	measured := capacity.Measure(capacity.TwoYearSize(), capacity.FullSamples())
 	if c.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
--- a/cmd/lavenderbench/matrix.go
+++ b/cmd/lavenderbench/matrix.go
@@ -27,7 +27,7 @@
 type play struct {
 	cell   check.Cell
 	record *check.Record
-	reach  check.Reach
+	reach  check.Coverage
 }
 
 // Run plays the cells in virtual time. It ends the process.
@@ -39,7 +39,7 @@
 	inBubbles(runs, func() int {
 		var results []check.CellResult
 		for _, p := range plays {
-			results = append(results, check.Verdict(p.cell, p.record, p.reach))
+			results = append(results, check.Evaluate(p.cell, p.record, p.reach))
 		}
 		return c.print(results)
 	})
@@ -58,7 +58,7 @@
 	for _, cell := range cells {
 		p := &play{cell: cell}
 		plays = append(plays, p)
-		runs = append(runs, func() { p.record, p.reach = check.Play(fake.NewClock(), p.cell) })
+		runs = append(runs, func() { p.record, p.reach = check.RunCell(fake.NewClock(), p.cell) })
 	}
 	return plays, runs, err
 }
@@ -70,7 +70,7 @@
 		p := &play{}
 		plays = append(plays, p)
 		runs = append(runs, func() {
-			p.cell, p.record, p.reach = check.PlayReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
+			p.cell, p.record, p.reach = check.RunReachedPair(fake.NewClock(), check.DefaultTiming(), c.Seed+uint64(i))
 		})
 	}
 	return plays, runs
@@ -80,14 +80,14 @@
 	if c.Pairs {
 		cells := check.Pairs(check.DefaultTiming(), c.Seed, c.Seeds)
 		for i := range cells {
-			cells[i].ReadOn = c.ReadOn
+			cells[i].ResumeStreams = c.ReadOn
 		}
 		return cells, nil
 	}
 	var cells []check.Cell
 	for i := range c.Seeds {
 		for _, cell := range check.Singles(check.DefaultTiming(), c.Seed+uint64(i)) {
-			strike := cell.Strikes[0]
+			strike := cell.Injections[0]
 			if (c.Fault == "" || c.Fault == strike.Fault.Name) && (c.Step == "" || c.Step == string(strike.Step)) {
 				cells = append(cells, cell)
 			}
--- a/cmd/lavenderbench/run.go
+++ b/cmd/lavenderbench/run.go
@@ -35,7 +35,7 @@
 func (c *runCmd) Run(ctx context.Context) error {
 	hlog.SetLevel(hlog.LevelError) // the HTTP library would log every connection
 	report, err := bench.Run(ctx, bench.Options{
-		Seed: c.Seed, Rate: c.Rate, Duration: c.Duration, Stream: c.Stream, Plain: c.Plain, Direct: c.Direct,
+		Seed: c.Seed, Rate: c.Rate, Duration: c.Duration, StreamShare: c.Stream, PlainShare: c.Plain, DirectShare: c.Direct,
 		TokenTime: c.TokenTime, Targets: c.Target, Key: c.Key, Model: c.Model, PlainService: c.Service,
 	})
 	if err != nil {
--- a/cmd/lavenderbench/soak.go
+++ b/cmd/lavenderbench/soak.go
@@ -67,7 +67,7 @@
 	for _, status := range report.Statuses() {
 		fmt.Printf(" %d:%d", status, report.Calls[status])
 	}
-	fmt.Println(", broken", report.Promises())
+	fmt.Println(", broken", report.BrokenGuarantees())
 	if len(report.Violations) == 0 {
 		_ = os.RemoveAll(dir) // logs of a good run are of no use
 		return true
--- a/cmd/lavenderctl/keys_test.go
+++ b/cmd/lavenderctl/keys_test.go
@@ -13,7 +13,7 @@
 // An operator follows the quick start on a fresh machine, where the folder for keys
 // isn't there yet, and later runs the first command again. The second run must not
 // replace the authority: running nodes would refuse every certificate made by the new one.
-func TestAuthorityIsMadeOnce(t *testing.T) {
+func TestExistingAuthorityIsKept(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "keys")
 	authority := authorityCmd{Out: dir, Validity: time.Hour}
--- a/cmd/lavenderedge/metrics_test.go
+++ b/cmd/lavenderedge/metrics_test.go
@@ -30,7 +30,7 @@
 
 // Monitoring that can't fetch a node's figures leaves an incident without them; a port that is
 // taken must not keep the node from serving.
-func TestServesMetricsOnTheirOwnPort(t *testing.T) {
+func TestServesMetricsOnSeparatePort(t *testing.T) {
 	is := is.New(t)
 	expvar.NewInt("metrics_test").Set(7)
 	p := &process{settings: platform.Settings{IP: "127.0.0.1"}, metricsPort: freePort(t),
--- a/cmd/lavenderpin/resume_test.go
+++ b/cmd/lavenderpin/resume_test.go
@@ -105,7 +105,7 @@
 // event id that it got to another node, in the other region, and reads on there. It gets
 // each word once and the end, and its account is billed for one answer: a user would
 // notice words missing or twice, or a bill for two.
-func TestCallerResumesAtAnotherProcess(t *testing.T) {
+func TestCallerResumesStreamAtAnotherProcess(t *testing.T) {
 	is := is.New(t)
 	f := startProcesses(t)
 	ctx := metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+testToken)
--- a/cmd/lavenderpin/survive_test.go
+++ b/cmd/lavenderpin/survive_test.go
@@ -87,7 +87,7 @@
 	}
 	reports := make(chan *bench.Report, 1)
 	go func() {
-		report, err := bench.Run(context.Background(), bench.Options{Seed: 1, Rate: 40, Duration: 8 * time.Second, Stream: 0.5, Plain: 0.3,
+		report, err := bench.Run(context.Background(), bench.Options{Seed: 1, Rate: 40, Duration: 8 * time.Second, StreamShare: 0.5, PlainShare: 0.3,
 			Targets: targets, Key: "crew-key", Model: "m", PlainService: "orders"})
 		if err != nil {
 			t.Error(err)
--- a/cmd/lavenderstub/main.go
+++ b/cmd/lavenderstub/main.go
@@ -39,7 +39,7 @@
 	}
 	log := standin.NewLog()
 	log.SetDelay(c.Delay)
-	log.Keep(c.Keep)
+	log.SetRetention(c.Keep)
 	p := &standin.Platform{Log: log, Instances: standin.NewInstances(), Weights: standin.NewWeights(clockwork.NewRealClock(), time.Second)}
 	server := grpc.NewServer()
 	p.Register(server)
--- a/edgenode/announcer.go
+++ b/edgenode/announcer.go
@@ -57,7 +57,7 @@
 func (a *announcer) awaitRoster(ctx context.Context) {
 	started := a.node.deps.Clock.Now()
 	for ctx.Err() == nil && !a.node.roster.HasRead() && a.node.deps.Clock.Now()-started < rosterReadTimeout {
-		periodic.Pause(ctx, rosterCheckInterval)
+		periodic.Sleep(ctx, rosterCheckInterval)
 	}
 }
 
--- a/edgenode/node.go
+++ b/edgenode/node.go
@@ -66,7 +66,7 @@
 		directory: directory.NewTable(deps.Clock), roster: presence.NewRoster(deps.Clock), startedAt: deps.Clock.Now()}
 	n.copies = map[string]*peerfetch.Replica{configTopic: peerfetch.NewReplica(deps.Clock), upstreamTopic: peerfetch.NewReplica(deps.Clock)}
 	if settings.Capacity < smallCapacity {
-		periodic.Pause(ctx, rand.N(maxSmallStartDelay))
+		periodic.Sleep(ctx, rand.N(maxSmallStartDelay))
 	}
 	loopsCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	n.stop = stop
--- a/edgenode/reports.go
+++ b/edgenode/reports.go
@@ -54,7 +54,7 @@
 			return predecessors, nil
 		}
 		n.deps.Events.Record(event.LogUnreachable, "topic", "spend", "error", err)
-		periodic.Pause(ctx, predecessorsRetryPause)
+		periodic.Sleep(ctx, predecessorsRetryPause)
 	}
 	return allotment.PredecessorRecords{}, errors.Trace(ctx.Err())
 }
--- a/httpapi/server_test.go
+++ b/httpapi/server_test.go
@@ -238,7 +238,7 @@
 	is.Equal(<-answers, first)
 	late := send(t, "POST", "http://"+httpAddress(fleet, 1)+chatPath, header, body)
 	is.Equal(dataLines(late.body), first)
-	is.Equal(len(fleet.Engines[0].Served()), 1)
+	is.Equal(len(fleet.Engines[0].Runs()), 1)
 	other := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, header, strings.Replace(body, "a b", "b a", 1))
 	is.Equal(other.code, result.KeyReused)
 	for _, d := range fleet.Daemons {
@@ -285,7 +285,7 @@
 	again := send(t, "POST", "http://"+httpAddress(fleet, 2)+chatPath, map[string]string{"Idempotency-Key": "summary-2"}, body)
 	is.Equal(again.status, 200)
 	is.Equal(len(strings.Split(dataLines(again.body), "\n")), 23)
-	is.Equal(len(fleet.Engines[0].Served()), 1)
+	is.Equal(len(fleet.Engines[0].Runs()), 1)
 	for fleet.Daemons[0].Node().Ledger().Budget("dev-budget").Spent == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/idempotency/history_test.go
+++ b/idempotency/history_test.go
@@ -162,7 +162,7 @@
 		time.Sleep(time.Duration(draw(300)) * time.Millisecond)
 		f.log.SetDown(false)
 	case 3:
-		f.log.LoseAnswers(1 + draw(3))
+		f.log.DropResponses(1 + draw(3))
 	case 4:
 		f.log.SetDelay(time.Duration(draw(30)) * time.Millisecond)
 	case 5:
--- a/idempotency/runner_test.go
+++ b/idempotency/runner_test.go
@@ -116,7 +116,7 @@
 		is := is.New(t)
 		f := newTestFleet("a")
 		defer f.stop()
-		f.log.LoseAnswers(2)
+		f.log.DropResponses(2)
 		response, err := f.node("a").call(context.Background(), "order")
 		is.NoErr(err)
 		is.Equal(string(response.Body), "order run 1")
--- a/internal/bench/capacity/measure.go
+++ b/internal/bench/capacity/measure.go
@@ -1,7 +1,7 @@
 package capacity
 
-// Measured holds all slopes of one run.
-type Measured struct {
+// Measurement holds all slopes of one run.
+type Measurement struct {
 	Slopes []Slope `json:"slopes"`
 	Size   Size    `json:"size"`
 	Roles  []Role  `json:"roles"`
@@ -9,8 +9,8 @@
 }
 
 // Measure takes the slopes on this machine and computes the roles for the size.
-func Measure(size Size, n Samples) *Measured {
-	m := &Measured{Size: size}
+func Measure(size Size, n Samples) *Measurement {
+	m := &Measurement{Size: size}
 	m.Slopes = append(m.Slopes, ledgerSlopes(n)...)
 	m.Slopes = append(m.Slopes, snapshotSlopes(n)...)
 	m.Slopes = append(m.Slopes, configSlopes(n, size)...)
@@ -26,7 +26,7 @@
 }
 
 // slope returns a slope's value; a missing one is a defect of this package.
-func (m *Measured) slope(name string) float64 {
+func (m *Measurement) slope(name string) float64 {
 	for _, s := range m.Slopes {
 		if s.Name == name {
 			return s.Value
--- a/internal/bench/capacity/path.go
+++ b/internal/bench/capacity/path.go
@@ -18,8 +18,8 @@
 	clock := clockwork.NewRealClock()
 	holder := budget.NewShareHolder(incarnationName(0), clock)
 	holder.ExtendRight(clock.Now().Add(time.Hour))
-	held := grown(n.Held, func() any {
-		for i := range n.Held {
+	held := grown(n.HeldBudgets, func() any {
+		for i := range n.HeldBudgets {
 			holder.Credit(budgetName(i), 1<<40)
 		}
 		return holder
--- a/internal/bench/capacity/size.go
+++ b/internal/bench/capacity/size.go
@@ -26,9 +26,9 @@
 	LogAppendsMax float64
 }
 
-// TwoYears is the size that the users name for two years from now. Held budgets,
+// TwoYearSize is the size that the users name for two years from now. Held budgets,
 // and the share of a few hundred appends, are assumptions of ours.
-func TwoYears() Size {
+func TwoYearSize() Size {
 	return Size{
 		Nodes: 380, Engines: 3_900, RequestsPerSecond: 8_600, TokensPerSecond: 1_900_000,
 		Budgets: 220_000, Accounts: 43_000, Models: 38, Regions: 6, DataCentres: 16,
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -52,11 +52,11 @@
 	words := minWords + r.IntN(maxWords-minWords)
 	target := l.targets[r.IntN(len(l.targets))]
 	isDirect := len(l.engines) > 0 && r.Float64() < direct
-	if draw < l.options.Plain && direct < 1 {
+	if draw < l.options.PlainShare && direct < 1 {
 		return func(ctx context.Context) outcome { return l.client.call(ctx, target, id) }
 	}
 	k := kindWhole
-	if draw < l.options.Plain+l.options.Stream {
+	if draw < l.options.PlainShare+l.options.StreamShare {
 		k = kindStream
 	}
 	if isDirect {
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -7,10 +7,10 @@
 	Seed     uint64
 	Rate     float64
 	Duration time.Duration
-	// Stream and Plain are the shares of streamed completions and of plain calls;
-	// the rest are completions answered whole. Direct is the share of completions
+	// StreamShare and PlainShare are the shares of streamed completions and of plain calls;
+	// the rest are completions answered whole. DirectShare is the share of completions
 	// sent straight to an engine, to compare with.
-	Stream, Plain, Direct float64
+	StreamShare, PlainShare, DirectShare float64
 	// TokenTime is the embedded engines' time between two tokens.
 	TokenTime time.Duration
 	// Targets are HTTP addresses of nodes; the fleet is embedded when there are none.
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -51,7 +51,7 @@
 	}
 	direct, directCPU := l.timed(ctx, "baseline", options.Duration/baselineShare, 1)
 	logBefore, peersBefore, appendsBefore := m.log.Load(), m.peers.Load(), m.appends.Load()
-	outcomes, cpu := l.timed(ctx, "load", options.Duration, options.Direct)
+	outcomes, cpu := l.timed(ctx, "load", options.Duration, options.DirectShare)
 	report := newReport(options, outcomes)
 	report.BytesToLog, report.BytesToPeers = m.log.Load()-logBefore, m.peers.Load()-peersBefore
 	report.BytesBetweenRegions = report.BytesToLog + report.BytesToPeers
--- a/internal/bench/run_test.go
+++ b/internal/bench/run_test.go
@@ -12,10 +12,10 @@
 )
 
 func shortOptions() Options {
-	return Options{Seed: 1, Rate: 40, Duration: time.Second, Stream: 0.5, Plain: 0.2, Direct: 0.2}
+	return Options{Seed: 1, Rate: 40, Duration: time.Second, StreamShare: 0.5, PlainShare: 0.2, DirectShare: 0.2}
 }
 
-func TestRunFindsNothingWrongWithoutFaults(t *testing.T) {
+func TestRunReportsNoDiscrepancyWithoutFaults(t *testing.T) {
 	is := is.New(t)
 	report, err := Run(context.Background(), shortOptions())
 	is.NoErr(err)
@@ -30,7 +30,7 @@
 // An engine that ends its streams early without an error leaves a caller with half
 // a summary, if nobody looks for the terminal marker. Asked straight, it shows that
 // the load generator would see it.
-func TestClientSeesCutAndCrossedAnswers(t *testing.T) {
+func TestClientDetectsTruncatedAndCrossedAnswers(t *testing.T) {
 	is := is.New(t)
 	fleet, err := devfleet.Start(devfleet.Options{Engines: []devfleet.Location{{Region: homeRegion, DataCentre: "casco"}},
 		Engine: standin.EngineOptions{CutAfter: 3}})
--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Strike is a fault at the nth time that a step is taken.
-type Strike struct {
+// Injection is a fault at the nth time that a step is taken.
+type Injection struct {
 	Fault Fault
 	Step  fake.Step
 	Nth   int
@@ -41,10 +41,10 @@
 
 // Cell is one history of the matrix.
 type Cell struct {
-	Strikes []Strike
-	Seed    uint64
-	// ReadOn lets callers whose node died bring their last event id to another one.
-	ReadOn bool
+	Injections []Injection
+	Seed       uint64
+	// ResumeStreams lets callers whose node died bring their last event id to another one.
+	ResumeStreams bool
 	// AnyStep tells that the steps were drawn from all, whether reached or not.
 	AnyStep bool
 }
@@ -52,7 +52,7 @@
 // String names the faults and steps.
 func (c Cell) String() string {
 	text := ""
-	for i, s := range c.Strikes {
+	for i, s := range c.Injections {
 		if i > 0 {
 			text += " + "
 		}
@@ -62,10 +62,10 @@
 }
 
 // Run plays the cell and returns its record and whether every fault could strike.
-func (c Cell) Run(clock clockwork.Clock) (*Record, Reach) { return c.run(clock, nil) }
+func (c Cell) Run(clock clockwork.Clock) (*Record, Coverage) { return c.run(clock, nil) }
 
 // run is Run with a defect that a test plants before any node starts.
-func (c Cell) run(clock clockwork.Clock, plant func(*Harness)) (*Record, Reach) {
+func (c Cell) run(clock clockwork.Clock, plant func(*Harness)) (*Record, Coverage) {
 	h := NewHarness(clock, c.Seed)
 	if plant != nil {
 		plant(h)
@@ -78,9 +78,9 @@
 	return record, run.reach()
 }
 
-// Reach tells whether a cell's faults struck, and met a mechanism to try.
-type Reach struct {
-	Struck bool
+// Coverage tells whether a cell's faults struck, and met a mechanism to try.
+type Coverage struct {
+	Injected bool
 	// Missing names the step or mechanism that no node has yet.
 	Missing string
 }
@@ -105,7 +105,7 @@
 	if err := h.Start(DefaultTiming(), RegionHome, RegionHome, RegionAway); err != nil {
 		return err
 	}
-	if err := h.Declare(scene()...); err != nil {
+	if err := h.ApplyConfig(scene()...); err != nil {
 		return err
 	}
 	for _, account := range sceneAccounts {
@@ -151,7 +151,7 @@
 func (r *cellRun) allStruck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.struck) == len(r.cell.Strikes)
+	return len(r.struck) == len(r.cell.Injections)
 }
 
 func (r *cellRun) healed() bool {
@@ -168,8 +168,8 @@
 
 // cutsAnswers tells whether one of the faults cuts answers by itself.
 func (r *cellRun) cutsAnswers() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.CutsAnswers {
+	for _, s := range r.cell.Injections {
+		if s.Fault.InterruptsAnswers {
 			return true
 		}
 	}
@@ -177,8 +177,8 @@
 }
 
 func (r *cellRun) sharesPrompts() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.SharedPrompts {
+	for _, s := range r.cell.Injections {
+		if s.Fault.SharedPrefixes {
 			return true
 		}
 	}
@@ -186,21 +186,21 @@
 }
 
 func (r *cellRun) readsOn() bool {
-	for _, s := range r.cell.Strikes {
-		if s.Fault.ReadsOn {
+	for _, s := range r.cell.Injections {
+		if s.Fault.ResumesStreams {
 			return true
 		}
 	}
-	return r.cell.ReadOn
+	return r.cell.ResumeStreams
 }
 
 // killsEngineAlone tells that nothing but an engine's death goes wrong.
 func (r *cellRun) killsEngineAlone() bool {
-	return len(r.cell.Strikes) == 1 && r.cell.Strikes[0].Fault.KillsEngine
+	return len(r.cell.Injections) == 1 && r.cell.Injections[0].Fault.KillsEngine
 }
 
 func (r *cellRun) takes(step fake.Step) bool {
-	for _, s := range r.cell.Strikes {
+	for _, s := range r.cell.Injections {
 		if s.Step == step {
 			return true
 		}
@@ -211,7 +211,7 @@
 // probe lets each fault strike at its step, once. It runs within the step, so the
 // step goes on only under the fault.
 func (r *cellRun) probe(step fake.Step, address string) {
-	for i, s := range r.cell.Strikes {
+	for i, s := range r.cell.Injections {
 		if s.Step == step && r.due(i, s.Nth) {
 			r.strike(s.Fault, r.harness.member(address))
 		}
@@ -234,7 +234,7 @@
 	h := r.harness
 	f.strike(h, m)
 	h.Go(func() {
-		h.clock.Sleep(f.Lasts)
+		h.clock.Sleep(f.Duration)
 		if f.heal != nil {
 			f.heal(h, m)
 		}
@@ -294,20 +294,20 @@
 	return record
 }
 
-func (r *cellRun) reach() Reach {
+func (r *cellRun) reach() Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reach := Reach{Struck: len(r.struck) == len(r.cell.Strikes)}
-	for i, s := range r.cell.Strikes {
+	reach := Coverage{Injected: len(r.struck) == len(r.cell.Injections)}
+	for i, s := range r.cell.Injections {
 		if !r.struck[i] {
 			reach.Missing = string(s.Step)
 		}
 		for _, need := range s.Fault.Needs {
-			if r.harness.Seen(need) == 0 {
+			if r.harness.StepCount(need) == 0 {
 				reach.Missing = string(need)
 			}
 		}
-		if s.Fault.NeedsList && !r.harness.listAsked() {
+		if s.Fault.NeedsInstanceList && !r.harness.listAsked() {
 			reach.Missing = "instance list"
 		}
 	}
@@ -325,7 +325,7 @@
 
 func (h *Harness) listAsked() bool {
 	for _, m := range h.Members {
-		if m.instances.Asked() > 0 {
+		if m.instances.ListCalls() > 0 {
 			return true
 		}
 	}
--- a/internal/check/deadengine.go
+++ b/internal/check/deadengine.go
@@ -33,7 +33,7 @@
 		}
 		for node, count := range sent {
 			if count > deadProbes {
-				j.fault(DeadEngine, []string{death.Upstream}, "%s sent %d requests to %s, later than %s after its death", node, count, death.Upstream, deathNoticed)
+				j.fault(NoWorkForDeadEngine, []string{death.Upstream}, "%s sent %d requests to %s, later than %s after its death", node, count, death.Upstream, deathNoticed)
 			}
 		}
 	}
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -17,14 +17,14 @@
 	is := is.New(t)
 	died := time.Unix(1000, 0)
 	record := func(after time.Duration) *Record {
-		r := &Record{EngineDiedAlone: true, EngineDeaths: []fake.EngineDeath{{Upstream: "engine", From: died}}}
+		r := &Record{EngineDiedAlone: true, EngineDeaths: []fake.EngineOutage{{Upstream: "engine", From: died}}}
 		for range deadProbes + 1 {
 			r.Attempts = append(r.Attempts, fake.Attempt{Upstream: "engine", Node: "node", At: died.Add(after)})
 		}
 		return r
 	}
-	is.True(broke(Check(record(deathNoticed+1)), DeadEngine))
-	is.True(!broke(Check(record(deathNoticed)), DeadEngine))
+	is.True(broke(Check(record(deathNoticed+1)), NoWorkForDeadEngine))
+	is.True(!broke(Check(record(deathNoticed)), NoWorkForDeadEngine))
 }
 
 // An engine dies within an answer and the caller gets an error, though another engine
@@ -42,6 +42,6 @@
 func TestEnginesPublishCacheEvents(t *testing.T) {
 	is := is.New(t)
 	fault, _ := FaultNamed("cache events with gaps")
-	_, reach := play(t, Cell{Strikes: []Strike{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
+	_, reach := play(t, Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1})
 	is.Equal(reach.Missing, "")
 }
--- a/internal/check/defect_test.go
+++ b/internal/check/defect_test.go
@@ -23,9 +23,9 @@
 	return Check(record)
 }
 
-func broke(violations []Violation, promise Promise) bool {
+func broke(violations []Violation, promise Invariant) bool {
 	for _, v := range violations {
-		if v.Promise == promise {
+		if v.Invariant == promise {
 			return true
 		}
 	}
@@ -41,7 +41,7 @@
 
 // A node that settles each request under a second id as well bills it twice. The
 // client account sees its budget go down twice as fast.
-func TestFindsBillingTwice(t *testing.T) {
+func TestFindsDoubleBilling(t *testing.T) {
 	is := is.New(t)
 	violations := withDefect(t, Cell{Seed: 1}, onEveryLog(func(batch *recordv1.Batch) { doubleSettlements(batch) }, nil))
 	is.True(broke(violations, BilledOnce))
@@ -104,7 +104,7 @@
 			})
 		}
 	})
-	is.True(broke(violations, ConfigStays))
+	is.True(broke(violations, ConfigNeverReverts))
 }
 
 // revert keeps the first change of the resource under test and puts it in place of
@@ -136,7 +136,7 @@
 func TestFindsOrdersOfAFormerHolder(t *testing.T) {
 	is := is.New(t)
 	order := func(fencing uint64, taken bool) fake.EngineOrder {
-		return fake.EngineOrder{Upstream: "engine", Fencing: fencing, Taken: taken}
+		return fake.EngineOrder{Upstream: "engine", Fencing: fencing, Accepted: taken}
 	}
 	is.True(broke(Check(&Record{Orders: []fake.EngineOrder{order(2, true), order(1, true)}}), OneHolder))
 	is.True(!broke(Check(&Record{Orders: []fake.EngineOrder{order(2, true), order(1, false)}}), OneHolder))
--- a/internal/check/fault.go
+++ b/internal/check/fault.go
@@ -27,28 +27,28 @@
 	Name string
 	// Needs are steps without which the fleet has no answer to the fault yet.
 	Needs []fake.Step
-	// NeedsList tells that the fault concerns the instance list.
-	NeedsList bool
-	// CutsAnswers tells that the fault by itself cuts answers on their way.
-	CutsAnswers bool
-	// SharedPrompts gives the callers' prompts long common beginnings, which engines
+	// NeedsInstanceList tells that the fault concerns the instance list.
+	NeedsInstanceList bool
+	// InterruptsAnswers tells that the fault by itself cuts answers on their way.
+	InterruptsAnswers bool
+	// SharedPrefixes gives the callers' prompts long common beginnings, which engines
 	// cache.
-	SharedPrompts bool
-	// ReadsOn lets callers whose node died bring their last event id to another one.
-	ReadsOn bool
+	SharedPrefixes bool
+	// ResumesStreams lets callers whose node died bring their last event id to another one.
+	ResumesStreams bool
 	// KillsEngine tells that an engine dies, while others in its region serve on.
 	KillsEngine bool
-	// Lasts is how long until heal; 0 for a fault that is over at once.
-	Lasts  time.Duration
-	strike func(h *Harness, m *Member)
-	heal   func(h *Harness, m *Member)
+	// Duration is how long until heal; 0 for a fault that is over at once.
+	Duration time.Duration
+	strike   func(h *Harness, m *Member)
+	heal     func(h *Harness, m *Member)
 }
 
 // AllFaults lists every fault of the matrix.
 func AllFaults(timing Timing) []Fault {
 	return append(Faults(timing),
-		Fault{Name: "kill, callers read on", ReadsOn: true, Lasts: restart, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
-		Fault{Name: "upstream leaves", Lasts: leavingLasts,
+		Fault{Name: "kill, callers read on", ResumesStreams: true, Duration: restart, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
+		Fault{Name: "upstream leaves", Duration: leavingLasts,
 			strike: func(h *Harness, _ *Member) { h.Go(h.leave) },
 			heal:   func(h *Harness, _ *Member) { h.stay() }})
 }
@@ -58,41 +58,41 @@
 func Faults(timing Timing) []Fault {
 	pastRight := timing.SpendRight*5/2 + time.Second
 	return []Fault{
-		{Name: "kill", Lasts: restart, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
-		{Name: "kill, replaced late", Lasts: pastRight, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
-		{Name: "pause past the right", CutsAnswers: true, Lasts: pastRight,
+		{Name: "kill", Duration: restart, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
+		{Name: "kill, replaced late", Duration: pastRight, strike: func(_ *Harness, m *Member) { m.Kill() }, heal: restarted},
+		{Name: "pause past the right", InterruptsAnswers: true, Duration: pastRight,
 			strike: func(_ *Harness, m *Member) { m.Gate().Pause() },
 			heal:   func(_ *Harness, m *Member) { m.Gate().Resume() }},
-		{Name: "one-way cut", CutsAnswers: true, Lasts: outage,
+		{Name: "one-way cut", InterruptsAnswers: true, Duration: outage,
 			strike: func(h *Harness, m *Member) { h.Network.Isolate(fake.Endpoint(m.Address()), true, false) }, heal: healed},
-		{Name: "two-way cut", CutsAnswers: true, Lasts: outage,
+		{Name: "two-way cut", InterruptsAnswers: true, Duration: outage,
 			strike: func(h *Harness, m *Member) { h.Network.Isolate(fake.Endpoint(m.Address()), true, true) }, heal: healed},
-		{Name: "region cut for hours", CutsAnswers: true, Lasts: timing.LongCut,
+		{Name: "region cut for hours", InterruptsAnswers: true, Duration: timing.RegionCutDuration,
 			strike: func(h *Harness, _ *Member) { h.Network.CutRegion(RegionAway) }, heal: healed},
-		{Name: "log down", Lasts: outage,
+		{Name: "log down", Duration: outage,
 			strike: func(h *Harness, _ *Member) { h.Store.SetDown(true) },
 			heal:   func(h *Harness, _ *Member) { h.Store.SetDown(false) }},
-		{Name: "log slow", Lasts: outage,
+		{Name: "log slow", Duration: outage,
 			strike: func(h *Harness, _ *Member) { h.slowLog(slowLog) },
 			heal:   func(h *Harness, _ *Member) { h.slowLog(0) }},
 		{Name: "append's answer lost", strike: func(h *Harness, _ *Member) {
 			for _, other := range h.Members {
-				other.Log().LoseAnswers(lostAnswers)
+				other.Log().DropResponses(lostAnswers)
 			}
 		}},
-		{Name: "instance list lagging", NeedsList: true, Lasts: outage,
+		{Name: "instance list lagging", NeedsInstanceList: true, Duration: outage,
 			strike: func(h *Harness, _ *Member) { h.Instances.SetDown(true) },
 			heal:   func(h *Harness, _ *Member) { h.Instances.SetDown(false) }},
-		{Name: "records aged out", Needs: []fake.Step{fake.StepSnapshot}, Lasts: restart,
+		{Name: "records aged out", Needs: []fake.Step{fake.StepSnapshot}, Duration: restart,
 			strike: func(h *Harness, m *Member) {
-				h.Store.Keep(keptRecords)
+				h.Store.SetRetention(keptRecords)
 				m.Kill()
 			}, heal: restarted},
-		{Name: "cache events with gaps", Needs: []fake.Step{fake.StepCacheEvent, fake.StepCacheGap}, SharedPrompts: true, KillsEngine: true,
-			Lasts: outage, strike: blurCaches, heal: clearCaches},
-		{Name: "engine crosses answers", CutsAnswers: true, Lasts: engineFault, strike: setFaults(fake.UpstreamFaults{Cross: true}), heal: noFaults},
-		{Name: "engine cuts answers", CutsAnswers: true, Lasts: engineFault, strike: setFaults(fake.UpstreamFaults{CutAfter: 3}), heal: noFaults},
-		{Name: "engine ignores fencing", CutsAnswers: true, Needs: []fake.Step{fake.StepOrder}, Lasts: pastRight,
+		{Name: "cache events with gaps", Needs: []fake.Step{fake.StepCacheEvent, fake.StepCacheGap}, SharedPrefixes: true, KillsEngine: true,
+			Duration: outage, strike: blurCaches, heal: clearCaches},
+		{Name: "engine crosses answers", InterruptsAnswers: true, Duration: engineFault, strike: setFaults(fake.UpstreamFaults{Cross: true}), heal: noFaults},
+		{Name: "engine cuts answers", InterruptsAnswers: true, Duration: engineFault, strike: setFaults(fake.UpstreamFaults{CutAfter: 3}), heal: noFaults},
+		{Name: "engine ignores fencing", InterruptsAnswers: true, Needs: []fake.Step{fake.StepOrder}, Duration: pastRight,
 			strike: func(h *Harness, m *Member) {
 				h.Upstreams.SetFaults(fake.UpstreamFaults{IgnoreFencing: true})
 				m.Gate().Pause()
@@ -119,7 +119,7 @@
 // blurCaches delays and loses cache events, and kills the engine that nodes believe to
 // hold most. What they believe of it stays: no event takes it back.
 func blurCaches(h *Harness, _ *Member) {
-	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheDelay, LoseEvery: cacheLoss})
+	h.Upstreams.SetCacheFaults(fake.CacheFaults{Delay: cacheDelay, DropEvery: cacheLoss})
 	if engine := h.Upstreams.BusiestCache(homeEngines()); engine != "" {
 		h.Upstreams.KillEngine(engine)
 	}
@@ -129,7 +129,7 @@
 func clearCaches(h *Harness, _ *Member) {
 	h.Upstreams.SetCacheFaults(fake.CacheFaults{})
 	for _, engine := range homeEngines() {
-		h.Upstreams.ReviveEngine(engine)
+		h.Upstreams.RestartEngine(engine)
 	}
 }
 
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -45,18 +45,18 @@
 
 // Timing is the nodes' timing in the harness, small so that a lapse is cheap.
 type Timing struct {
-	Heartbeat  time.Duration
-	SpendRight time.Duration
-	Lifetime   time.Duration
-	ClaimChunk uint64
-	LeaseTerm  time.Duration
-	// LongCut is how long a region stays cut off.
-	LongCut time.Duration
+	Heartbeat       time.Duration
+	SpendRight      time.Duration
+	AddressLifetime time.Duration
+	ClaimChunk      uint64
+	LeaseTerm       time.Duration
+	// RegionCutDuration is how long a region stays cut off.
+	RegionCutDuration time.Duration
 }
 
 // DefaultTiming is what the matrix runs with.
 func DefaultTiming() Timing {
-	return Timing{Heartbeat: time.Second, SpendRight: 15 * time.Second, Lifetime: 2 * time.Second, ClaimChunk: 400, LeaseTerm: 6 * time.Second, LongCut: 2 * time.Hour}
+	return Timing{Heartbeat: time.Second, SpendRight: 15 * time.Second, AddressLifetime: 2 * time.Second, ClaimChunk: 400, LeaseTerm: 6 * time.Second, RegionCutDuration: 2 * time.Hour}
 }
 
 // Harness runs real nodes in one process over the fakes. It uses nothing of
@@ -82,7 +82,7 @@
 	readsOn bool
 	// sharedPrompts gives prompts common beginnings.
 	sharedPrompts bool
-	strike        atomic.Pointer[fake.Probe]
+	strike        atomic.Pointer[fake.StepHook]
 
 	mu        sync.Mutex
 	recorders []*event.Recorder
@@ -91,14 +91,14 @@
 	killed    map[string]string
 	changes   int
 	stayed    bool
-	leavings  []LeavingOp
+	leavings  []LeavingPeriod
 	work      sync.WaitGroup
 }
 
 // NewHarness returns a harness without nodes.
 func NewHarness(clock clockwork.Clock, seed uint64) *Harness {
 	network := fake.NewNetwork(clock)
-	network.Place(fake.LogEndpoint, RegionHome)
+	network.PlaceInRegion(fake.LogEndpoint, RegionHome)
 	store := standin.NewLog()
 	h := &Harness{
 		Store: store, Archive: fake.NewArchive(store, clock), Instances: standin.NewInstances(), Network: network,
@@ -142,15 +142,15 @@
 	}
 }
 
-// Seen returns how often a step was taken.
-func (h *Harness) Seen(step fake.Step) int {
+// StepCount returns how often a step was taken.
+func (h *Harness) StepCount(step fake.Step) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.seen[step]
 }
 
 // Arm lets a fault look at each step from now on.
-func (h *Harness) Arm(probe fake.Probe) { h.strike.Store(&probe) }
+func (h *Harness) Arm(probe fake.StepHook) { h.strike.Store(&probe) }
 
 // Start brings up nodes in the given regions and waits until all serve.
 func (h *Harness) Start(timing Timing, regions ...string) error {
@@ -161,7 +161,7 @@
 		settings.HTTPAddress = fmt.Sprintf("127.0.0.1:%d", 8000+i)
 		settings.OperatorAddress = fmt.Sprintf("127.0.0.1:%d", 7000+i)
 		settings.HeartbeatInterval, settings.SpendRight = timing.Heartbeat, timing.SpendRight
-		settings.AddressLifetime, settings.ClaimChunk = timing.Lifetime, timing.ClaimChunk
+		settings.AddressLifetime, settings.ClaimChunk = timing.AddressLifetime, timing.ClaimChunk
 		settings.LeaseTerm, settings.TokenSecret = timing.LeaseTerm, []byte(tokenSecret)
 		settings.SnapshotPolicy.Records = snapshotRecords
 		settings.BootstrapTokenSHA256 = config.HashKey(operatorToken)
@@ -224,13 +224,13 @@
 	return metadata.NewIncomingContext(ctx, metadata.Pairs("authorization", "Bearer "+operatorToken))
 }
 
-// Declare applies the whole configuration through the first node.
-func (h *Harness) Declare(resources ...*operatorv1.Resource) error {
+// ApplyConfig applies the whole configuration through the first node.
+func (h *Harness) ApplyConfig(resources ...*operatorv1.Resource) error {
 	request := &operatorv1.ApplyRequest{ChangeId: "declare"}
 	for _, r := range resources {
 		request.Changes = append(request.Changes, &operatorv1.Change{Resource: r})
 		if u := r.GetUpstream(); u != nil {
-			h.Network.Place(fake.Endpoint(u.GetName()), u.GetRegion())
+			h.Network.PlaceInRegion(fake.Endpoint(u.GetName()), u.GetRegion())
 		}
 	}
 	answer, err := h.Members[0].operator.Apply(operatorContext(context.Background()), request)
--- a/internal/check/harness_test.go
+++ b/internal/check/harness_test.go
@@ -10,10 +10,10 @@
 )
 
 // play runs a cell in virtual time.
-func play(t *testing.T, cell Cell) (*Record, Reach) {
+func play(t *testing.T, cell Cell) (*Record, Coverage) {
 	t.Helper()
 	var record *Record
-	var reach Reach
+	var reach Coverage
 	synctest.Test(t, func(*testing.T) { record, reach = cell.Run(fake.NewClock()) })
 	return record, reach
 }
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -92,13 +92,13 @@
 
 // History is everything that was seen from outside. It is safe for concurrent use.
 type History struct {
-	mu      sync.Mutex
-	Chats   []ChatOp
-	Calls   []CallOp
-	Configs []ConfigOp
-	TopUps  []TopUpOp
-	Reads   []ConfigRead
-	Drained []DrainOp
+	mu          sync.Mutex
+	Chats       []ChatOp
+	Calls       []CallOp
+	Configs     []ConfigOp
+	TopUps      []TopUpOp
+	ConfigReads []ConfigRead
+	Drains      []DrainOp
 }
 
 func (h *History) addChat(op ChatOp) {
@@ -128,11 +128,11 @@
 func (h *History) addRead(r ConfigRead) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Reads = append(h.Reads, r)
+	h.ConfigReads = append(h.ConfigReads, r)
 }
 
 func (h *History) addDrain(op DrainOp) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Drained = append(h.Drained, op)
+	h.Drains = append(h.Drains, op)
 }
--- a/internal/check/judge.go
+++ b/internal/check/judge.go
@@ -53,8 +53,8 @@
 	return j.faults
 }
 
-func (j *judge) fault(promise Promise, ids []string, format string, args ...any) {
-	j.faults = append(j.faults, Violation{Promise: promise, Text: fmt.Sprintf(format, args...), IDs: ids})
+func (j *judge) fault(promise Invariant, ids []string, format string, args ...any) {
+	j.faults = append(j.faults, Violation{Invariant: promise, Text: fmt.Sprintf(format, args...), IDs: ids})
 }
 
 func (j *judge) chats() {
@@ -248,10 +248,10 @@
 // configuration checks that no node goes back, and that all end at the log's state.
 func (j *judge) configuration() {
 	last := map[string]ConfigRead{}
-	for _, read := range j.record.Reads {
+	for _, read := range j.record.ConfigReads {
 		before, known := last[read.Node]
 		if known && before.Serving && read.Serving && read.Version < before.Version {
-			j.fault(ConfigStays, []string{read.Incarnation}, "%s went from version %d back to %d at %s", read.Node, before.Version, read.Version, read.At)
+			j.fault(ConfigNeverReverts, []string{read.Incarnation}, "%s went from version %d back to %d at %s", read.Node, before.Version, read.Version, read.At)
 		}
 		if !known || read.Serving {
 			last[read.Node] = read
@@ -260,12 +260,12 @@
 	want := underTest(j.replay.config.View()).GetVersion()
 	for _, final := range j.record.Finals {
 		if final.Serving && final.Version != want {
-			j.fault(ConfigStays, []string{final.Incarnation}, "%s ends with version %d in force, the log says %d", final.Node, final.Version, want)
+			j.fault(ConfigNeverReverts, []string{final.Incarnation}, "%s ends with version %d in force, the log says %d", final.Node, final.Version, want)
 		}
 	}
 	for _, op := range j.record.Configs {
 		if op.OK() && op.Version > want {
-			j.fault(ConfigStays, nil, "the change to %d was accepted as version %d and is lost", op.Value, op.Version)
+			j.fault(ConfigNeverReverts, nil, "the change to %d was accepted as version %d and is lost", op.Value, op.Version)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 func (j *judge) orders() {
 	highest := map[string]uint64{}
 	for _, order := range j.record.Orders {
-		if order.Taken && order.Fencing < highest[order.Upstream] {
+		if order.Accepted && order.Fencing < highest[order.Upstream] {
 			j.fault(OneHolder, []string{order.Upstream}, "%s took an order of %s under fencing number %d after one under %d at %s",
 				order.Upstream, order.Node, order.Fencing, highest[order.Upstream], order.At.Sub(j.record.Began))
 		}
@@ -287,7 +287,7 @@
 // cut network and a pause cut them too; beside one of those only a request that the
 // stopping process left behind is laid to the stop.
 func (j *judge) drains() {
-	for _, drain := range j.record.Drained {
+	for _, drain := range j.record.Drains {
 		if !drain.Ended {
 			continue
 		}
--- a/internal/check/knownseeds_test.go
+++ b/internal/check/knownseeds_test.go
@@ -12,9 +12,9 @@
 	t.Helper()
 	var cell Cell
 	var record *Record
-	var reach Reach
+	var reach Coverage
 	synctest.Test(t, func(*testing.T) {
-		cell, record, reach = PlayReachedPair(fake.NewClock(), testTiming(), seed)
+		cell, record, reach = RunReachedPair(fake.NewClock(), testTiming(), seed)
 	})
 	judgePlayed(t, cell, record, reach)
 }
@@ -26,13 +26,13 @@
 
 // Guards against an answer that its caller read on at another node going unbilled, since
 // the dead node's witness is cut off.
-func TestAnswerReadOnWhileAWitnessIsCutOff(t *testing.T) {
+func TestResumedAnswerWhileWitnessIsCutOff(t *testing.T) {
 	cell := Pair(testTiming(), 1007)
-	cell.ReadOn = true
+	cell.ResumeStreams = true
 	judgeCell(t, cell)
 }
 
 // A node is stopped after it has looked at its right to spend and before the first byte
 // of a call leaves it. Its right ends meanwhile, it goes on, and the call reaches its
 // service late. In this history the spend stays within what was prepaid all the same.
-func TestPauseWithinASend(t *testing.T) { judgeReachedPair(t, 5060) }
+func TestPauseDuringSend(t *testing.T) { judgeReachedPair(t, 5060) }
--- a/internal/check/latecall_test.go
+++ b/internal/check/latecall_test.go
@@ -19,7 +19,7 @@
 		cell := lateCall(seed)
 		violations := withDefect(t, cell, ignoreNotAfter)
 		for _, v := range violations {
-			if v.Promise != SpendRight {
+			if v.Invariant != SpendRight {
 				t.Errorf("seed %d: %s", seed, v)
 			}
 		}
@@ -54,7 +54,7 @@
 			}
 		})
 	}
-	return Cell{Strikes: []Strike{{Fault: pause, Step: fake.StepReserve, Nth: 1}}, Seed: seed}
+	return Cell{Injections: []Injection{{Fault: pause, Step: fake.StepReserve, Nth: 1}}, Seed: seed}
 }
 
 // Guards against a node whose clock stands still sending work that its right no longer
@@ -72,8 +72,8 @@
 func cutWithAStoppedClock() Cell {
 	cut, _ := FaultNamed("two-way cut")
 	cut.strike = func(h *Harness, _ *Member) { h.Network.Isolate(fake.LogEndpoint, true, true) }
-	cut.Lasts = 2 * time.Minute
-	return Cell{Strikes: []Strike{{Fault: cut, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
+	cut.Duration = 2 * time.Minute
+	return Cell{Injections: []Injection{{Fault: cut, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
 }
 
 func stopClock(h *Harness) {
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -15,9 +15,9 @@
 	leavingLasts = 20 * time.Second
 )
 
-// LeavingOp is the span within which one incarnation had it in force that an upstream
+// LeavingPeriod is the span within which one incarnation had it in force that an upstream
 // leaves: from when it had folded the change, not from when it says that it heeds it.
-type LeavingOp struct {
+type LeavingPeriod struct {
 	Upstream    string
 	Incarnation string
 	From        time.Time
@@ -55,13 +55,13 @@
 			return
 		}
 	}
-	h.leavings = append(h.leavings, LeavingOp{Upstream: engineName(0, 0), Incarnation: incarnation, From: h.clock.Now()})
+	h.leavings = append(h.leavings, LeavingPeriod{Upstream: engineName(0, 0), Incarnation: incarnation, From: h.clock.Now()})
 }
 
-func (h *Harness) leavingOps() []LeavingOp {
+func (h *Harness) leavingOps() []LeavingPeriod {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]LeavingOp(nil), h.leavings...)
+	return append([]LeavingPeriod(nil), h.leavings...)
 }
 
 // stay takes the leaving back.
@@ -101,7 +101,7 @@
 			id, ok := budget.ParseRequestID(run.Request)
 			late := run.Start.After(op.From.Add(leavingGrace)) && (op.Until.IsZero() || run.Start.Before(op.Until))
 			if ok && id.Incarnation == op.Incarnation && run.Upstream == op.Upstream && late {
-				j.fault(LeavingStays, []string{run.Request}, "%s was sent to %s %s after %s had it in force that it leaves",
+				j.fault(NoWorkForLeaving, []string{run.Request}, "%s was sent to %s %s after %s had it in force that it leaves",
 					run.Request, run.Upstream, run.Start.Sub(op.From), op.Incarnation)
 			}
 		}
--- a/internal/check/leaving_test.go
+++ b/internal/check/leaving_test.go
@@ -11,7 +11,7 @@
 
 func leavingCell() Cell {
 	fault, _ := FaultNamed("upstream leaves")
-	return Cell{Strikes: []Strike{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
+	return Cell{Injections: []Injection{{Fault: fault, Step: fake.StepDispatch, Nth: 1}}, Seed: 1}
 }
 
 // Operators declare that an engine leaves. Every node has it in force, and none sends new
@@ -39,5 +39,5 @@
 			}
 		}
 	}))
-	is.True(broke(violations, LeavingStays))
+	is.True(broke(violations, NoWorkForLeaving))
 }
--- a/internal/check/linear.go
+++ b/internal/check/linear.go
@@ -114,12 +114,12 @@
 
 // linearizable searches an order of the concurrent operations that the models allow.
 func (j *judge) linearizable() {
-	j.search(Overspend, "account", accountModel, j.accountHistory())
+	j.search(WithinBudget, "account", accountModel, j.accountHistory())
 	j.search(AtMostOnce, "call register", callModel, j.callHistory())
-	j.search(ConfigStays, "configuration register", configModel(j.replay.firstVersion), j.configHistory())
+	j.search(ConfigNeverReverts, "configuration register", configModel(j.replay.firstVersion), j.configHistory())
 }
 
-func (j *judge) search(promise Promise, name string, model porcupine.Model, history []porcupine.Operation) {
+func (j *judge) search(promise Invariant, name string, model porcupine.Model, history []porcupine.Operation) {
 	switch porcupine.CheckOperationsTimeout(model, history, linearLimit) {
 	case porcupine.Illegal:
 		j.fault(promise, nil, "no order of the %d concurrent operations fits the %s", len(history), name)
--- a/internal/check/matrix.go
+++ b/internal/check/matrix.go
@@ -38,19 +38,19 @@
 	var cells []Cell
 	for _, fault := range AllFaults(timing) {
 		for _, step := range Steps() {
-			cells = append(cells, Cell{Strikes: []Strike{{Fault: fault, Step: step, Nth: 1}}, Seed: seed})
+			cells = append(cells, Cell{Injections: []Injection{{Fault: fault, Step: step, Nth: 1}}, Seed: seed})
 		}
 	}
 	return cells
 }
 
-// Play runs a cell on the clock and judges it. The clock should be virtual.
-func Play(clock clockwork.Clock, cell Cell) (*Record, Reach) { return cell.Run(clock) }
+// RunCell runs a cell on the clock and judges it. The clock should be virtual.
+func RunCell(clock clockwork.Clock, cell Cell) (*Record, Coverage) { return cell.Run(clock) }
 
-// Verdict judges a cell's record. It needs real time and must run outside a bubble.
-func Verdict(cell Cell, record *Record, reach Reach) CellResult {
+// Evaluate judges a cell's record. It needs real time and must run outside a bubble.
+func Evaluate(cell Cell, record *Record, reach Coverage) CellResult {
 	result := CellResult{Seed: cell.Seed, Status: Held, Command: commandOf(cell)}
-	for _, s := range cell.Strikes {
+	for _, s := range cell.Injections {
 		result.Faults = append(result.Faults, s.Fault.Name)
 		result.Steps = append(result.Steps, string(s.Step))
 	}
@@ -69,14 +69,14 @@
 }
 
 func commandOf(cell Cell) string {
-	if len(cell.Strikes) == 1 {
-		return fmt.Sprintf("lavenderbench matrix --fault %q --step %q --seed %d", cell.Strikes[0].Fault.Name, cell.Strikes[0].Step, cell.Seed)
+	if len(cell.Injections) == 1 {
+		return fmt.Sprintf("lavenderbench matrix --fault %q --step %q --seed %d", cell.Injections[0].Fault.Name, cell.Injections[0].Step, cell.Seed)
 	}
 	flags := ""
 	if cell.AnyStep {
 		flags = " --any-step"
 	}
-	if cell.ReadOn {
+	if cell.ResumeStreams {
 		flags += " --read-on"
 	}
 	return fmt.Sprintf("lavenderbench matrix --pairs%s --seeds 1 --seed %d", flags, cell.Seed)
--- a/internal/check/matrix_test.go
+++ b/internal/check/matrix_test.go
@@ -26,7 +26,7 @@
 // "lavenderbench matrix" plays.
 func testTiming() Timing {
 	timing := DefaultTiming()
-	timing.LongCut = 5 * time.Minute
+	timing.RegionCutDuration = 5 * time.Minute
 	return timing
 }
 
@@ -35,9 +35,9 @@
 	judgePlayed(t, cell, record, reach)
 }
 
-func judgePlayed(t *testing.T, cell Cell, record *Record, reach Reach) {
+func judgePlayed(t *testing.T, cell Cell, record *Record, reach Coverage) {
 	is := is.New(t)
-	result := Verdict(cell, record, reach)
+	result := Evaluate(cell, record, reach)
 	t.Logf("%s: %s %s", cell, result.Status, result.Missing)
 	for _, v := range result.Violations {
 		t.Log(v)
@@ -53,7 +53,7 @@
 // cutsRegion tells the fault that has tests of its own: it lasts longest, and what it
 // still breaks must not hide what others break.
 func cutsRegion(cell Cell) bool {
-	for _, s := range cell.Strikes {
+	for _, s := range cell.Injections {
 		if s.Fault.Name == "region cut for hours" {
 			return true
 		}
@@ -77,7 +77,7 @@
 // one flush.
 func killsTwo(cell Cell) bool {
 	kills := 0
-	for _, s := range cell.Strikes {
+	for _, s := range cell.Injections {
 		if strings.HasPrefix(s.Fault.Name, "kill") {
 			kills++
 		}
@@ -119,9 +119,9 @@
 			t.Parallel()
 			var cell Cell
 			var record *Record
-			var reach Reach
+			var reach Coverage
 			synctest.Test(t, func(*testing.T) {
-				cell, record, reach = PlayReachedPair(fake.NewClock(), testTiming(), seed)
+				cell, record, reach = RunReachedPair(fake.NewClock(), testTiming(), seed)
 			})
 			judgePlayed(t, cell, record, reach)
 		})
@@ -130,7 +130,7 @@
 
 // A seed stands for the same pair however often the steps are reached beyond the first
 // few times, and never for a step that isn't reached.
-func TestReachedPairsStandStill(t *testing.T) {
+func TestReachedPairsAreStable(t *testing.T) {
 	is := is.New(t)
 	few, many := map[fake.Step]int{}, map[fake.Step]int{}
 	for _, step := range Steps() {
@@ -139,12 +139,12 @@
 	delete(few, fake.StepShareMove)
 	for seed := uint64(1); seed < 300; seed++ {
 		cell, again := pairAmong(testTiming(), seed, few), pairAmong(testTiming(), seed, many)
-		for i, s := range cell.Strikes {
+		for i, s := range cell.Injections {
 			is.True(s.Step != fake.StepShareMove)
 			is.True(s.Nth <= latestNth)
-			if again.Strikes[i].Step != fake.StepShareMove {
-				is.Equal(s.Step, again.Strikes[i].Step)
-				is.Equal(s.Nth, again.Strikes[i].Nth)
+			if again.Injections[i].Step != fake.StepShareMove {
+				is.Equal(s.Step, again.Injections[i].Step)
+				is.Equal(s.Nth, again.Injections[i].Nth)
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 
 // Two faults kill the same process, and each has it replaced. One process runs at the
 // address afterwards; two would both claim its shares.
-func TestAProcessIsReplacedOnce(t *testing.T) {
+func TestProcessIsReplacedOnce(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		h := NewHarness(fake.NewClock(), 1)
--- a/internal/check/member.go
+++ b/internal/check/member.go
@@ -89,7 +89,7 @@
 	if err := m.newNode(); err != nil {
 		return errors.Trace(err)
 	}
-	h.Network.Attach(at, m.settings.Region, m.Gate(), m.handlePeer)
+	h.Network.AttachNode(at, m.settings.Region, m.Gate(), m.handlePeer)
 	go m.run(ctx, m.done)
 	return nil
 }
--- a/internal/check/pairs.go
+++ b/internal/check/pairs.go
@@ -33,7 +33,7 @@
 	faults, steps := Faults(timing), Steps()
 	cell := Cell{Seed: seed, AnyStep: true}
 	for range 2 {
-		cell.Strikes = append(cell.Strikes, Strike{
+		cell.Injections = append(cell.Injections, Injection{
 			Fault: faults[r.IntN(len(faults))], Step: steps[r.IntN(len(steps))], Nth: 1 + r.IntN(latestNth)})
 	}
 	return cell
@@ -56,7 +56,7 @@
 	faults, steps := Faults(timing), Steps()
 	cell := Cell{Seed: seed}
 	for range 2 {
-		strike := Strike{Fault: faults[r.IntN(len(faults))], Nth: 1 + r.IntN(latestNth)}
+		strike := Injection{Fault: faults[r.IntN(len(faults))], Nth: 1 + r.IntN(latestNth)}
 		for _, i := range r.Perm(len(steps)) {
 			if reached[steps[i]] > 0 {
 				strike.Step = steps[i]
@@ -64,7 +64,7 @@
 			}
 		}
 		strike.Nth = min(strike.Nth, max(1, reached[strike.Step]/spareReaches))
-		cell.Strikes = append(cell.Strikes, strike)
+		cell.Injections = append(cell.Injections, strike)
 	}
 	return cell
 }
@@ -81,25 +81,25 @@
 	before := map[fake.Step]int{}
 	h.After(armAfter, func() {
 		for _, step := range Steps() {
-			before[step] = h.Seen(step)
+			before[step] = h.StepCount(step)
 		}
 	})
 	h.workload("first")
 	// A history that waits for one of these makes it happen once.
 	reached := map[fake.Step]int{fake.StepRecovery: 1, fake.StepDrain: 1}
 	for _, step := range Steps() {
-		reached[step] += h.Seen(step) - before[step]
+		reached[step] += h.StepCount(step) - before[step]
 	}
 	return reached, nil
 }
 
-// PlayReachedPair draws a seed's pair and plays it, all on the clock, which should be
+// RunReachedPair draws a seed's pair and plays it, all on the clock, which should be
 // virtual.
-func PlayReachedPair(clock clockwork.Clock, timing Timing, seed uint64) (Cell, *Record, Reach) {
+func RunReachedPair(clock clockwork.Clock, timing Timing, seed uint64) (Cell, *Record, Coverage) {
 	cell, err := ReachedPair(clock, timing, seed)
 	if err != nil {
-		return Cell{Seed: seed}, &Record{Stuck: []string{err.Error()}}, Reach{}
+		return Cell{Seed: seed}, &Record{Stuck: []string{err.Error()}}, Coverage{}
 	}
-	record, reach := Play(clock, cell)
+	record, reach := RunCell(clock, cell)
 	return cell, record, reach
 }
--- a/internal/check/promises_test.go
+++ b/internal/check/promises_test.go
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	page, err := os.ReadFile(promisesPage)
 	is.NoErr(err)
-	for _, promise := range Promises() {
+	for _, promise := range Invariants() {
 		if !strings.Contains(string(page), "`"+string(promise)+"`") {
 			t.Errorf("docs/PROMISES.md lacks %q", promise)
 		}
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -24,12 +24,12 @@
 // Record is everything that Check judges. It is complete once a history has ended.
 type Record struct {
 	// Began is when the history began; spans count from it.
-	Began   time.Time
-	Chats   []ChatOp
-	Calls   []CallOp
-	Configs []ConfigOp
-	TopUps  []TopUpOp
-	Reads   []ConfigRead
+	Began       time.Time
+	Chats       []ChatOp
+	Calls       []CallOp
+	Configs     []ConfigOp
+	TopUps      []TopUpOp
+	ConfigReads []ConfigRead
 
 	Log         []fake.ArchivedRecord
 	EngineRuns  []fake.EngineRun
@@ -37,10 +37,10 @@
 	Orders      []fake.EngineOrder
 	// EngineDeaths are spans in which engines were gone, Attempts the completions that
 	// nodes tried to send to any engine.
-	EngineDeaths []fake.EngineDeath
+	EngineDeaths []fake.EngineOutage
 	Attempts     []fake.Attempt
 	// Leavings are spans in which nodes had it in force that an upstream leaves.
-	Leavings []LeavingOp
+	Leavings []LeavingPeriod
 	// EngineDiedAlone tells that nothing went wrong but an engine's death.
 	EngineDiedAlone bool
 	// Parts links requests to what peers reserved for them.
@@ -48,8 +48,8 @@
 	Finals []FinalState
 	// Killed holds incarnations whose process was killed, and their addresses.
 	Killed map[string]string
-	// Drained holds the addresses of members that were drained, with when.
-	Drained []DrainOp
+	// Drains holds the addresses of members that were drained, with when.
+	Drains  []DrainOp
 	Events  []event.Event
 	Dropped uint64
 	// Stuck holds members that could not be brought back to serving.
@@ -70,10 +70,10 @@
 func (h *Harness) collect() *Record {
 	r := &Record{Began: h.began, Log: h.Archive.Records(), EngineRuns: h.Upstreams.Runs(), ServiceRuns: h.Upstreams.Calls(),
 		Parts: h.Network.Parts(), Orders: h.Upstreams.Orders(),
-		EngineDeaths: h.Upstreams.Deaths(), Attempts: h.Upstreams.Attempts()}
+		EngineDeaths: h.Upstreams.Outages(), Attempts: h.Upstreams.Attempts()}
 	h.History.mu.Lock()
 	r.Chats, r.Calls, r.Configs = h.History.Chats, h.History.Calls, h.History.Configs
-	r.TopUps, r.Reads, r.Drained = h.History.TopUps, h.History.Reads, h.History.Drained
+	r.TopUps, r.ConfigReads, r.Drains = h.History.TopUps, h.History.ConfigReads, h.History.Drains
 	h.History.mu.Unlock()
 	r.Killed = h.killedNodes()
 	r.Leavings = h.leavingOps()
--- a/internal/check/replay.go
+++ b/internal/check/replay.go
@@ -126,9 +126,9 @@
 		}
 		switch {
 		case line.Spent > r.prepaid[line.Budget]:
-			r.fault(Overspend, "offset %d: budget %s has spent %d of %d", offset, line.Budget, line.Spent, r.prepaid[line.Budget])
+			r.fault(WithinBudget, "offset %d: budget %s has spent %d of %d", offset, line.Budget, line.Spent, r.prepaid[line.Budget])
 		case held != r.prepaid[line.Budget]:
-			r.fault(Overspend, "offset %d: budget %s holds %d of %d prepaid", offset, line.Budget, held, r.prepaid[line.Budget])
+			r.fault(WithinBudget, "offset %d: budget %s holds %d of %d prepaid", offset, line.Budget, held, r.prepaid[line.Budget])
 		case line.Spent != r.billed[line.Budget]:
 			r.fault(BilledOnce, "offset %d: budget %s was billed %d, its requests come to %d", offset, line.Budget, line.Spent, r.billed[line.Budget])
 		default:
@@ -137,6 +137,6 @@
 	}
 }
 
-func (r *replay) fault(promise Promise, format string, args ...any) {
-	r.faults = append(r.faults, Violation{Promise: promise, Text: fmt.Sprintf(format, args...)})
+func (r *replay) fault(promise Invariant, format string, args ...any) {
+	r.faults = append(r.faults, Violation{Invariant: promise, Text: fmt.Sprintf(format, args...)})
 }
--- a/internal/check/resume_test.go
+++ b/internal/check/resume_test.go
@@ -15,7 +15,7 @@
 	kill, _ := FaultNamed("kill, callers read on")
 	resumed := 0
 	for seed := uint64(1); seed <= 4; seed++ {
-		record, reach := play(t, Cell{Strikes: []Strike{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
+		record, reach := play(t, Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed})
 		is.Equal(reach.Missing, "")
 		for _, v := range Check(record) {
 			t.Errorf("seed %d: %s", seed, v)
@@ -33,12 +33,12 @@
 
 // An engine that leaves out a word of what it is asked for again would give a caller an
 // answer with a hole that ends as whole.
-func TestFindsAHoleInAResumedAnswer(t *testing.T) {
+func TestFindsGapInResumedAnswer(t *testing.T) {
 	is := is.New(t)
 	kill, _ := FaultNamed("kill, callers read on")
 	found := false
 	for seed := uint64(1); seed <= 4; seed++ {
-		cell := Cell{Strikes: []Strike{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed}
+		cell := Cell{Injections: []Injection{{Fault: kill, Step: fake.StepMidStream, Nth: 8}}, Seed: seed}
 		found = found || broke(withDefect(t, cell, func(h *Harness) {
 			h.Upstreams.SetFaults(fake.UpstreamFaults{SkipOnResume: 1})
 		}), WholeAnswer)
--- a/internal/check/timeline_test.go
+++ b/internal/check/timeline_test.go
@@ -14,13 +14,13 @@
 
 // A node serves a request and dies, and its memory with it. Somebody asks in the
 // morning what became of the request: the other nodes still tell.
-func TestTimelineTellsOfADeadNodesRequest(t *testing.T) {
+func TestTimelineShowsRequestOfDeadNode(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		h := NewHarness(fake.NewClock(), 1)
 		is.NoErr(h.Start(DefaultTiming(), RegionHome, RegionHome, RegionAway))
 		defer h.Stop()
-		is.NoErr(h.Declare(scene()...))
+		is.NoErr(h.ApplyConfig(scene()...))
 		h.TopUp(h.Members[0], "first", budgetOf("rich"), 10_000)
 		op := h.Chat(h.Members[1], "rich", sceneModel, promptOf("told", minWords))
 		is.True(op.OK())
--- a/internal/ci/gate/gate_test.go
+++ b/internal/ci/gate/gate_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against a test that passes for known red because an entry of another one mentions it.
-func TestMentionExcusesNothing(t *testing.T) {
+func TestEntryExcusesOnlyTheTestItNames(t *testing.T) {
 	is := is.New(t)
 	ok, _ := judged(onePass+
 		`{"Action":"fail","Package":"p","Test":"TestNew"}`+"\n", knownRed{"TestOld (go test p): like TestNew but older; issue 4"})
@@ -57,7 +57,7 @@
 }
 
 // Guards against a broken rule that has no room on the list, beside tests that may fail.
-func TestBrokenRulesAreListedBesideTests(t *testing.T) {
+func TestEntriesForRulesAllowNoTestFailure(t *testing.T) {
 	is := is.New(t)
 	known := knownRed{"rule CONFIG (a command): seen once; issue 4", "TestOld (go test p): cause; issue 4"}
 	is.Equal(known.tests(), []string{"TestOld"})
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -48,8 +48,8 @@
 func (e *Engine) Totals() Totals { return e.totals }
 
 // Load returns the load at this moment.
-func (e *Engine) Load() Report {
-	report := Report{Running: len(e.running), Waiting: len(e.waiting),
+func (e *Engine) Load() LoadReport {
+	report := LoadReport{Running: len(e.running), Waiting: len(e.waiting),
 		MemoryUsed: float64(e.cache.used()) / float64(e.params.Blocks)}
 	for _, s := range e.running {
 		report.PendingTokens += s.prefillLeft
@@ -77,7 +77,7 @@
 	e.cache.clear()
 	for _, s := range lost {
 		e.totals.WastedTokens += s.decoded + s.PromptTokens - s.prefillLeft
-		s.end(e.sim.Now(), ErrCut)
+		s.end(e.sim.Now(), ErrInterrupted)
 	}
 }
 
@@ -88,8 +88,8 @@
 	e.totals.Requests++
 	switch {
 	case e.faults.Dead:
-		s.end(e.sim.Now(), ErrDead)
-	case e.random.Float64() < e.faults.ErrorShare:
+		s.end(e.sim.Now(), ErrUnreachable)
+	case e.random.Float64() < e.faults.ErrorRate:
 		s.end(e.sim.Now(), ErrFailed)
 	default:
 		e.enqueue(s)
@@ -139,9 +139,9 @@
 	}
 	e.stepping = true
 	prefill, decodes := e.plan()
-	took := e.params.StepBase + time.Duration(prefill)*e.params.PerPrefillToken + time.Duration(decodes)*e.params.PerDecode
-	if e.faults.SlowBy > 0 {
-		took = time.Duration(float64(took) * e.faults.SlowBy)
+	took := e.params.StepOverhead + time.Duration(prefill)*e.params.PerPrefillToken + time.Duration(decodes)*e.params.PerDecodeToken
+	if e.faults.SlowFactor > 0 {
+		took = time.Duration(float64(took) * e.faults.SlowFactor)
 	}
 	epoch := e.epoch
 	e.sim.After(took, func() {
@@ -213,7 +213,7 @@
 	}
 	s.decoded++
 	e.totals.DecodedTokens++
-	if s.decoded == 1 && e.random.Float64() < e.faults.CrossShare {
+	if s.decoded == 1 && e.random.Float64() < e.faults.CrossRate {
 		e.totals.WastedTokens += s.PromptTokens + s.decoded
 		e.finish(s, ErrCrossed)
 		return done
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -79,12 +79,12 @@
 	cancel()
 	late, _ := submit(sim, e, prefix(1, 2), 1, 0)
 	sim.RunUntil(start.Add(time.Minute))
-	is.Equal([]any{open.err, open.ended, late.err, late.ended}, []any{ErrCut, 1, ErrDead, 1})
+	is.Equal([]any{open.err, open.ended, late.err, late.ended}, []any{ErrInterrupted, 1, ErrUnreachable, 1})
 }
 
 // Whatever is submitted and cancelled, each request ends once and all memory is
 // free or reusable afterwards.
-func TestMemoryIsGivenBack(t *testing.T) {
+func TestEveryRequestEndsOnceAndFreesItsMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := NewSimulator(start)
 		params := DefaultParams()
--- a/internal/enginemodel/params.go
+++ b/internal/enginemodel/params.go
@@ -13,22 +13,22 @@
 	Blocks int
 	// ChunkTokens is the most prompt tokens prefilled in one step.
 	ChunkTokens int
-	// StepBase is the fixed time of a step.
-	StepBase time.Duration
+	// StepOverhead is the fixed time of a step.
+	StepOverhead time.Duration
 	// PerPrefillToken is the time that each prompt token adds to a step.
 	PerPrefillToken time.Duration
-	// PerDecode is the time that each decoding sequence adds to a step.
-	PerDecode time.Duration
-	// ReportEvery is the time between two load reports.
-	ReportEvery time.Duration
-	// ReportLag bounds how late a report arrives: between half of it and all of it.
-	ReportLag time.Duration
-	// EventEvery is the time between two batches of cache events.
-	EventEvery time.Duration
-	// EventLag bounds how late a batch arrives: between half of it and all of it.
-	EventLag time.Duration
-	// EventLoss is the share of batches that never arrive.
-	EventLoss float64
+	// PerDecodeToken is the time that each decoding sequence adds to a step.
+	PerDecodeToken time.Duration
+	// ReportInterval is the time between two load reports.
+	ReportInterval time.Duration
+	// MaxReportDelay bounds how late a report arrives: between half of it and all of it.
+	MaxReportDelay time.Duration
+	// EventInterval is the time between two batches of cache events.
+	EventInterval time.Duration
+	// MaxEventDelay bounds how late a batch arrives: between half of it and all of it.
+	MaxEventDelay time.Duration
+	// EventLossRate is the share of batches that never arrive.
+	EventLossRate float64
 }
 
 // DefaultParams returns the assumed parameters of one engine.
@@ -38,13 +38,13 @@
 		BlockTokens:     64,
 		Blocks:          1024,
 		ChunkTokens:     512,
-		StepBase:        12 * time.Millisecond,
+		StepOverhead:    12 * time.Millisecond,
 		PerPrefillToken: 120 * time.Microsecond,
-		PerDecode:       400 * time.Microsecond,
-		ReportEvery:     500 * time.Millisecond,
-		ReportLag:       600 * time.Millisecond,
-		EventEvery:      time.Second,
-		EventLag:        2 * time.Second,
-		EventLoss:       0.05,
+		PerDecodeToken:  400 * time.Microsecond,
+		ReportInterval:  500 * time.Millisecond,
+		MaxReportDelay:  600 * time.Millisecond,
+		EventInterval:   time.Second,
+		MaxEventDelay:   2 * time.Second,
+		EventLossRate:   0.05,
 	}
 }
--- a/internal/enginemodel/report.go
+++ b/internal/enginemodel/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Report is what an engine says of its load.
-type Report struct {
+// LoadReport is what an engine says of its load.
+type LoadReport struct {
 	// Age of the sample when the report arrives.
 	Age     time.Duration
 	Running int
@@ -23,44 +23,44 @@
 
 // Listener is told of an engine's reports and cache events.
 type Listener interface {
-	Load(engine string, report Report)
-	CacheEvents(engine string, events []CacheEvent)
+	OnLoadReport(engine string, report LoadReport)
+	OnCacheEvents(engine string, events []CacheEvent)
 }
 
 // publish starts the engine's periodic reports to the listeners.
 func (e *Engine) publish() {
-	e.sim.After(e.params.ReportEvery, e.reportLoad)
-	e.sim.After(e.params.EventEvery, e.reportEvents)
+	e.sim.After(e.params.ReportInterval, e.reportLoad)
+	e.sim.After(e.params.EventInterval, e.reportEvents)
 }
 
 func (e *Engine) reportLoad() {
-	e.sim.After(e.params.ReportEvery, e.reportLoad)
+	e.sim.After(e.params.ReportInterval, e.reportLoad)
 	if e.faults.Dead || e.faults.Hang {
 		return
 	}
 	report := e.Load()
 	for _, l := range e.listeners {
-		lag := e.lag(e.params.ReportLag)
+		lag := e.lag(e.params.MaxReportDelay)
 		e.sim.After(lag, func() {
 			late := report
 			late.Age = lag
-			l.Load(e.Name, late)
+			l.OnLoadReport(e.Name, late)
 		})
 	}
 }
 
 func (e *Engine) reportEvents() {
-	e.sim.After(e.params.EventEvery, e.reportEvents)
+	e.sim.After(e.params.EventInterval, e.reportEvents)
 	events := e.events
 	e.events = nil
 	if len(events) == 0 {
 		return
 	}
 	for _, l := range e.listeners {
-		if e.random.Float64() < e.params.EventLoss {
+		if e.random.Float64() < e.params.EventLossRate {
 			continue
 		}
-		e.sim.After(e.lag(e.params.EventLag), func() { l.CacheEvents(e.Name, events) })
+		e.sim.After(e.lag(e.params.MaxEventDelay), func() { l.OnCacheEvents(e.Name, events) })
 	}
 }
 
--- a/internal/enginemodel/simulator.go
+++ b/internal/enginemodel/simulator.go
@@ -10,8 +10,8 @@
 	now   time.Time
 	queue eventQueue
 	next  uint64
-	// Moved, when set, is told of each step of time before functions run at it.
-	Moved func(by time.Duration)
+	// OnAdvance, when set, is told of each step of time before functions run at it.
+	OnAdvance func(by time.Duration)
 }
 
 // NewSimulator returns a simulator whose time starts at start.
@@ -43,8 +43,8 @@
 		return
 	}
 	s.now = at
-	if s.Moved != nil {
-		s.Moved(by)
+	if s.OnAdvance != nil {
+		s.OnAdvance(by)
 	}
 }
 
--- a/internal/experiment/routing/attempts.go
+++ b/internal/experiment/routing/attempts.go
@@ -103,7 +103,7 @@
 	f, c := t.request.node.fleet, t.request.call
 	t.lastTokenAt = f.sim.Now()
 	if t.remote() && f.link.cut {
-		f.sim.After(dialTimeout, func() { t.end(enginemodel.ErrDead) })
+		f.sim.After(dialTimeout, func() { t.end(enginemodel.ErrUnreachable) })
 		return
 	}
 	delay := localHop
@@ -187,9 +187,9 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, enginemodel.ErrDead):
+	case errors.Is(err, enginemodel.ErrUnreachable):
 		return result.New(result.NoUpstream, "dead")
-	case errors.Is(err, enginemodel.ErrCut):
+	case errors.Is(err, enginemodel.ErrInterrupted):
 		return result.New(result.AnswerCut, "cut")
 	case errors.Is(err, enginemodel.ErrCrossed):
 		return result.New(result.AnswerCrossed, "crossed")
--- a/internal/experiment/routing/fleet.go
+++ b/internal/experiment/routing/fleet.go
@@ -53,7 +53,7 @@
 		regions: map[string]string{},
 		metrics: newMetrics(scenario),
 	}
-	f.sim.Moved = func(by time.Duration) { f.clock.Advance(by) }
+	f.sim.OnAdvance = func(by time.Duration) { f.clock.Advance(by) }
 	f.link = newLink(f.sim)
 	f.addNodes(policy, near, nearNodes, nearEngines)
 	f.addNodes(policy, far, farNodes, farEngines)
--- a/internal/experiment/routing/node.go
+++ b/internal/experiment/routing/node.go
@@ -93,8 +93,8 @@
 	region string
 }
 
-// Load implements enginemodel.Listener.
-func (l *engineListener) Load(engine string, r enginemodel.Report) {
+// OnLoadReport implements enginemodel.Listener.
+func (l *engineListener) OnLoadReport(engine string, r enginemodel.LoadReport) {
 	f, ok := l.node.picker.(reportReceiver)
 	if !ok || (l.region != l.node.region && l.node.fleet.link.cut) {
 		return
@@ -103,8 +103,8 @@
 		PendingTokens: r.PendingTokens, MemoryUsed: r.MemoryUsed})
 }
 
-// CacheEvents implements enginemodel.Listener.
-func (l *engineListener) CacheEvents(engine string, events []enginemodel.CacheEvent) {
+// OnCacheEvents implements enginemodel.Listener.
+func (l *engineListener) OnCacheEvents(engine string, events []enginemodel.CacheEvent) {
 	f, ok := l.node.picker.(reportReceiver)
 	if !ok || l.region != l.node.region {
 		return
--- a/internal/fake/archive.go
+++ b/internal/fake/archive.go
@@ -47,8 +47,8 @@
 	return offset, nil
 }
 
-// Grown returns a channel that is closed with the next record.
-func (a *Archive) Grown() <-chan struct{} {
+// NextAppend returns a channel that is closed with the next record.
+func (a *Archive) NextAppend() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.grown
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -24,8 +24,8 @@
 type CacheFaults struct {
 	// Delay is how long after its event a node can read it.
 	Delay time.Duration
-	// LoseEvery loses every nth event for good; 0 none.
-	LoseEvery uint64
+	// DropEvery loses every nth event for good; 0 none.
+	DropEvery uint64
 }
 
 // engineCache is the prefix cache of an engine, with the events it published.
@@ -80,7 +80,7 @@
 	for _, e := range c.events {
 		switch {
 		case e.Sequence <= after || now.Sub(e.at) < faults.Delay:
-		case faults.LoseEvery > 0 && e.Sequence%faults.LoseEvery == 0:
+		case faults.DropEvery > 0 && e.Sequence%faults.DropEvery == 0:
 			gap = true
 		default:
 			events = append(events, e)
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -17,13 +17,13 @@
 	upstreams *Upstreams
 	node      Endpoint
 	gate      *Gate
-	probe     Probe
+	probe     StepHook
 }
 
 var _ upstream.Client = (*Client)(nil)
 
 // NewClient returns a node's client.
-func NewClient(upstreams *Upstreams, node Endpoint, gate *Gate, probe Probe) *Client {
+func NewClient(upstreams *Upstreams, node Endpoint, gate *Gate, probe StepHook) *Client {
 	return &Client{upstreams: upstreams, node: node, gate: gate, probe: probe}
 }
 
@@ -33,7 +33,7 @@
 		return result.New(result.NoUpstream, "not sent: %v", err)
 	}
 	c.upstreams.clock.Sleep(c.upstreams.network.latency(c.node, Endpoint(to.GetName()), 0))
-	if !c.upstreams.network.Passes(c.node, Endpoint(to.GetName())) || c.upstreams.isDead(to.GetName()) {
+	if !c.upstreams.network.Reachable(c.node, Endpoint(to.GetName())) || c.upstreams.isDead(to.GetName()) {
 		return result.New(result.NoUpstream, "%s can't be reached", to.GetName())
 	}
 	return nil
@@ -52,7 +52,7 @@
 	if err := c.gate.Enter(ctx); err != nil {
 		return result.New(result.UpstreamFailed, "%v", err)
 	}
-	if !c.upstreams.network.Passes(Endpoint(to.GetName()), c.node) {
+	if !c.upstreams.network.Reachable(Endpoint(to.GetName()), c.node) {
 		return result.New(result.UpstreamFailed, "%s: the answer was lost", to.GetName())
 	}
 	return nil
--- a/internal/fake/death.go
+++ b/internal/fake/death.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// EngineDeath is a span within which an engine's process was gone.
-type EngineDeath struct {
+// EngineOutage is a span within which an engine's process was gone.
+type EngineOutage struct {
 	Upstream string
 	From     time.Time
 	// Until is zero for an engine that is still gone.
@@ -27,7 +27,7 @@
 		return
 	}
 	u.dead[engine] = true
-	u.deaths = append(u.deaths, EngineDeath{Upstream: engine, From: u.clock.Now()})
+	u.deaths = append(u.deaths, EngineOutage{Upstream: engine, From: u.clock.Now()})
 	for _, run := range u.runs {
 		if run.Upstream == engine && !run.Finished {
 			run.Cancelled = true
@@ -35,9 +35,9 @@
 	}
 }
 
-// ReviveEngine starts an engine again with nothing in its memory: no cache, no count
+// RestartEngine starts an engine again with nothing in its memory: no cache, no count
 // of finished requests, and cache events numbered from one.
-func (u *Upstreams) ReviveEngine(engine string) {
+func (u *Upstreams) RestartEngine(engine string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.dead[engine] {
@@ -72,11 +72,11 @@
 	return busiest
 }
 
-// Deaths returns the engines' deaths.
-func (u *Upstreams) Deaths() []EngineDeath {
+// Outages returns the engines' deaths.
+func (u *Upstreams) Outages() []EngineOutage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]EngineDeath(nil), u.deaths...)
+	return append([]EngineOutage(nil), u.deaths...)
 }
 
 // Attempts returns the completions that nodes tried to send.
--- a/internal/fake/instances.go
+++ b/internal/fake/instances.go
@@ -24,13 +24,13 @@
 	return &Instances{inner: inner, network: network, node: node}
 }
 
-// Asked returns how often the node asked.
-func (i *Instances) Asked() uint64 { return i.asked.Load() }
+// ListCalls returns how often the node asked.
+func (i *Instances) ListCalls() uint64 { return i.asked.Load() }
 
 // List implements ports.Instances.
 func (i *Instances) List(ctx context.Context) ([]*platformv1.Instance, error) {
 	i.asked.Add(1)
-	if !i.network.Passes(i.node, LogEndpoint) || !i.network.Passes(LogEndpoint, i.node) {
+	if !i.network.Reachable(i.node, LogEndpoint) || !i.network.Reachable(LogEndpoint, i.node) {
 		return nil, errLost
 	}
 	return i.inner.List(ctx)
--- a/internal/fake/log.go
+++ b/internal/fake/log.go
@@ -21,7 +21,7 @@
 	node    Endpoint
 	gate    *Gate
 	clock   clockwork.Clock
-	probe   Probe
+	probe   StepHook
 
 	mu    sync.Mutex
 	delay time.Duration
@@ -35,7 +35,7 @@
 var _ ports.Log = (*Log)(nil)
 
 // NewLog returns a node's view of a log.
-func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, probe Probe) *Log {
+func NewLog(inner *Archive, network *Network, node Endpoint, gate *Gate, clock clockwork.Clock, probe StepHook) *Log {
 	return &Log{inner: inner, network: network, node: node, gate: gate, clock: clock, probe: probe}
 }
 
@@ -46,8 +46,8 @@
 	l.delay = d
 }
 
-// LoseAnswers makes the node's next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the node's next n appends take effect and then fail.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose = n
@@ -92,7 +92,7 @@
 }
 
 func (l *Log) pass(ctx context.Context, from, to Endpoint) error {
-	if l.network.Passes(from, to) {
+	if l.network.Reachable(from, to) {
 		return errors.Trace(l.gate.Enter(ctx))
 	}
 	select {
@@ -141,7 +141,7 @@
 
 // readInner waits here and not in the log, on this node's clock.
 func (l *Log) readInner(ctx context.Context, stream string, from uint64, max int, wait time.Duration) (ports.ReadResult, error) {
-	grown := l.inner.Grown()
+	grown := l.inner.NextAppend()
 	slice, err := l.inner.Read(ctx, stream, from, max, 0)
 	if err != nil || len(slice.Records) > 0 || wait <= 0 {
 		return slice, err
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -54,15 +54,15 @@
 	return &Network{clock: clock, stations: map[Endpoint]station{}, cut: map[link]bool{}}
 }
 
-// Place puts something that isn't a node into a region.
-func (n *Network) Place(at Endpoint, region string) {
+// PlaceInRegion puts something that isn't a node into a region.
+func (n *Network) PlaceInRegion(at Endpoint, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stations[at] = station{region: region}
 }
 
-// Attach puts a node at its peer address, in place of the one before.
-func (n *Network) Attach(at Endpoint, region string, gate *Gate, handle peer.Handler) {
+// AttachNode puts a node at its peer address, in place of the one before.
+func (n *Network) AttachNode(at Endpoint, region string, gate *Gate, handle peer.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stations[at] = station{region: region, gate: gate, handle: handle}
@@ -110,8 +110,8 @@
 	clear(n.cut)
 }
 
-// Passes tells whether something sent now arrives.
-func (n *Network) Passes(from, to Endpoint) bool {
+// Reachable tells whether something sent now arrives.
+func (n *Network) Reachable(from, to Endpoint) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.cut[link{from, to}]
@@ -141,7 +141,7 @@
 }
 
 // Caller returns a node's side of the network.
-func (n *Network) Caller(from Endpoint, gate *Gate, probe Probe) peer.Caller {
+func (n *Network) Caller(from Endpoint, gate *Gate, probe StepHook) peer.Caller {
 	return &networkCaller{network: n, from: from, gate: gate, probe: probe}
 }
 
@@ -149,7 +149,7 @@
 	network *Network
 	from    Endpoint
 	gate    *Gate
-	probe   Probe
+	probe   StepHook
 }
 
 var errLost = errors.New("nothing came back")
@@ -164,7 +164,7 @@
 	}
 	to := Endpoint(address)
 	answer := make(chan *fleetv1.Response, 1)
-	if c.network.Passes(c.from, to) {
+	if c.network.Reachable(c.from, to) {
 		go c.deliver(ctx, to, proto.Clone(request).(*fleetv1.Request), answer)
 	}
 	select {
@@ -220,7 +220,7 @@
 	}
 	response := receiver.handle(ctx, request)
 	c.network.notePart(request, response)
-	if receiver.gate.Enter(context.Background()) != nil || !c.network.Passes(to, c.from) {
+	if receiver.gate.Enter(context.Background()) != nil || !c.network.Reachable(to, c.from) {
 		return
 	}
 	c.network.clock.Sleep(c.network.latency(to, c.from, proto.Size(response)))
--- a/internal/fake/orders.go
+++ b/internal/fake/orders.go
@@ -15,8 +15,8 @@
 	Node     string
 	Fencing  uint64
 	At       time.Time
-	// Taken is false when the engine refused an old fencing number.
-	Taken bool
+	// Accepted is false when the engine refused an old fencing number.
+	Accepted bool
 }
 
 const (
@@ -55,9 +55,9 @@
 	_ = json.Unmarshal(r.Body, &order)
 	taken := EngineOrder{Upstream: to.GetName(), Node: string(node), Fencing: order.Fencing, At: u.clock.Now()}
 	checks := to.GetChecksFencing() && !u.faults.IgnoreFencing
-	taken.Taken = !checks || order.Fencing >= held.Fencing
+	taken.Accepted = !checks || order.Fencing >= held.Fencing
 	u.orders = append(u.orders, taken)
-	if !taken.Taken {
+	if !taken.Accepted {
 		return upstream.CallResponse{Status: http.StatusConflict}
 	}
 	held.Fencing, held.Models = order.Fencing, order.Models
--- a/internal/fake/step.go
+++ b/internal/fake/step.go
@@ -35,9 +35,9 @@
 	StepCacheGap   Step = "gap in cache events"
 )
 
-// Probe is told of each step that a node is about to take. It may cut, pause or
+// StepHook is told of each step that a node is about to take. It may cut, pause or
 // kill before the step goes on.
-type Probe func(step Step, node string)
+type StepHook func(step Step, node string)
 
 // stepsOf returns the steps that appending a record takes.
 func stepsOf(data []byte) []Step {
--- a/internal/fake/upstreams.go
+++ b/internal/fake/upstreams.go
@@ -70,7 +70,7 @@
 	caches      map[string]*engineCache
 	cacheFaults CacheFaults
 	dead        map[string]bool
-	deaths      []EngineDeath
+	deaths      []EngineOutage
 	attempts    []Attempt
 }
 
--- a/internal/memtopic/topic.go
+++ b/internal/memtopic/topic.go
@@ -13,12 +13,12 @@
 
 // Topic is a keyed topic with fences. Its fields are set while nobody uses it.
 type Topic struct {
-	// Fail makes every call fail.
-	Fail error
-	// Lose makes appends take effect and fail.
-	Lose bool
-	// Gate, where set, holds appends up until it is closed.
-	Gate chan struct{}
+	// Err makes every call fail.
+	Err error
+	// DropResponses makes appends take effect and fail.
+	DropResponses bool
+	// AppendGate, where set, holds appends up until it is closed.
+	AppendGate chan struct{}
 
 	mu      sync.Mutex
 	records []keyedlog.Record
@@ -58,36 +58,36 @@
 			out = append(out, r)
 		}
 	}
-	return out, int64(len(t.records)), t.Fail
+	return out, int64(len(t.records)), t.Err
 }
 
 // Probe answers at once.
-func (t *Topic) Probe(context.Context) error { return t.Fail }
+func (t *Topic) Probe(context.Context) error { return t.Err }
 
 // End returns how many records were appended.
 func (t *Topic) End(context.Context) (int64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return int64(len(t.records)), t.Fail
+	return int64(len(t.records)), t.Err
 }
 
 // Read returns the records from an offset on at once.
 func (t *Topic) Read(_ context.Context, from int64, _ time.Duration, _ func()) ([]keyedlog.Record, int64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.records[from:]), int64(len(t.records)), t.Fail
+	return slices.Clone(t.records[from:]), int64(len(t.records)), t.Err
 }
 
 // Append adds records, unless a higher epoch of the producer was seen.
 func (t *Topic) Append(_ context.Context, fence keyedlog.Fence, records ...keyedlog.Record) error {
-	if t.Gate != nil {
-		<-t.Gate
+	if t.AppendGate != nil {
+		<-t.AppendGate
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.appends++
-	if t.Fail != nil {
-		return t.Fail
+	if t.Err != nil {
+		return t.Err
 	}
 	if fence.Epoch < t.epochs[fence.Producer] {
 		return keyedlog.ErrFenced
@@ -97,7 +97,7 @@
 		r.Offset = int64(len(t.records))
 		t.records = append(t.records, r)
 	}
-	if t.Lose {
+	if t.DropResponses {
 		return errors.New("answer lost")
 	}
 	return nil
--- a/internal/periodic/pause.go
+++ b/internal/periodic/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for d, or until ctx ends.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/periodic/run_test.go
+++ b/internal/periodic/run_test.go
@@ -11,7 +11,7 @@
 
 // A loop that doesn't end with its context keeps its node from stopping, and one that
 // waits for its first interval leaves a node without a list or a lease until then.
-func TestRunsAtIntervalsUntilTheContextEnds(t *testing.T) {
+func TestRunNowRepeatsUntilContextEnds(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -123,41 +123,41 @@
 func (f *fleet) do(s Step) error {
 	hold := func(begin, end func()) {
 		begin()
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		end()
 	}
-	way := func(p *Proxy, mode Mode) { hold(func() { p.Set(mode) }, func() { p.Set(Pass) }) }
+	way := func(p *Proxy, mode Mode) { hold(func() { p.SetMode(mode) }, func() { p.SetMode(Pass) }) }
 	faults := func(faults standin.Faults) {
 		e := f.upstreams[s.Target]
 		hold(func() { e.SetFaults(faults) }, func() { e.SetFaults(standin.Faults{}) })
 	}
 	switch s.Kind {
 	case KillNode:
-		return f.nodes[s.Target].kill(s.For / 4)
+		return f.nodes[s.Target].kill(s.Duration / 4)
 	case KillAll:
-		return f.killAll(s.For / 4)
+		return f.killAll(s.Duration / 4)
 	case PauseNode:
 		n := f.nodes[s.Target]
 		hold(func() { n.signal(syscall.SIGSTOP) }, func() { n.signal(syscall.SIGCONT) })
 	case StopNode:
 		return f.nodes[s.Target].stop()
-	case StoreAway:
+	case StoreUnavailable:
 		hold(func() { f.store.SetUnavailable(true) }, func() { f.store.SetUnavailable(false) })
-	case StoreLoses:
+	case StoreDropsResponses:
 		hold(func() { f.store.DropResponses(true) }, func() { f.store.DropResponses(false) })
-	case StoreForgets:
+	case StoreCompacts:
 		f.store.Compact()
-	case NodeCut:
-		way(f.nodes[s.Target].store, Silent)
-	case NodeMute:
-		way(f.nodes[s.Target].store, Mute)
-	case NodeSlow:
+	case NodeStoreSilent:
+		way(f.nodes[s.Target].store, Blackhole)
+	case NodeStoreDropsResponses:
+		way(f.nodes[s.Target].store, DropResponses)
+	case NodeStoreSlow:
 		way(f.nodes[s.Target].store, Slow)
 	case UpstreamReset:
 		f.ways[s.Target].Reset()
-	case UpstreamDark:
-		way(f.ways[s.Target], Silent)
-	case UpstreamCuts:
+	case UpstreamSilent:
+		way(f.ways[s.Target], Blackhole)
+	case UpstreamCutsStreams:
 		faults(standin.Faults{CutAfter: 3})
 	case UpstreamFails:
 		faults(standin.Faults{Status: 500})
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -11,10 +11,10 @@
 
 // Violation is a broken promise.
 type Violation struct {
-	Promise, Detail string
+	Guarantee, Detail string
 }
 
-func (v Violation) String() string { return v.Promise + ": " + v.Detail }
+func (v Violation) String() string { return v.Guarantee + ": " + v.Detail }
 
 // evidence is what callers and upstreams saw in a run.
 type evidence struct {
@@ -161,8 +161,8 @@
 func promises(found []Violation) []string {
 	var names []string
 	for _, v := range found {
-		if !slices.Contains(names, v.Promise) {
-			names = append(names, v.Promise)
+		if !slices.Contains(names, v.Guarantee) {
+			names = append(names, v.Guarantee)
 		}
 	}
 	return names
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -39,14 +39,14 @@
 	return &e.records[at]
 }
 
-func TestNothingIsFoundInAGoodRun(t *testing.T) {
+func TestCheckAcceptsFaultFreeHistory(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(judge(calmEvidence())), 0)
 }
 
 // A check that can't fail shows nothing. Each of these runs breaks one promise in the way
 // that a defect of the fleet would, and the judge must name that promise.
-func TestEachPromiseCanBeFoundBroken(t *testing.T) {
+func TestCheckDetectsEachViolation(t *testing.T) {
 	for _, c := range []struct {
 		name, promise string
 		spoil         func(*evidence)
@@ -94,10 +94,10 @@
 }
 
 // A seed must give the same plan each time, or a failure can't be played again.
-func TestPlansRepeat(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	one, two := Draw(7, time.Minute, 5, 5), Draw(7, time.Minute, 5, 5)
+	one, two := NewPlan(7, time.Minute, 5, 5), NewPlan(7, time.Minute, 5, 5)
 	is.Equal(one, two)
 	is.True(len(one) > 50)
-	is.True(!slices.Equal(one, Draw(8, time.Minute, 5, 5)))
+	is.True(!slices.Equal(one, NewPlan(8, time.Minute, 5, 5)))
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -17,10 +17,10 @@
 	Pass Mode = iota
 	// Slow hands them on after slowBy.
 	Slow
-	// Silent takes bytes and hands nothing on, in either direction.
-	Silent
-	// Mute hands requests on and no answers.
-	Mute
+	// Blackhole takes bytes and hands nothing on, in either direction.
+	Blackhole
+	// DropResponses hands requests on and no answers.
+	DropResponses
 	// Refuse resets new connections and those that are open.
 	Refuse
 )
@@ -52,8 +52,8 @@
 // Address returns IP:PORT.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Refuse resets what is open.
-func (p *Proxy) Set(mode Mode) {
+// SetMode changes the mode. Refuse resets what is open.
+func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	p.mode = mode
 	p.mu.Unlock()
@@ -132,7 +132,7 @@
 		if mode == Slow {
 			time.Sleep(slowBy)
 		}
-		if n > 0 && mode != Silent && (mode != Mute || !answers) {
+		if n > 0 && mode != Blackhole && (mode != DropResponses || !answers) {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				err = werr
 			}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -41,8 +41,8 @@
 	Calls map[int]int
 }
 
-// Promises names the broken promises.
-func (r *Report) Promises() []string { return promises(r.Violations) }
+// BrokenGuarantees names the broken promises.
+func (r *Report) BrokenGuarantees() []string { return promises(r.Violations) }
 
 // Run plays one seed.
 func Run(ctx context.Context, o Options) (*Report, error) {
@@ -59,7 +59,7 @@
 	defer stop()
 	done := make(chan struct{})
 	go func() { defer close(done); l.run(calls) }()
-	report := &Report{Seed: o.Seed, Plan: Draw(o.Seed, o.Length, o.Nodes, len(f.upstreams)), Calls: make(map[int]int)}
+	report := &Report{Seed: o.Seed, Plan: NewPlan(o.Seed, o.Length, o.Nodes, len(f.upstreams)), Calls: make(map[int]int)}
 	if err := play(ctx, f, report.Plan); err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 
 // Real processes are killed, paused and stopped, and lose the store and their upstreams in
 // every way of the plan, while callers go on. Whatever falls together, no promise may break.
-func TestPinnedSeedBreaksNothing(t *testing.T) {
+func TestFixedSeedHasNoViolations(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	program := filepath.Join(dir, "lavenderedge")
@@ -75,17 +75,17 @@
 	const patient, short = 30 * time.Second, 300 * time.Millisecond
 	is.NoErr(get(patient))
 	<-reached
-	p.Set(Slow)
+	p.SetMode(Slow)
 	is.NoErr(get(patient))
 	<-reached
-	p.Set(Mute)
+	p.SetMode(DropResponses)
 	is.True(get(short) != nil)
 	<-reached // the request got through, its answer didn't
-	p.Set(Silent)
+	p.SetMode(Blackhole)
 	is.True(get(short) != nil)
 	is.Equal(len(reached), 0)
-	p.Set(Refuse)
+	p.SetMode(Refuse)
 	is.True(get(patient) != nil)
-	p.Set(Pass)
+	p.SetMode(Pass)
 	is.NoErr(get(patient))
 }
--- a/internal/soak/span.go
+++ b/internal/soak/span.go
@@ -26,9 +26,9 @@
 // harms tells whether the step keeps a node from working or from the store.
 func (s *span) harms(node int) bool {
 	switch s.Kind {
-	case StoreAway, StoreLoses:
+	case StoreUnavailable, StoreDropsResponses:
 		return true
-	case PauseNode, NodeCut, NodeMute, NodeSlow:
+	case PauseNode, NodeStoreSilent, NodeStoreDropsResponses, NodeStoreSlow:
 		return s.Target == node
 	default:
 		return s.ends(node)
@@ -38,7 +38,7 @@
 // spoils tells whether the step lets upstreams fail requests.
 func (s *span) spoils() bool {
 	switch s.Kind {
-	case UpstreamReset, UpstreamDark, UpstreamCuts, UpstreamFails, UpstreamSheds:
+	case UpstreamReset, UpstreamSilent, UpstreamCutsStreams, UpstreamFails, UpstreamSheds:
 		return true
 	default:
 		return false
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Unlimited is a limit that no answer reaches.
-const Unlimited time.Duration = math.MaxInt64
+// NoTimeout is a limit that no answer reaches.
+const NoTimeout time.Duration = math.MaxInt64
 
 // errStalled tells that an answer stopped arriving.
 var errStalled = errors.New("the answer stalled")
 
-// Limit returns a context that ends when nothing arrives for too long: first is the limit
+// WithTimeout returns a context that ends when nothing arrives for too long: first is the limit
 // until progress is called for the first time, later the one from then on. An answer that
 // keeps arriving has no limit: on a full link, asking again costs what has arrived and fills
 // the link further.
-func Limit(ctx context.Context, first, later time.Duration) (limited context.Context, progress, cancel func()) {
+func WithTimeout(ctx context.Context, first, later time.Duration) (limited context.Context, progress, cancel func()) {
 	limited, end := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(first, func() { end(errStalled) })
 	progress = func() { timer.Reset(later) }
@@ -29,5 +29,5 @@
 	return limited, progress, cancel
 }
 
-// Ended tells whether a context ended because nothing arrived.
-func Ended(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStalled) }
+// TimedOut tells whether a context ended because nothing arrived.
+func TimedOut(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStalled) }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -39,10 +39,10 @@
 	// Slots is how many requests run at a time; others wait, the lowest priority number
 	// first. 0 for no bound.
 	Slots int
-	// LoadLag is how old the engine's load reports get.
-	LoadLag time.Duration
-	// Vary puts this text before each word, so that engines answer differently.
-	Vary string
+	// LoadSampleInterval is how old the engine's load reports get.
+	LoadSampleInterval time.Duration
+	// WordPrefix puts this text before each word, so that engines answer differently.
+	WordPrefix string
 }
 
 // hangPoll is how often a hanging engine looks whether it was cancelled.
@@ -96,8 +96,8 @@
 // Close stops serving at once.
 func (e *Engine) Close() { _ = e.server.Close() }
 
-// Served returns how many completions each request id was given.
-func (e *Engine) Served() map[string]int {
+// Runs returns how many completions each request id was given.
+func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	served := make(map[string]int, len(e.served))
@@ -107,8 +107,8 @@
 	return served
 }
 
-// Resumed returns how often the engine was asked for the rest of a stream.
-func (e *Engine) Resumed() int64 { return e.resumed.Load() }
+// Resumes returns how often the engine was asked for the rest of a stream.
+func (e *Engine) Resumes() int64 { return e.resumed.Load() }
 
 type engineRequest struct {
 	Model     string `json:"model"`
@@ -186,7 +186,7 @@
 			return
 		}
 		e.count(id, "running", promptTokens, i+1)
-		stream.write(chunkJSON(answerID, r.Model, e.options.Vary+word+" ", ""))
+		stream.write(chunkJSON(answerID, r.Model, e.options.WordPrefix+word+" ", ""))
 	}
 	e.count(id, "finished", promptTokens, len(answer))
 	stream.write(chunkJSON(answerID, r.Model, "", "stop"))
--- a/internal/standin/engineload.go
+++ b/internal/standin/engineload.go
@@ -122,7 +122,7 @@
 }
 
 func (e *Engine) reportLoad(_ context.Context, c *app.RequestContext) {
-	e.answer(c, e.load.report(time.Now(), e.options.LoadLag, e.queue.length()))
+	e.answer(c, e.load.report(time.Now(), e.options.LoadSampleInterval, e.queue.length()))
 }
 
 func (e *Engine) reportCacheEvents(_ context.Context, c *app.RequestContext) {
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -87,8 +87,8 @@
 // Waiting returns how many requests wait for a slot.
 func (e *Engine) Waiting() int { return e.queue.length() }
 
-// Begun returns the ids of the requests that got a slot, in that order.
-func (e *Engine) Begun() []string {
+// Started returns the ids of the requests that got a slot, in that order.
+func (e *Engine) Started() []string {
 	e.queue.mu.Lock()
 	defer e.queue.mu.Unlock()
 	return slices.Clone(e.queue.begun)
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -41,8 +41,8 @@
 	l.down = down
 }
 
-// LoseAnswers makes the next n appends take effect and then fail.
-func (l *Log) LoseAnswers(n int) {
+// DropResponses makes the next n appends take effect and then fail.
+func (l *Log) DropResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose = n
@@ -55,8 +55,8 @@
 	l.delay = d
 }
 
-// Keep lets only the latest n records of each stream survive; 0 keeps all.
-func (l *Log) Keep(n int) {
+// SetRetention lets only the latest n records of each stream survive; 0 keeps all.
+func (l *Log) SetRetention(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keep = n
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -47,8 +47,8 @@
 	return runs
 }
 
-// LoseAnswers makes the next n calls run and then end their connection unanswered.
-func (s *Service) LoseAnswers(n int) {
+// DropResponses makes the next n calls run and then end their connection unanswered.
+func (s *Service) DropResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = n
--- a/keyedlog/follower.go
+++ b/keyedlog/follower.go
@@ -81,7 +81,7 @@
 			f.handler.ReadFailed(err)
 			pause = f.options.RetryPause/2 + rand.N(f.options.RetryPause)
 		}
-		periodic.Pause(ctx, pause)
+		periodic.Sleep(ctx, pause)
 	}
 }
 
@@ -99,7 +99,7 @@
 		return f.reset(ctx)
 	}
 	started := time.Now()
-	limited, progress, cancel := stall.Limit(ctx, f.options.Wait+f.options.Slack, stallTimeout)
+	limited, progress, cancel := stall.WithTimeout(ctx, f.options.Wait+f.options.Slack, stallTimeout)
 	defer cancel()
 	records, next, err := f.topic.Read(limited, f.nextOffset, f.options.Wait, progress)
 	if errors.Is(err, ErrOffsetExpired) {
--- a/keyedlog/snapshot.go
+++ b/keyedlog/snapshot.go
@@ -52,14 +52,14 @@
 // ReadNewest reads the newest record of each key of a topic. It waits until ctx ends, and
 // restarts the read when the store recovers from an outage or the response stalls.
 func ReadNewest(ctx context.Context, topic Topic) ([]Record, int64, error) {
-	result := defaultReader.read(ctx, topic, stall.Unlimited)
+	result := defaultReader.read(ctx, topic, stall.NoTimeout)
 	return result.records, result.next, result.err
 }
 
 // read retries until a response is complete. timeout bounds the time in which no part of one
 // arrives.
 func (r snapshotReader) read(ctx context.Context, topic Topic, timeout time.Duration) snapshot {
-	limited, progress, cancel := stall.Limit(ctx, timeout, timeout)
+	limited, progress, cancel := stall.WithTimeout(ctx, timeout, timeout)
 	defer cancel()
 	for {
 		result, ok := r.attempt(limited, topic, progress)
@@ -72,7 +72,7 @@
 
 // attempt reads once; it returns false if the read was lost.
 func (r snapshotReader) attempt(ctx context.Context, topic Topic, progress func()) (snapshot, bool) {
-	readCtx, partArrived, cancel := stall.Limit(ctx, stall.Unlimited, stallTimeout)
+	readCtx, partArrived, cancel := stall.WithTimeout(ctx, stall.NoTimeout, stallTimeout)
 	defer cancel()
 	firstPart, done := make(chan struct{}, 1), make(chan snapshot, 1)
 	go func() {
@@ -90,7 +90,7 @@
 	for {
 		select {
 		case result := <-done:
-			return result, result.err == nil || !stall.Ended(readCtx)
+			return result, result.err == nil || !stall.TimedOut(readCtx)
 		case <-ctx.Done():
 			return snapshot{err: context.Cause(ctx)}, true
 		case <-firstPart:
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -124,7 +124,7 @@
 		is := is.New(t)
 		log := standin.NewLog()
 		a := startNode(t, log, "a")
-		log.LoseAnswers(20)
+		log.DropResponses(20)
 		time.Sleep(time.Minute)
 		is.Equal(a.epoch(), uint64(1))
 	})
--- a/node/budgets_test.go
+++ b/node/budgets_test.go
@@ -105,7 +105,7 @@
 			grant.Finish(120)
 		},
 		"appended, answer lost": func(f *testFleet) {
-			f.log.LoseAnswers(1)
+			f.log.DropResponses(1)
 			_ = f.request(1, 300, 120)
 			time.Sleep(flushInterval + 30*time.Millisecond)
 		},
--- a/node/twofaults_test.go
+++ b/node/twofaults_test.go
@@ -87,7 +87,7 @@
 		f.topUp(400_000)
 		f.runLoad(10*time.Minute, 0, 1, 2)
 		f.log.SetDelay(3 * time.Second)
-		f.log.LoseAnswers(40)
+		f.log.DropResponses(40)
 		refused := f.runLoad(2*time.Hour, 0, 1, 2)
 		f.log.SetDelay(0)
 		is.Equal(refused[result.SpendRightLapsed], 0)
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -97,7 +97,7 @@
 	fleet, client := startFleet(t)
 	ctx := withToken(devfleet.OperatorToken)
 	change := accountChange("a", 0)
-	fleet.Log.LoseAnswers(1)
+	fleet.Log.DropResponses(1)
 	first, err := client.Apply(ctx, change)
 	is.NoErr(err)
 	retry, err := client.Apply(ctx, change)
--- a/peerfetch/topic.go
+++ b/peerfetch/topic.go
@@ -147,7 +147,7 @@
 func (t *Topic) awaitMorePeers(ctx context.Context) {
 	logIsLong := sync.OnceValue(func() bool { return t.logIsLong(ctx) })
 	for begun := t.Clock.Now(); ctx.Err() == nil && t.Clock.Now()-begun < peersKnownTimeout && t.expectsMorePeers(logIsLong); {
-		periodic.Pause(ctx, peersPollInterval)
+		periodic.Sleep(ctx, peersPollInterval)
 	}
 }
 
@@ -185,7 +185,7 @@
 			return nil, 0, err
 		}
 		if end == from {
-			periodic.Pause(ctx, min(wait, endPollInterval*3/4+rand.N(endPollInterval/2)))
+			periodic.Sleep(ctx, min(wait, endPollInterval*3/4+rand.N(endPollInterval/2)))
 			return nil, from, ctx.Err()
 		}
 		// An end before from is stale; reading the store waits for new records.
@@ -253,14 +253,14 @@
 			return reply, true
 		}
 		progress()
-		periodic.Pause(ctx, roundPause)
+		periodic.Sleep(ctx, roundPause)
 	}
 	t.Events.Record(event.RelayFailed, "topic", t.Name, "peers", len(sources), "end", req.End, "ms", (t.Clock.Now() - begun).Milliseconds())
 	return Reply{}, false
 }
 
 func (t *Topic) request(ctx context.Context, source Peer, req Request, progress func()) (Reply, error) {
-	limited, markProgress, cancel := stall.Limit(ctx, peerTimeout, peerTimeout)
+	limited, markProgress, cancel := stall.WithTimeout(ctx, peerTimeout, peerTimeout)
 	defer cancel()
 	return t.Transport.Fetch(limited, source.Address, req, func() {
 		markProgress()
--- a/peerfetch/topic_test.go
+++ b/peerfetch/topic_test.go
@@ -73,7 +73,7 @@
 // newUnreachableStore returns a store whose calls time out.
 func newUnreachableStore() *memtopic.Topic {
 	store := memtopic.New()
-	store.Fail = context.DeadlineExceeded
+	store.Err = context.DeadlineExceeded
 	return store
 }
 
--- a/recordlog/snapshot_test.go
+++ b/recordlog/snapshot_test.go
@@ -108,7 +108,7 @@
 		writer.append(is, entry)
 	}
 	writer.topUps(is, 2)
-	log.Keep(5)
+	log.SetRetention(5)
 	writer.appendRaw(is, late) // applied before the restored state, and void after it as well
 	is.Equal(away.prepaid(), uint64(3))
 	away.catchUp(is)
@@ -137,7 +137,7 @@
 	other.append(is, chunks(is, here, 1)...)
 	other.appendRaw(is, shares)
 	other.appendRaw(is, claim)
-	log.Keep(3)
+	log.SetRetention(3)
 	fresh := newTestReplica(log)
 	here.catchUp(is)
 	fresh.catchUp(is)
@@ -169,7 +169,7 @@
 	}
 	late := killed.append(is, first[2]) // of another snapshot: it must not complete any
 	killed.appendRaw(is, late)
-	log.Keep(10)
+	log.SetRetention(10)
 
 	fresh := newTestReplica(log)
 	fresh.catchUp(is)
@@ -187,7 +187,7 @@
 	here.catchUp(is)
 	old := chunks(is, here, 1)
 	writer.topUps(is, 5)
-	log.Keep(1)
+	log.SetRetention(1)
 	writer.append(is, old...)
 	fresh := newTestReplica(log)
 	err := fresh.follower.Step(context.Background(), 0)
--- a/request/badinput_test.go
+++ b/request/badinput_test.go
@@ -58,7 +58,7 @@
 		is.Equal(sink.started, 0)
 	}
 	is.Equal(n.billedTokens(t), uint64(0))
-	is.Equal(len(s.engines[0].Served()), 0)
+	is.Equal(len(s.engines[0].Runs()), 0)
 }
 
 func TestValidBodiesAreAccepted(t *testing.T) {
--- a/request/priority_test.go
+++ b/request/priority_test.go
@@ -81,7 +81,7 @@
 	n := s.newServer("a")
 	engine := s.engines[0]
 	wait := func(waiting, begun int) {
-		for engine.Waiting() != waiting || len(engine.Begun()) != begun {
+		for engine.Waiting() != waiting || len(engine.Started()) != begun {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -103,5 +103,5 @@
 	stop()
 	requests.Wait()
 	is.Equal(urgent.text(), answer)
-	is.Equal(engine.Begun()[1], urgent.id) // directly after the request that held the slot
+	is.Equal(engine.Started()[1], urgent.id) // directly after the request that held the slot
 }
--- a/request/stream_test.go
+++ b/request/stream_test.go
@@ -28,7 +28,7 @@
 	is.Equal(sink.text(), answer)
 	is.Equal(len(sink.cursors), 12) // ten words, the finish reason and the usage, once each
 	is.Equal(n.billedTokens(t), uint64(20))
-	is.Equal(len(s.engines[0].Served()), 1)
+	is.Equal(len(s.engines[0].Runs()), 1)
 }
 
 func TestDuplicateAndReorderedChunks(t *testing.T) {
@@ -69,7 +69,7 @@
 	is.NoErr(n.Chat(context.Background(), chatCall(body), sink))
 	is.Equal(sink.text(), answer)
 	is.Equal(n.billedTokens(t), uint64(20))
-	is.Equal(s.engines[0].Resumed(), int64(0)) // not asked to resume
+	is.Equal(s.engines[0].Resumes(), int64(0)) // not asked to resume
 }
 
 func TestDifferingRerunIsRejected(t *testing.T) {
@@ -77,7 +77,7 @@
 	// would read as one answer that no engine gave: the stream must end with a result code
 	// instead, and must not be billed.
 	is := is.New(t)
-	s := newFixture(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{Vary: "x"})
+	s := newFixture(t, standin.EngineOptions{CutAfter: 4, Forget: true}, standin.EngineOptions{WordPrefix: "x"})
 	n := s.newServer("a")
 	body, _ := prompt(10)
 	sink := &testSink{stream: true}
--- a/upstream/notafter_test.go
+++ b/upstream/notafter_test.go
@@ -63,7 +63,7 @@
 	client, to := newTestClient(t), &operatorv1.Upstream{Name: "engine", Address: listener.Addr().String()}
 	_, err := client.Chat(context.Background(), to, ChatRequest{ID: "a.1", Body: []byte(`{}`), NotAfter: time.Now().Add(past)})
 	is.Equal(result.CodeOf(err), result.RequestExpired)
-	is.Equal(len(engine.Served()), 0)
+	is.Equal(len(engine.Runs()), 0)
 }
 
 // Guards against treating an upstream whose clock is ahead as working: each of its refusals
