--- a/internal/experiment/budgets/report_test.go
+++ b/internal/experiment/budgets/report_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The same load is played on the fleet's policies and the baselines, with the
-// regions cut and with a crash. No account may end above its budget, and
-// the fleet must refuse less than either baseline while the cut lasts.
+// Runs one load on the fleet's policies and the baselines, without a fault, with the
+// regions partitioned and with a node crash. No budget may be overspent, and the fleet
+// must refuse fewer requests falsely than either baseline during the partition.
 func TestStrategiesNeverOverspend(t *testing.T) {
 	is := is.New(t)
 	rows := map[string]Row{}
@@ -21,7 +21,7 @@
 		r := rows["normal/"+policy]
 		is.True(r.FalseAmple*1000 < r.AmpleRequests)
 	}
-	ours := rows["region cut/endurance"].FalseAmple
-	is.True(ours < rows["region cut/static equal split"].FalseAmple)
-	is.True(ours < rows["region cut/central counter"].FalseAmple)
+	fleetRefusals := rows["region cut/endurance"].FalseAmple
+	is.True(fleetRefusals < rows["region cut/static equal split"].FalseAmple)
+	is.True(fleetRefusals < rows["region cut/central counter"].FalseAmple)
 }
