--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -53,7 +53,7 @@
 type ReserverConfig struct {
 	Holder  *ShareHolder
 	Ledger  *Ledger
-	Journal Submitter
+	Log Submitter
 	Events  *event.Recorder
 	// ClaimChunk is the least that a request claims from the pool, in tokens, unless half the
 	// pool is less.
@@ -156,7 +156,7 @@
 	}
 	pending := &pendingClaim{done: make(chan struct{})}
 	r.claims[budget] = pending
-	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
+	ticket := r.config.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
 		ShareClaim: &recordv1.ShareClaim{Budget: budget, Tokens: tokens},
 	}})
 	go func() {
@@ -316,9 +316,9 @@
 	return open, frozen
 }
 
-// Folded credits tokens that the log granted or moved to this incarnation. It must be called
+// HandleFolded credits tokens that the log granted or moved to this incarnation. It must be called
 // with each batch in offset order, before tickets get their verdicts.
-func (r *Reserver) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (r *Reserver) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	own := batch.GetWriter() == r.config.Holder.Incarnation()
 	for i, verdict := range verdicts {
 		if !verdict.OK() {
--- a/internal/check/deadengine.go
+++ b/internal/check/deadengine.go
@@ -24,7 +24,7 @@
 			c.report(WholeAnswer, []string{op.Request}, "chat %q at %s was lost although only an engine died: %s %s", op.Prompt, op.Node, op.Code, op.Message)
 		}
 	}
-	for _, death := range c.record.EngineDeaths {
+	for _, death := range c.record.EngineOutages {
 		sent := map[string]int{}
 		for _, a := range c.record.Attempts {
 			late := a.At.Sub(death.From) > engineDeathDetectionLimit && (death.Until.IsZero() || a.At.Before(death.Until))
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	died := time.Unix(1000, 0)
 	record := func(after time.Duration) *Record {
-		r := &Record{EngineDiedAlone: true, EngineDeaths: []fake.EngineOutage{{Upstream: "engine", From: died}}}
+		r := &Record{EngineDiedAlone: true, EngineOutages: []fake.EngineOutage{{Upstream: "engine", From: died}}}
 		for range maxDeadEngineProbes + 1 {
 			r.Attempts = append(r.Attempts, fake.Attempt{Upstream: "engine", Node: "node", At: died.Add(after)})
 		}
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -35,7 +35,7 @@
 
 // Executor gives orders while this node holds the lease.
 type Executor struct {
-	Lessor  lease.Holder
+	LeaseHolder  lease.Holder
 	Client  Client
 	Weights ports.WeightStore
 	Config  func() *config.View
@@ -59,13 +59,13 @@
 
 // Run gives orders until ctx ends.
 func (e *Executor) Run(ctx context.Context) {
-	e.Lessor.Campaign(LeaseName)
+	e.LeaseHolder.Campaign(LeaseName)
 	periodic.Run(ctx, e.Clock, reconcileInterval, e.Reconcile)
 }
 
 // Reconcile checks all engines once and gives the orders that are due.
 func (e *Executor) Reconcile(ctx context.Context) {
-	held, ok := e.Lessor.Held(LeaseName)
+	held, ok := e.LeaseHolder.Held(LeaseName)
 	if !ok {
 		return
 	}
@@ -161,7 +161,7 @@
 	if !e.fetchWeights(ctx, step.Fetch) {
 		return
 	}
-	held, ok := e.Lessor.Held(LeaseName)
+	held, ok := e.LeaseHolder.Held(LeaseName)
 	if !ok || held.Epoch != e.epoch {
 		return
 	}
--- a/orders/executor_test.go
+++ b/orders/executor_test.go
@@ -44,7 +44,7 @@
 func newExecutor(lessor *fakeLessor, engines *fakeEngines, view func() *config.View, fetchInterval time.Duration) *Executor {
 	clock := clockwork.NewRealClock() // fake within the synctest bubble
 	return &Executor{
-		Lessor: lessor, Client: engines, Weights: standin.NewWeights(clock, fetchInterval), Config: view, Clock: clock,
+		LeaseHolder: lessor, Client: engines, Weights: standin.NewWeights(clock, fetchInterval), Config: view, Clock: clock,
 		Events: event.NewRecorder(event.NewHLC(clock), "test", 100, golog.NewNopLogger()),
 	}
 }
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -24,7 +24,7 @@
 type SilentSettlerConfig struct {
 	Clock   clockwork.Clock
 	Ledger  *budget.Ledger
-	Journal budget.Submitter
+	Log budget.Submitter
 	Store   *witness.Store
 	Events  *event.Recorder
 	// Suspect reports whether a node doesn't answer.
@@ -96,7 +96,7 @@
 		return
 	}
 	first := settlementEntries(incarnation, settlements)[0]
-	s.pending[incarnation] = s.config.Journal.Submit(first)
+	s.pending[incarnation] = s.config.Log.Submit(first)
 	tokens := uint64(0)
 	for _, settled := range first.GetSettlements().GetSettlements() {
 		tokens += settled.GetTokens()
--- a/recovery/silentsettler_test.go
+++ b/recovery/silentsettler_test.go
@@ -30,7 +30,7 @@
 	w.heartbeat(1)
 	store, written := witness.NewStore(), &journal{}
 	silent, mayWrite := false, false
-	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Store: store,
+	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Log: written, Store: store,
 		Events:  event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "self", 10, log.NewNopLogger()),
 		Suspect: func(string) bool { return silent }, MayWrite: func() bool { return mayWrite }})
 	is.NoErr(store.Update("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
