--- a/gather/appender.go
+++ b/gather/appender.go
@@ -30,7 +30,7 @@
 	Clock  clockwork.Clock
 	Events *event.Recorder
 	Policy Policy
-	// GatheredSupported tells whether every open node reads gathered records
+	// GatheredSupported reports whether every open node reads gathered records
 	// (record.FormsGathered).
 	GatheredSupported func() bool
 }
--- a/gather/gatherer.go
+++ b/gather/gatherer.go
@@ -27,7 +27,7 @@
 	stream string
 	clock  clockwork.Clock
 	policy Policy
-	// gatheredSupported tells whether every open node reads gathered records.
+	// gatheredSupported reports whether every open node reads gathered records.
 	gatheredSupported func() bool
 
 	wake chan struct{}
@@ -40,7 +40,7 @@
 	appends atomic.Uint64
 }
 
-// NewGatherer returns a gatherer for a stream of the log. gatheredSupported tells whether
+// NewGatherer returns a gatherer for a stream of the log. gatheredSupported reports whether
 // every open node reads gathered records (record.FormsGathered). It appends only while Run runs.
 func NewGatherer(log ports.Log, stream string, clock clockwork.Clock, policy Policy, gatheredSupported func() bool) *Gatherer {
 	return &Gatherer{log: log, stream: stream, clock: clock, policy: policy, gatheredSupported: gatheredSupported, wake: make(chan struct{}, 1)}
--- a/gather/mayshare.go
+++ b/gather/mayshare.go
@@ -6,7 +6,7 @@
 	recordv1 "lavenderpin.dev/lavenderpin/api/record/v1"
 )
 
-// mayShareRecord tells whether a batch may share its record with other nodes' batches.
+// mayShareRecord reports whether a batch may share its record with other nodes' batches.
 //
 // One with configuration changes may not. A resource's version is the offset of the
 // change that created it, and all batches of a record have the same offset: two changes
--- a/recordlog/appender.go
+++ b/recordlog/appender.go
@@ -25,8 +25,8 @@
 
 var _ Appender = (*LogAppender)(nil)
 
-// NewLogAppender returns an appender to a stream of the log. packs tells whether all who
-// read the stream unpack records; nil stands for no.
+// NewLogAppender returns an appender to a stream of the log. packingSupported reports whether
+// every reader of the stream unpacks records; nil stands for no.
 func NewLogAppender(log ports.Log, stream string, packingSupported func() bool) *LogAppender {
 	return &LogAppender{log: log, stream: stream, packingSupported: packingSupported}
 }
--- a/recordlog/follower.go
+++ b/recordlog/follower.go
@@ -73,7 +73,7 @@
 // Recent returns the records applied last.
 func (f *Follower) Recent() *RecentRecords { return f.recent }
 
-// CaughtUp tells whether the follower has ever reached the end of the stream.
+// CaughtUp reports whether the follower has ever reached the end of the stream.
 func (f *Follower) CaughtUp() bool { return f.caughtUp.Load() }
 
 // SinceRead returns how long ago the log last answered; 24 hours before its first answer.
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -92,7 +92,7 @@
 // Appends returns how many appends were tried, including batches forwarded to a gatherer.
 func (w *Writer) Appends() uint64 { return w.appends.Load() }
 
-// Failing tells whether the last append failed.
+// Failing reports whether the last append failed.
 func (w *Writer) Failing() bool { return w.failing.Load() }
 
 // Run appends batches until ctx ends.
--- a/relay/source.go
+++ b/relay/source.go
@@ -79,7 +79,7 @@
 	return slice, err
 }
 
-// logAnsweredSince tells whether the log answered again since the last notification.
+// logAnsweredSince reports whether the log answered again since the last notification.
 // Otherwise two nodes that read from each other while the log is down would wake each
 // other as fast as the network allows.
 func (s *Source) logAnsweredSince(age time.Duration) bool {
--- a/snapshot/policy.go
+++ b/snapshot/policy.go
@@ -22,7 +22,7 @@
 	Age     time.Duration
 }
 
-// Due tells whether to write a snapshot now. The age counts even when the log holds
+// Due reports whether to write a snapshot now. The age counts even when the log holds
 // nothing but snapshots since the last one: that one must not age out either.
 func (p Policy) Due(progress Progress) bool {
 	return progress.Records >= p.Records || progress.Bytes >= p.Bytes || progress.Age >= p.Age
