--- a/node/orders.go
+++ b/node/orders.go
@@ -6,7 +6,7 @@
 // lease.
 func (n *Node) newOrderExecutor() *orders.Executor {
 	return &orders.Executor{
-		Lessor:  n.leases,
+		LeaseHolder:  n.leases,
 		Client:  orders.HTTPClient{Upstreams: n.deps.Upstreams},
 		Weights: n.deps.Weights,
 		Config:  n.config.View,
--- a/orders/executor.go
+++ b/orders/executor.go
@@ -35,12 +35,12 @@
 
 // Executor gives orders while this node holds the lease.
 type Executor struct {
-	Lessor  lease.Holder
-	Client  Client
-	Weights ports.WeightStore
-	Config  func() *config.View
-	Clock   clockwork.Clock
-	Events  *event.Recorder
+	LeaseHolder lease.Holder
+	Client      Client
+	Weights     ports.WeightStore
+	Config      func() *config.View
+	Clock       clockwork.Clock
+	Events      *event.Recorder
 
 	epoch        uint64
 	leaseTakenAt time.Time
@@ -59,18 +59,18 @@
 
 // Run gives orders until ctx ends.
 func (e *Executor) Run(ctx context.Context) {
-	e.Lessor.Campaign(LeaseName)
+	e.LeaseHolder.Campaign(LeaseName)
 	periodic.Run(ctx, e.Clock, reconcileInterval, e.Reconcile)
 }
 
 // Reconcile checks all engines once and gives the orders that are due.
 func (e *Executor) Reconcile(ctx context.Context) {
-	held, ok := e.Lessor.Held(LeaseName)
+	heldLease, ok := e.LeaseHolder.Held(LeaseName)
 	if !ok {
 		return
 	}
-	if held.Epoch != e.epoch {
-		e.epoch = held.Epoch
+	if heldLease.Epoch != e.epoch {
+		e.epoch = heldLease.Epoch
 		e.leaseTakenAt = e.Clock.Now()
 		e.planners = map[string]*Planner{}
 		e.pending = map[string]pendingOrder{}
@@ -161,17 +161,17 @@
 	if !e.fetchWeights(ctx, step.Fetch) {
 		return
 	}
-	held, ok := e.Lessor.Held(LeaseName)
-	if !ok || held.Epoch != e.epoch {
+	heldLease, ok := e.LeaseHolder.Held(LeaseName)
+	if !ok || heldLease.Epoch != e.epoch {
 		return
 	}
 	ctx, cancel := clockwork.WithTimeout(ctx, e.Clock, callTimeout)
 	defer cancel()
-	err := e.Client.Send(ctx, engine, Order{Fencing: held.Epoch, Models: step.Models, Role: step.Role})
+	err := e.Client.Send(ctx, engine, Order{Fencing: heldLease.Epoch, Models: step.Models, Role: step.Role})
 	if err == nil || step.stopsServing() && result.CodeOf(err) != result.NotHolder {
 		e.pending[engine.GetName()] = pendingOrder{models: step.Models, role: step.Role, orderedAt: e.Clock.Now()}
 	}
-	e.Events.Record(event.OrderGiven, "upstream", engine.GetName(), "lease", LeaseName, "epoch", held.Epoch,
+	e.Events.Record(event.OrderGiven, "upstream", engine.GetName(), "lease", LeaseName, "epoch", heldLease.Epoch,
 		"models", formatModels(step.Models), "role", step.Role, "code", uint32(result.CodeOf(err)))
 }
 
--- a/orders/executor_test.go
+++ b/orders/executor_test.go
@@ -41,10 +41,10 @@
 	return state.View
 }
 
-func newExecutor(lessor *fakeLessor, engines *fakeEngines, view func() *config.View, fetchInterval time.Duration) *Executor {
+func newExecutor(holder *fakeLeaseHolder, engines *fakeEngines, view func() *config.View, fetchInterval time.Duration) *Executor {
 	clock := clockwork.NewRealClock() // fake within the synctest bubble
 	return &Executor{
-		Lessor: lessor, Client: engines, Weights: standin.NewWeights(clock, fetchInterval), Config: view, Clock: clock,
+		LeaseHolder: holder, Client: engines, Weights: standin.NewWeights(clock, fetchInterval), Config: view, Clock: clock,
 		Events: event.NewRecorder(event.NewHLC(clock), "test", 100, golog.NewNopLogger()),
 	}
 }
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := newTwoRegionFleet(true)
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 2), time.Second)
+		executor := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, newView(t, engines, 2), time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(5 * time.Minute)
 		is.Equal(engines.countHolding(newModel), 3)
@@ -81,7 +81,7 @@
 		engines := newFakeEngines(newFakeEngine("east", "east-1", true, oldModel))
 		engines.engines["east-1"].report.Capacity = 1
 		engines.watchedModel = oldModel.Name
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 1), time.Second)
+		executor := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, newView(t, engines, 1), time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(5 * time.Minute)
 		is.Equal(engines.countHolding(oldModel), 1)
@@ -116,10 +116,10 @@
 		cancel()
 		return arrives
 	}
-	first := newExecutor(&fakeLessor{epoch: 1}, engines, view, time.Second)
+	first := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, view, time.Second)
 	go first.Run(ctx)
 	<-ctx.Done()
-	second := newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second)
+	second := newExecutor(&fakeLeaseHolder{epoch: 2}, engines, view, time.Second)
 	go second.Run(t.Context())
 	time.Sleep(10 * time.Minute)
 	is.Equal(engines.countHolding(newModel), 3)
@@ -137,17 +137,17 @@
 				is := is.New(t)
 				engines := newTwoRegionFleet(checks)
 				view := newView(t, engines, 2)
-				lessor := &fakeLessor{epoch: 1}
-				paused := newExecutor(lessor, engines, view, time.Second)
+				holder := &fakeLeaseHolder{epoch: 1}
+				paused := newExecutor(holder, engines, view, time.Second)
 				paused.Reconcile(t.Context())
 				time.Sleep(TakeoverDelay + time.Second) // past the takeover delay of its own epoch
 				leaseChecks := 0
-				lessor.beforeHeld = func() {
+				holder.beforeHeld = func() {
 					leaseChecks++
 					if leaseChecks == 1 {
 						return // the plan is made under a lease that is still held
 					}
-					lessor.set(0)
+					holder.set(0)
 				}
 				before := engines.sentCount()
 				paused.Reconcile(t.Context())
@@ -173,14 +173,14 @@
 					}
 					return true
 				}
-				first := newExecutor(&fakeLessor{epoch: 1}, engines, view, time.Second)
+				first := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, view, time.Second)
 				ctx, cancel := context.WithCancel(t.Context())
 				go first.Run(ctx)
 				for engines.sentCount() == 0 {
 					time.Sleep(100 * time.Millisecond)
 				}
 				cancel()
-				second := newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second)
+				second := newExecutor(&fakeLeaseHolder{epoch: 2}, engines, view, time.Second)
 				go second.Run(t.Context())
 				time.Sleep(10 * time.Minute)
 				is.Equal(engines.countHolding(newModel), 3)
@@ -197,7 +197,7 @@
 		is := is.New(t)
 		engines := newFakeEngines(newFakeEngine("east", "east-1", true), newFakeEngine("east", "east-2", true), newFakeEngine("east", "east-3", true))
 		engines.loadTime = 90 * time.Second // the reports lag by several fetches
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newView(t, engines, 3), 20*time.Second)
+		executor := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, newView(t, engines, 3), 20*time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(21 * time.Second)
 		is.True(engines.sentCount() <= 2)
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -164,8 +164,8 @@
 	return all
 }
 
-// fakeLessor holds the lease or not as set by the test.
-type fakeLessor struct {
+// fakeLeaseHolder holds the lease or not as set by the test.
+type fakeLeaseHolder struct {
 	mu    sync.Mutex
 	epoch uint64
 	// beforeHeld, if set, is called before each check of the lease, for example to simulate a
@@ -173,26 +173,26 @@
 	beforeHeld func()
 }
 
-func (l *fakeLessor) Held(name string) (lease.Lease, bool) {
-	l.mu.Lock()
-	hook := l.beforeHeld
-	l.mu.Unlock()
+func (h *fakeLeaseHolder) Held(name string) (lease.Lease, bool) {
+	h.mu.Lock()
+	hook := h.beforeHeld
+	h.mu.Unlock()
 	if hook != nil {
 		hook()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return lease.Lease{Name: name, Epoch: l.epoch}, l.epoch != 0
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return lease.Lease{Name: name, Epoch: h.epoch}, h.epoch != 0
 }
 
-func (l *fakeLessor) set(epoch uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.epoch = epoch
+func (h *fakeLeaseHolder) set(epoch uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.epoch = epoch
 }
 
-func (l *fakeLessor) Campaign(string) {}
-func (l *fakeLessor) Release(string)  {}
+func (h *fakeLeaseHolder) Campaign(string) {}
+func (h *fakeLeaseHolder) Release(string)  {}
 
 // sentCount returns how many orders the executor has sent.
 func (f *fakeEngines) sentCount() int {
--- a/orders/pausedholder_test.go
+++ b/orders/pausedholder_test.go
@@ -31,20 +31,20 @@
 	is := is.New(t)
 	engines := newTwoRegionFleet(checks)
 	view := newView(t, engines, 2)
-	lessor := &fakeLessor{epoch: 1}
+	holder := &fakeLeaseHolder{epoch: 1}
 	paused := make(chan struct{})
 	engines.onSend = func(n int) bool {
 		if n == step {
-			lessor.set(0)
+			holder.set(0)
 			close(paused)
 			time.Sleep(pause)
 		}
 		return true
 	}
-	go newExecutor(lessor, engines, view, time.Second).Run(t.Context())
+	go newExecutor(holder, engines, view, time.Second).Run(t.Context())
 	<-paused
 	engines.swapLoads()
-	go newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second).Run(t.Context())
+	go newExecutor(&fakeLeaseHolder{epoch: 2}, engines, view, time.Second).Run(t.Context())
 	time.Sleep(30 * time.Minute)
 	is.Equal(engines.countHolding(newModel), 3)
 	is.Equal(engines.countHolding(oldModel), 0)
@@ -76,11 +76,11 @@
 		engines.watchedModel = oldModel.Name
 		engines.engines["east-1"].report.Capacity, engines.engines["east-2"].report.Capacity = 1, 1
 		view := newView(t, engines, 1)
-		lessor := &fakeLessor{epoch: 1}
+		holder := &fakeLeaseHolder{epoch: 1}
 		paused := make(chan struct{})
 		engines.onSend = func(n int) bool {
 			if n == 1 {
-				lessor.set(0)
+				holder.set(0)
 				close(paused)
 				time.Sleep(TakeoverDelay + 4*time.Second) // while the new holder's first order is in progress
 			}
@@ -88,10 +88,10 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go newExecutor(lessor, engines, view, time.Second).Run(ctx)
+		go newExecutor(holder, engines, view, time.Second).Run(ctx)
 		<-paused
 		engines.swapLoads()
-		go newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second).Run(t.Context())
+		go newExecutor(&fakeLeaseHolder{epoch: 2}, engines, view, time.Second).Run(t.Context())
 		time.Sleep(30 * time.Minute)
 		is.Equal(engines.countHolding(newModel), 1)
 		for _, violation := range engines.violations {
--- a/orders/roles_test.go
+++ b/orders/roles_test.go
@@ -80,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := newMixedFleet(true)
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newRoleView(t, engines, "prefill", "decode"), time.Second)
+		executor := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, newRoleView(t, engines, "prefill", "decode"), time.Second)
 		go executor.Run(t.Context())
 		time.Sleep(10 * time.Minute)
 		checkRoleChange(is, engines)
@@ -118,9 +118,9 @@
 		cancel()
 		return arrives
 	}
-	go newExecutor(&fakeLessor{epoch: 1}, engines, view, time.Second).Run(ctx)
+	go newExecutor(&fakeLeaseHolder{epoch: 1}, engines, view, time.Second).Run(ctx)
 	<-ctx.Done()
-	go newExecutor(&fakeLessor{epoch: 2}, engines, view, time.Second).Run(t.Context())
+	go newExecutor(&fakeLeaseHolder{epoch: 2}, engines, view, time.Second).Run(t.Context())
 	time.Sleep(30 * time.Minute)
 	checkRoleChange(is, engines)
 }
@@ -134,7 +134,7 @@
 		engines := newMixedFleet(true)
 		engines.loadTime = 90 * time.Second
 		client := &lostResponses{fakeEngines: engines}
-		executor := newExecutor(&fakeLessor{epoch: 1}, engines, newRoleView(t, engines, "prefill", "decode"), time.Second)
+		executor := newExecutor(&fakeLeaseHolder{epoch: 1}, engines, newRoleView(t, engines, "prefill", "decode"), time.Second)
 		executor.Client = client
 		go executor.Run(t.Context())
 		time.Sleep(40 * time.Minute)
