--- a/internal/check/checker.go
+++ b/internal/check/checker.go
@@ -46,7 +46,7 @@
 	c.checkConfiguration()
 	c.checkOrders()
 	c.checkDrains()
-	c.checkEngineDeaths()
+	c.checkEngineOutages()
 	c.checkLeavings()
 	c.checkRecovery()
 	c.checkLinearizability()
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -17,14 +17,14 @@
 	is := is.New(t)
 	died := time.Unix(1000, 0)
 	record := func(after time.Duration) *Record {
-		r := &Record{EngineDiedAlone: true, EngineDeaths: []fake.EngineOutage{{Upstream: "engine", From: died}}}
+		r := &Record{EngineDiedAlone: true, EngineOutages: []fake.EngineOutage{{Upstream: "engine", From: died}}}
 		for range maxDeadEngineProbes + 1 {
 			r.Attempts = append(r.Attempts, fake.Attempt{Upstream: "engine", Node: "node", At: died.Add(after)})
 		}
 		return r
 	}
-	is.True(violates(Check(record(engineDeathDetectionLimit+1)), NoWorkForDeadEngine))
-	is.True(!violates(Check(record(engineDeathDetectionLimit)), NoWorkForDeadEngine))
+	is.True(violates(Check(record(outageDetectionLimit+1)), NoWorkForDeadEngine))
+	is.True(!violates(Check(record(outageDetectionLimit)), NoWorkForDeadEngine))
 }
 
 // Guards against a caller that gets an error when an engine dies during a response, though
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -35,10 +35,10 @@
 	EngineRuns  []fake.EngineRun
 	ServiceRuns []fake.ServiceRun
 	Orders      []fake.EngineOrder
-	// EngineDeaths holds the periods in which engines were dead, Attempts the completions
+	// EngineOutages holds the periods in which engines were dead, Attempts the completions
 	// that nodes tried to send to any engine.
-	EngineDeaths []fake.EngineOutage
-	Attempts     []fake.Attempt
+	EngineOutages []fake.EngineOutage
+	Attempts      []fake.Attempt
 	// Leavings holds the periods in which nodes had the leaving of an upstream in force.
 	Leavings []LeavingPeriod
 	// EngineDiedAlone reports that the only fault was the death of an engine.
@@ -70,7 +70,7 @@
 func (h *Harness) collect() *Record {
 	r := &Record{Began: h.began, Log: h.Archive.Records(), EngineRuns: h.Upstreams.Runs(), ServiceRuns: h.Upstreams.Calls(),
 		Parts: h.Network.Parts(), Orders: h.Upstreams.Orders(),
-		EngineDeaths: h.Upstreams.Outages(), Attempts: h.Upstreams.Attempts()}
+		EngineOutages: h.Upstreams.Outages(), Attempts: h.Upstreams.Attempts()}
 	h.History.mu.Lock()
 	r.Chats, r.Calls, r.Configs = h.History.Chats, h.History.Calls, h.History.Configs
 	r.TopUps, r.ConfigReads, r.Drains = h.History.TopUps, h.History.ConfigReads, h.History.Drains
