--- a/request/admission.go
+++ b/request/admission.go
@@ -15,11 +15,11 @@
 
 // admit asks the node's admission controller, if there is one. It runs before the
 // reservation, so that a queued request holds no tokens that another could use.
-func (s *Server) admit(ctx context.Context, ask routing.Request) (release func(), err error) {
+func (s *Server) admit(ctx context.Context, params routing.Request) (release func(), err error) {
 	if s.Admission == nil {
 		return func() {}, nil
 	}
-	release, err = s.Admission.Admit(ctx, ask)
+	release, err = s.Admission.Admit(ctx, params)
 	if err != nil && ctx.Err() != nil {
 		return nil, contextError(ctx)
 	}
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -147,13 +147,13 @@
 // firstUntriedPicker picks the first upstream by name that has not been tried.
 type firstUntriedPicker struct{}
 
-func (firstUntriedPicker) Pick(ask routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
+func (firstUntriedPicker) Pick(params routing.Request, candidates []*operatorv1.Upstream) (routing.PickResult, error) {
 	for _, c := range candidates {
-		if !ask.Tried[c.GetName()] {
+		if !params.Tried[c.GetName()] {
 			return routing.PickResult{Upstream: c, Done: func(error) {}}, nil
 		}
 	}
-	return routing.PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", ask.Service)
+	return routing.PickResult{}, result.New(result.NoUpstream, "no upstream of %s is left to try", params.Service)
 }
 
 // billedTokens returns the number of billed tokens and checks that nothing stays reserved.
--- a/request/call.go
+++ b/request/call.go
@@ -98,7 +98,7 @@
 // runCall admits a call, reserves its tokens, sends it and settles it.
 func (s *Server) runCall(ctx context.Context, p *preparedCall) (upstream.CallResponse, error) {
 	account := p.account.GetName()
-	release, err := s.admit(ctx, s.newRoutingAsk(ctx, p.account, p.service))
+	release, err := s.admit(ctx, s.newRoutingRequest(ctx, p.account, p.service))
 	if err != nil {
 		return upstream.CallResponse{}, s.recordRefusal(account, err)
 	}
@@ -109,37 +109,37 @@
 	}
 	// Releases the tokens after a panic; a second Finish has no effect.
 	defer grant.Finish(0)
-	answer, err := s.callAttempts(ctx, grant, p)
+	response, err := s.callAttempts(ctx, grant, p)
 	if err != nil {
 		grant.Finish(0)
 		s.Events.Record(event.RequestFailed, "request", grant.Request(), "code", uint32(result.CodeOf(err)), "why", err)
-		return answer, withRequestID(grant.Request().String(), err)
+		return response, withRequestID(grant.Request().String(), err)
 	}
 	grant.Finish(p.rule.GetTokens())
 	s.Events.Record(event.RequestFinished, "request", grant.Request(), "tokens", p.rule.GetTokens())
-	return answer, nil
+	return response, nil
 }
 
 func (s *Server) callAttempts(ctx context.Context, grant budget.Grant, p *preparedCall) (upstream.CallResponse, error) {
-	ask := s.newRoutingAsk(ctx, p.account, p.service)
-	ask.Tried = map[string]bool{}
+	params := s.newRoutingRequest(ctx, p.account, p.service)
+	params.Tried = map[string]bool{}
 	retryBackoff := newRetryBackoff()
 	var last error
 	for n := range maxAttempts {
 		if n > 0 && !s.acquireRetry(ctx, grant.Request().String(), retryBackoff) {
 			break
 		}
-		pick, err := s.Picker.Pick(ask, s.candidateUpstreams(p.service.GetName()))
+		pick, err := s.Picker.Pick(params, s.candidateUpstreams(p.service.GetName()))
 		if err != nil {
 			return upstream.CallResponse{}, firstError(last, err)
 		}
-		answer, err := s.callAttempt(ctx, grant, p, pick.Upstream)
+		response, err := s.callAttempt(ctx, grant, p, pick.Upstream)
 		pick.Done(err)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		last = mergeAttemptErrors(last, err)
-		ask.Tried[pick.Upstream.GetName()] = true
+		params.Tried[pick.Upstream.GetName()] = true
 		if !canRetryCall(err, p.rule) {
 			break
 		}
@@ -154,21 +154,21 @@
 	}
 	id := grant.Request().String()
 	s.Events.Record(event.RequestDispatched, "request", id, "upstream", target.GetName())
-	answer, err := s.Client.Call(ctx, target, upstream.CallRequest{
+	response, err := s.Client.Call(ctx, target, upstream.CallRequest{
 		ID: id, Method: p.call.Method, Path: p.call.Path, Headers: p.call.Headers, Body: p.call.Body,
 		NoResend: !p.rule.GetIdempotent(), NotAfter: grant.NotAfter(),
 	})
 	switch {
 	case err == nil || rejectedBeforeExecution(err):
-		return answer, err
+		return response, err
 	case !p.rule.GetIdempotent():
 		// The call may have run. A caller that took this for a refusal would submit the
 		// work order again.
-		return answer, result.New(result.OutcomeUnknown, "%s", result.From(err).Message)
+		return response, result.New(result.OutcomeUnknown, "%s", result.From(err).Message)
 	case ctx.Err() != nil:
-		return answer, contextError(ctx)
+		return response, contextError(ctx)
 	}
-	return answer, err
+	return response, err
 }
 
 // rejectedBeforeExecution reports whether nothing was sent, or the upstream refused the
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -41,8 +41,8 @@
 		return upstream.CallResponse{}, s.recordRefusal(p.account.GetName(), err)
 	}
 	run := func(ctx context.Context) (idempotency.Response, error) {
-		answer, err := s.runCall(ctx, p)
-		return idempotency.Response(answer), err
+		response, err := s.runCall(ctx, p)
+		return idempotency.Response(response), err
 	}
 	var answer idempotency.Response
 	var err error
--- a/request/chat.go
+++ b/request/chat.go
@@ -82,7 +82,7 @@
 		return nil, result.New(result.MalformedRequest, "%v", err)
 	}
 	run.bound = body.tokenBound(declaredLimits(run.service), limit)
-	run.prompt = s.newRoutingAsk(ctx, run.account, run.service)
+	run.prompt = s.newRoutingRequest(ctx, run.account, run.service)
 	run.prompt.Priority = priority
 	run.prompt.Model, run.prompt.AnswerTokens = run.model, int(limit)
 	body.describePrompt(&run.prompt)
--- a/request/chatrun.go
+++ b/request/chatrun.go
@@ -96,7 +96,7 @@
 		if n > 0 && !r.server.acquireRetry(ctx, r.grant.Request().String(), retryBackoff) {
 			return last
 		}
-		pick, err := r.server.Picker.Pick(r.routingAsk(tried), r.server.candidateUpstreams(r.service.GetName()))
+		pick, err := r.server.Picker.Pick(r.routingRequest(tried), r.server.candidateUpstreams(r.service.GetName()))
 		if err != nil {
 			return firstError(last, err)
 		}
--- a/request/routingrequest.go
+++ b/request/routingrequest.go
@@ -10,30 +10,30 @@
 	"lavenderpin.dev/lavenderpin/routing/prefix"
 )
 
-// routingAsk returns the routing input for the next attempt.
-func (r *chatRun) routingAsk(tried map[string]bool) routing.Request {
-	ask := r.prompt
-	ask.Tried = tried
-	return ask
+// routingRequest returns the routing input for the next attempt.
+func (r *chatRun) routingRequest(tried map[string]bool) routing.Request {
+	params := r.prompt
+	params.Tried = tried
+	return params
 }
 
-// newRoutingAsk returns the admission and routing input for a request of an account.
-func (s *Server) newRoutingAsk(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Request {
-	ask := routing.Request{Service: service.GetName(), Region: s.Region,
+// newRoutingRequest returns the admission and routing input for a request of an account.
+func (s *Server) newRoutingRequest(ctx context.Context, account *operatorv1.Account, service *operatorv1.Service) routing.Request {
+	params := routing.Request{Service: service.GetName(), Region: s.Region,
 		Account: account.GetName(), Team: account.GetTeam(), Weight: account.GetWeight(), Priority: int(account.GetPriority())}
-	ask.Deadline, _ = ctx.Deadline()
-	return ask
+	params.Deadline, _ = ctx.Deadline()
+	return params
 }
 
-// describePrompt adds the prompt's prefix hashes and token estimate to ask. The prompt
+// describePrompt adds the prompt's prefix hashes and token estimate to params. The prompt
 // text is the contents of all messages, concatenated.
-func (b *chatBody) describePrompt(ask *routing.Request) {
+func (b *chatBody) describePrompt(params *routing.Request) {
 	var text prefix.Hasher
 	for _, raw := range b.messages {
 		text.Write(messageText(raw))
 	}
-	ask.Prefix = text.Hashes()
-	ask.PromptTokens = text.Tokens()
+	params.Prefix = text.Hashes()
+	params.PromptTokens = text.Tokens()
 }
 
 // messageText returns a message's content; the text parts of an array are concatenated.
