--- a/httpapi/chunkcost_test.go
+++ b/httpapi/chunkcost_test.go
@@ -121,7 +121,7 @@
 
 // LAVENDERPIN_MEASURE=1 prints how much latency a node adds to a chunk on loopback, compared
 // with direct requests to the same engine in the same run. Engine, node and callers share one
-// process, so the node's figures include the load of all three.
+// process, so the node's metrics include the load of all three.
 func TestChunkCost(t *testing.T) {
 	if os.Getenv("LAVENDERPIN_MEASURE") == "" {
 		return
--- a/httpapi/server.go
+++ b/httpapi/server.go
@@ -20,8 +20,9 @@
 	Requests() *request.Server
 	Addresses(key string) ([]membership.Address, time.Duration)
 	Events() *event.Recorder
+	// Serving returns nil if the node accepts requests, or else the error to answer with.
 	Serving() error
-	// Leaving reports whether the node is draining.
+	// Leaving reports whether the node is draining or has stopped.
 	Leaving() bool
 }
 
