--- a/budget/holder_test.go
+++ b/budget/holder_test.go
@@ -44,7 +44,7 @@
 // shareModel is the sequential specification of one share: a reservation is refused exactly
 // when too little is available or the right is revoked. One that passed the check of the right
 // just before the revocation may still take tokens after it; nothing is sent on it, since
-// Dispatch checks again (TestCutNodeCannotDispatchAfterItsClose in package node).
+// Dispatch checks again (TestIsolatedNodeCannotDispatchAfterClose in package node).
 var shareModel = porcupine.Model{
 	Init: func() any { return shareState{} },
 	Step: func(state, input, output any) (bool, any) {
--- a/budget/lender.go
+++ b/budget/lender.go
@@ -51,24 +51,24 @@
 // Reserve reserves as many of the requested tokens as the share has. A repeated call with the
 // same id returns the same answer. A part that was already settled is refused: messages can be
 // reordered, and the part would otherwise stay open forever.
-func (l *Lender) Reserve(from string, ask *fleetv1.Reserve) (*fleetv1.Reserved, error) {
+func (l *Lender) Reserve(from string, request *fleetv1.Reserve) (*fleetv1.Reserved, error) {
 	if !l.ledger.IsOpen(from) {
 		return nil, result.New(result.IncarnationClosed, "the borrower isn't open")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.hasEnded(ask.GetId()) {
-		return nil, result.New(result.ReservationEnded, "part %s has ended", ask.GetId())
+	if l.hasEnded(request.GetId()) {
+		return nil, result.New(result.ReservationEnded, "part %s has ended", request.GetId())
 	}
-	part := l.parts[ask.GetId()]
+	part := l.parts[request.GetId()]
 	if part == nil {
-		reservation, err := l.holder.ReserveUpTo(ask.GetBudget(), ask.GetTokens())
+		reservation, err := l.holder.ReserveUpTo(request.GetBudget(), request.GetTokens())
 		if err != nil {
 			return nil, err
 		}
-		part = &lentPart{LentPart{ask.GetId(), reservation.ID.String(), from, reservation.Tokens}, reservation}
-		l.parts[ask.GetId()] = part
-		l.events.Record(event.PartLent, "request", ask.GetRequest(), "part", part.Request, "tokens", part.Tokens, "borrower", from)
+		part = &lentPart{LentPart{request.GetId(), reservation.ID.String(), from, reservation.Tokens}, reservation}
+		l.parts[request.GetId()] = part
+		l.events.Record(event.PartLent, "request", request.GetRequest(), "part", part.Request, "tokens", part.Tokens, "borrower", from)
 	}
 	return &fleetv1.Reserved{
 		Tokens: part.Tokens, Request: part.Request, RightMs: uint64(max(0, l.holder.RightRemaining().Milliseconds())),
--- a/edgenode/testfleet_test.go
+++ b/edgenode/testfleet_test.go
@@ -103,10 +103,10 @@
 }
 
 // Fetch requests records from a node of the fleet.
-func (f *testFleet) Fetch(ctx context.Context, address string, ask peerfetch.Request, progress func()) (peerfetch.Reply, error) {
+func (f *testFleet) Fetch(ctx context.Context, address string, request peerfetch.Request, progress func()) (peerfetch.Reply, error) {
 	if n := f.reachable(address); n != nil {
 		progress()
-		return n.copies[ask.Topic].Handle(ctx, ask), nil
+		return n.copies[request.Topic].Handle(ctx, request), nil
 	}
 	<-ctx.Done()
 	return peerfetch.Reply{}, ctx.Err()
