--- a/httpapi/server_test.go
+++ b/httpapi/server_test.go
@@ -94,11 +94,11 @@
 	fleet := startFleet(t, devfleet.Options{})
 	ticket := send(t, "POST", "http://"+httpAddress(fleet, 1)+"/v1/tickets", nil, "")
 	is.Equal(ticket.status, 200)
-	var held struct{ Ticket string }
-	is.NoErr(json.Unmarshal([]byte(ticket.body), &held))
+	var issued struct{ Ticket string }
+	is.NoErr(json.Unmarshal([]byte(ticket.body), &issued))
 	for name, header := range map[string]map[string]string{
 		"by key":    {"Idempotency-Key": "order-1"},
-		"by ticket": {"X-Call-Ticket": held.Ticket},
+		"by ticket": {"X-Call-Ticket": issued.Ticket},
 	} {
 		for i := range fleet.Daemons {
 			got := send(t, "POST", "http://"+httpAddress(fleet, i)+"/s/orders/work", header, name)
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -83,7 +83,7 @@
 	span := Span{Call: h.since()}
 	ctx, cancel := clockwork.WithTimeout(context.Background(), h.clock, callerTimeout)
 	defer cancel()
-	answer := make(chan error, 1)
+	done := make(chan error, 1)
 	h.Go(func() {
 		h.onStep(fake.StepReserve, m.Address())
 		err := gate.Enter(ctx)
@@ -94,12 +94,12 @@
 			err = call(ctx)
 		}
 		if gate.Enter(context.Background()) == nil {
-			answer <- err
+			done <- err
 		}
 	})
 	outcome := Outcome{Lost: true}
 	select {
-	case err := <-answer:
+	case err := <-done:
 		outcome = outcomeOf(err)
 	case <-gate.Dead():
 		outcome.Message = nodeDiedMessage
@@ -146,18 +146,18 @@
 // Call calls the plain service through a node.
 func (h *Harness) Call(m *Member, account, method, body, key string) CallOp {
 	gate := m.Gate()
-	answers := make(chan upstream.CallResponse, 1)
+	responses := make(chan upstream.CallResponse, 1)
 	outcome, span := h.invoke(m, gate, func(ctx context.Context) error {
 		response, err := m.Node().Requests().Call(ctx, request.ServiceCall{
 			Key: accountKey + account, Service: plainService, Method: method, Path: "/", Body: []byte(body), IdempotencyKey: key,
 		})
-		answers <- response
+		responses <- response
 		return err
 	})
 	op := CallOp{Span: span, Outcome: outcome, Node: m.Address(), Budget: budgetOf(account), Body: body, Key: key, Idempotent: method == "GET"}
 	if outcome.OK() {
-		answer := <-answers
-		op.Answer = string(answer.Body)
+		response := <-responses
+		op.Answer = string(response.Body)
 	}
 	h.History.addCall(op)
 	return op
@@ -183,9 +183,9 @@
 		DataCentre: RegionHome + "-a", Draining: true, Slots: value}
 	versions := make(chan uint64, 1)
 	outcome, span := h.invoke(m, m.Gate(), func(ctx context.Context) error {
-		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: changeID, Changes: []*operatorv1.Change{{
+		response, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: changeID, Changes: []*operatorv1.Change{{
 			BaseVersion: current.GetVersion(), Resource: &operatorv1.Resource{Kind: &operatorv1.Resource_Upstream{Upstream: next}}}}})
-		versions <- answer.GetVersion()
+		versions <- response.GetVersion()
 		return err
 	})
 	op := ConfigOp{Span: span, Outcome: outcome, Node: m.Address(), ChangeID: changeID, Base: current.GetVersion(), Value: value}
--- a/internal/check/harness.go
+++ b/internal/check/harness.go
@@ -236,11 +236,11 @@
 			h.Network.PlaceInRegion(fake.Endpoint(u.GetName()), u.GetRegion())
 		}
 	}
-	answer, err := h.Members[0].operator.Apply(operatorContext(context.Background()), request)
+	response, err := h.Members[0].operator.Apply(operatorContext(context.Background()), request)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if !h.Await(startTimeout, func() bool { return h.allApplied(answer.GetVersion()) }) {
+	if !h.Await(startTimeout, func() bool { return h.allApplied(response.GetVersion()) }) {
 		return errors.New("the configuration is not in force on all nodes within the start timeout")
 	}
 	return nil
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -84,9 +84,9 @@
 	engine := upstreamResource(RegionHome, engineName(0, 0), engineService, leaving)
 	engine.GetUpstream().ChecksFencing = true
 	outcome, _ := h.invoke(m, m.Gate(), func(ctx context.Context) error {
-		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChangeID(),
+		response, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChangeID(),
 			Changes: []*operatorv1.Change{{AnyVersion: true, Resource: engine}}})
-		version <- answer.GetVersion()
+		version <- response.GetVersion()
 		return err
 	})
 	if !outcome.OK() {
--- a/internal/check/timeline_test.go
+++ b/internal/check/timeline_test.go
@@ -28,16 +28,16 @@
 		h.Members[1].Kill()
 		h.clock.Sleep(time.Minute)
 
-		told := map[string]bool{}
+		seen := map[string]bool{}
 		last := uint64(0)
-		answer := h.Members[0].Node().Timeline(context.Background(), op.Request, true)
-		for _, e := range answer.GetEvents() {
-			told[e.GetName()] = true
+		timeline := h.Members[0].Node().Timeline(context.Background(), op.Request, true)
+		for _, e := range timeline.GetEvents() {
+			seen[e.GetName()] = true
 			is.True(e.GetHlc() > last) // causal order, each event once
 			last = e.GetHlc()
 		}
 		for _, want := range []event.Number{event.RequestAdmitted, event.RequestDispatched, event.RequestFinished} {
-			is.True(told[want.Kind().Name])
+			is.True(seen[want.Kind().Name])
 		}
 	})
 }
--- a/node/copyevents.go
+++ b/node/copyevents.go
@@ -61,7 +61,7 @@
 	n.copiedEvents.RetainNodes(func(node string) bool { return node == name })
 	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, eventsTimeout)
 	defer cancel()
-	answer, err := n.deps.Peers.Call(ctx, member.Node.GetPeerAddress(), &fleetv1.Request{
+	response, err := n.deps.Peers.Call(ctx, member.Node.GetPeerAddress(), &fleetv1.Request{
 		From: n.Incarnation(), Hlc: uint64(n.events.Clock().Now()),
 		Body: &fleetv1.Request_EventsGather{EventsGather: &fleetv1.EventsGather{
 			After: max(1, uint64(n.copiedEvents.LastTimestamp(name))), Limit: eventCopyLimit,
@@ -70,8 +70,8 @@
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
-	n.copiedEvents.Add(name, eventsFromProto(answer.GetEvents().GetEvents()), answer.GetEvents().GetDropped())
+	n.events.Clock().Observe(event.Timestamp(response.GetHlc()))
+	n.copiedEvents.Add(name, eventsFromProto(response.GetEvents().GetEvents()), response.GetEvents().GetDropped())
 }
 
 // handleEventsGather returns the events after a stamp to a node that copies them, or else
--- a/node/timeline.go
+++ b/node/timeline.go
@@ -38,14 +38,14 @@
 func (n *Node) collectEvents(ctx context.Context, address, id string, into *operatorv1.EventsResponse) {
 	ctx, cancel := clockwork.WithTimeout(ctx, n.deps.Clock, eventsTimeout)
 	defer cancel()
-	answer, err := n.deps.Peers.Call(ctx, address, &fleetv1.Request{
+	response, err := n.deps.Peers.Call(ctx, address, &fleetv1.Request{
 		From: n.Incarnation(), Hlc: uint64(n.events.Clock().Now()),
 		Body: &fleetv1.Request_EventsGather{EventsGather: &fleetv1.EventsGather{Id: id}},
 	})
 	if err != nil {
 		return
 	}
-	n.events.Clock().Observe(event.Timestamp(answer.GetHlc()))
-	into.Events = append(into.Events, answer.GetEvents().GetEvents()...)
-	into.Dropped += answer.GetEvents().GetDropped()
+	n.events.Clock().Observe(event.Timestamp(response.GetHlc()))
+	into.Events = append(into.Events, response.GetEvents().GetEvents()...)
+	into.Dropped += response.GetEvents().GetDropped()
 }
--- a/request/call_test.go
+++ b/request/call_test.go
@@ -55,9 +55,9 @@
 	s, services := newPlainFixture(t, 2)
 	n := s.newServer("a")
 	services[0].DropResponses(1)
-	answer, err := n.Call(context.Background(), order("GET", "quote"))
+	response, err := n.Call(context.Background(), order("GET", "quote"))
 	is.NoErr(err)
-	is.Equal(string(answer.Body), "quote")
+	is.Equal(string(response.Body), "quote")
 	is.Equal(n.billedTokens(t), uint64(1))
 }
 
@@ -71,9 +71,9 @@
 	s.declareUpstream("a-closed", "orders", closed.Addr().String()) // tried first
 	s.apply()
 	n := s.newServer("a")
-	answer, err := n.Call(context.Background(), order("POST", "order"))
+	response, err := n.Call(context.Background(), order("POST", "order"))
 	is.NoErr(err)
-	is.Equal(string(answer.Body), "order")
+	is.Equal(string(response.Body), "order")
 	is.Equal(n.billedTokens(t), uint64(5))
 	s.declareUpstream("plain-0", "orders", closed.Addr().String())
 	s.apply()
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -117,11 +117,11 @@
 	}
 	return func(ctx context.Context, incarnation, address string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", p.account.GetName(), "key", p.call.IdempotencyKey, "to", incarnation)
-		answer, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
+		response, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
 			Account: p.account.GetName(), Service: p.call.Service, Method: p.call.Method, Path: p.call.Path,
 			Headers: p.call.Headers, Body: p.call.Body, Key: p.call.IdempotencyKey, Ticket: p.call.Ticket,
 		})
-		return idempotency.Response(answer), err
+		return idempotency.Response(response), err
 	}
 }
 
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -31,15 +31,15 @@
 	rec := newRecording(sink.Streams())
 	outcome := make(chan chatOutcome, 1)
 	go func() {
-		answer, err := s.runKeyedChat(ctx, account, call, rec, s.chatForwarder(account, call))
-		outcome <- chatOutcome{answer, err}
+		response, err := s.runKeyedChat(ctx, account, call, rec, s.chatForwarder(account, call))
+		outcome <- chatOutcome{response, err}
 	}()
 	return followRecording(rec, outcome, sink)
 }
 
 // chatOutcome is the result of a completion with an idempotency key.
 type chatOutcome struct {
-	answer idempotency.Response
+	response idempotency.Response
 	err    error
 }
 
@@ -105,7 +105,7 @@
 	if outcome.err != nil {
 		return outcome.err
 	}
-	return replay(outcome.answer.Body, sink)
+	return replay(outcome.response.Body, sink)
 }
 
 // chatForwarder returns the function that forwards a completion to its owner; nil without
@@ -116,16 +116,16 @@
 	}
 	return func(ctx context.Context, owner string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", account.GetName(), "key", call.IdempotencyKey, "to", owner)
-		answer, err := s.Peers.Forward(ctx, owner, "", &fleetv1.CallForward{
+		response, err := s.Peers.Forward(ctx, owner, "", &fleetv1.CallForward{
 			Account: account.GetName(), Method: chatMethod, Path: chatPath, Body: call.Body, Key: call.IdempotencyKey,
 		})
-		return idempotency.Response(answer), err
+		return idempotency.Response(response), err
 	}
 }
 
 // forwardedChat runs a completion that another node forwarded, or returns its saved answer.
 func (s *Server) forwardedChat(ctx context.Context, account *operatorv1.Account, f *fleetv1.CallForward) (upstream.CallResponse, error) {
 	call := ChatCall{Body: f.GetBody(), IdempotencyKey: f.GetKey()}
-	answer, err := s.runKeyedChat(ctx, account, call, newRecording(false), nil)
-	return upstream.CallResponse(answer), err
+	response, err := s.runKeyedChat(ctx, account, call, newRecording(false), nil)
+	return upstream.CallResponse(response), err
 }
