--- a/budget/grant.go
+++ b/budget/grant.go
@@ -27,10 +27,10 @@
 
 // Witness records requests on another node, so that it can settle them if this node dies.
 type Witness interface {
-	// Tell returns once another node has recorded the requests, or fails in bounded time.
-	Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error
-	// Ended records that a request is over and how many tokens it used.
-	Ended(request string, used uint64)
+	// RecordOpen returns once another node has recorded the requests, or fails in bounded time.
+	RecordOpen(ctx context.Context, open ...*fleetv1.OpenRequest) error
+	// RecordEnded records that a request is over and how many tokens it used.
+	RecordEnded(request string, used uint64)
 }
 
 // grant covers a request by a reservation from the node's own share, which may be of 0 tokens
@@ -57,7 +57,7 @@
 	}
 	if g.witness != nil {
 		g.witnessCalled.Store(true)
-		if err := g.witness.Tell(ctx, g.openRequests(upstream)...); err != nil {
+		if err := g.witness.RecordOpen(ctx, g.openRequests(upstream)...); err != nil {
 			return err
 		}
 	}
@@ -116,9 +116,9 @@
 	if !g.witnessCalled.Load() {
 		return
 	}
-	g.witness.Ended(g.own.ID.String(), used)
+	g.witness.RecordEnded(g.own.ID.String(), used)
 	for _, part := range g.parts {
-		g.witness.Ended(part.request, used)
+		g.witness.RecordEnded(part.request, used)
 	}
 }
 
--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -64,7 +64,7 @@
 	Peers    func() []Peer
 	// LogReachable reports whether a claim is likely to be answered; nil means always.
 	LogReachable func() bool
-	// Witness is told of each request before dispatch; nil disables this.
+	// Witness records each request before dispatch; nil disables this.
 	Witness Witness
 	// Stopped is closed when the node stops; nil means never.
 	Stopped <-chan struct{}
@@ -316,9 +316,9 @@
 	return open, frozen
 }
 
-// Folded credits tokens that the log granted or moved to this incarnation. It must be called
-// with each batch in offset order, before tickets get their verdicts.
-func (r *Reserver) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+// HandleFolded credits tokens that the log granted or moved to this incarnation. It must be
+// called with each batch in offset order, before tickets get their verdicts.
+func (r *Reserver) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	own := batch.GetWriter() == r.config.Holder.Incarnation()
 	for i, verdict := range verdicts {
 		if !verdict.OK() {
--- a/internal/bench/capacity/witness.go
+++ b/internal/bench/capacity/witness.go
@@ -56,10 +56,10 @@
 	for i := range n.Lookups {
 		open := &fleetv1.OpenRequest{Request: fmt.Sprintf("%s.%d", incarnationName(0), i), Budget: budgetName(i % activeBudgets),
 			Reserved: 700, Upstream: "engine-00012"}
-		if err := replicator.Tell(ctx, open); err != nil {
+		if err := replicator.RecordOpen(ctx, open); err != nil {
 			panic(err)
 		}
-		replicator.Ended(open.GetRequest(), 221)
+		replicator.RecordEnded(open.GetRequest(), 221)
 	}
 	elapsed := time.Since(start)
 	heldBytes := heapInUse() - before
--- a/internal/check/cell.go
+++ b/internal/check/cell.go
@@ -80,7 +80,7 @@
 	return record, run.coverage()
 }
 
-// Coverage tells whether a cell's faults were injected and met a mechanism to test.
+// Coverage reports whether a cell's faults were injected and met a mechanism to test.
 type Coverage struct {
 	Injected bool
 	// Missing names a step or mechanism that no node exercised.
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -67,10 +67,10 @@
 }
 
 func (b *budgets) batchApplied(batch *recordv1.Batch, verdicts []fold.Verdict) {
-	b.reserver.Folded(batch, verdicts)
-	b.witnessStore.Folded(batch, verdicts)
-	b.replicator.Folded(batch, verdicts)
-	b.watcher.Folded(batch, verdicts)
+	b.reserver.HandleFolded(batch, verdicts)
+	b.witnessStore.HandleFolded(batch, verdicts)
+	b.replicator.HandleFolded(batch, verdicts)
+	b.watcher.HandleFolded(batch, verdicts)
 }
 
 // logReachable reports whether an entry appended now is likely to be applied soon.
--- a/node/copyevents.go
+++ b/node/copyevents.go
@@ -74,7 +74,7 @@
 	n.copiedEvents.Add(name, eventsFromProto(response.GetEvents().GetEvents()), response.GetEvents().GetDropped())
 }
 
-// handleEventsGather returns the events after a stamp to a node that copies them, or else
+// handleEventsGather returns the events after a timestamp to a node that copies them, or else
 // every event with the requested ID that this node holds.
 func (n *Node) handleEventsGather(r *fleetv1.EventsGather) *operatorv1.EventsResponse {
 	if r.GetAfter() == 0 {
--- a/node/excludeleaving.go
+++ b/node/excludeleaving.go
@@ -12,7 +12,7 @@
 // configuration or the platform's list changes. Filtering for every request would, while an
 // upstream leaves, cost more than picking an upstream.
 type nonLeavingCache struct {
-	byService sync.Map // service name -> *stayingList
+	byService sync.Map // service name -> *nonLeavingList
 }
 
 // nonLeavingList is the cached result for one service. It is immutable.
--- a/prepaid/share.go
+++ b/prepaid/share.go
@@ -306,14 +306,14 @@
 // FirstGrant returns a channel that is closed once any grant has arrived.
 func (s *Share) FirstGrant() <-chan struct{} { return s.granted }
 
-// AccountStatus holds an account's figures on this node, for logs.
+// AccountStatus is an account's state on this node, for logs.
 type AccountStatus struct {
 	Spent, Reserved, Limit, Ceiling, Remaining int64
 	// LimitAge is the time since the start of the newest limit schedule.
 	LimitAge time.Duration
 }
 
-// Status returns an account's figures.
+// Status returns an account's state on this node.
 func (s *Share) Status(account string) AccountStatus {
 	now := s.clocks.Read()
 	s.mu.Lock()
--- a/recovery/watcher.go
+++ b/recovery/watcher.go
@@ -61,8 +61,8 @@
 	return &Watcher{self: self, clock: clock, ledger: ledger, logReachable: logReachable, heartbeats: map[string]heartbeatState{}}
 }
 
-// Folded records heartbeats; it must be called with each batch.
-func (w *Watcher) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+// HandleFolded records heartbeats; it must be called with each batch.
+func (w *Watcher) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
--- a/recovery/watcher_test.go
+++ b/recovery/watcher_test.go
@@ -34,7 +34,7 @@
 		Number: number, RightMs: uint64(testRight.Milliseconds()), Node: &recordv1.NodeInfo{PeerAddress: "n"},
 	}}}
 	verdict, _ := w.ledger.Apply(fold.Position{Offset: w.offset, Writer: "n"}, entry)
-	w.Folded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{entry}}, []fold.Verdict{verdict})
+	w.HandleFolded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{entry}}, []fold.Verdict{verdict})
 }
 
 // A node goes silent. Closing it before its right to spend has expired by its own clock,
--- a/witness/replicator.go
+++ b/witness/replicator.go
@@ -39,7 +39,7 @@
 	OnlyNode func() bool
 	// LogReachable reports whether settlements reach the log without delay.
 	LogReachable func() bool
-	// Required makes Tell fail if no witness could be reached, even while the log is
+	// Required makes RecordOpen fail if no witness could be reached, even while the log is
 	// reachable.
 	Required bool
 }
@@ -60,7 +60,7 @@
 
 var _ budget.Witness = (*Replicator)(nil)
 
-// NewReplicator returns a Replicator; Run must be running for Tell to succeed.
+// NewReplicator returns a Replicator; Run must be running for RecordOpen to succeed.
 func NewReplicator(config Config) *Replicator {
 	r := &Replicator{config: config, entries: map[string]*fleetv1.OpenRequest{}}
 	r.first = newWitnessQueue(r, config.Candidates, 0)
@@ -85,10 +85,10 @@
 	return append(otherDataCentres, sameDataCentre...)
 }
 
-// Tell implements budget.Witness. It fails with NoWitness if no witness could be reached
+// RecordOpen implements budget.Witness. It fails with NoWitness if no witness could be reached
 // and the policy requires one or the log is unreachable too: the node could then spend
 // tokens for hours, and the fleet would never learn of it if the node died.
-func (r *Replicator) Tell(ctx context.Context, open ...*fleetv1.OpenRequest) error {
+func (r *Replicator) RecordOpen(ctx context.Context, open ...*fleetv1.OpenRequest) error {
 	done := r.enqueue(open)
 	if r.config.OnlyNode() {
 		return nil
@@ -132,9 +132,9 @@
 	}
 }
 
-// Ended implements budget.Witness. A request that is billed nothing never appears in
+// RecordEnded implements budget.Witness. A request that is billed nothing never appears in
 // the log, so the witnesses are told to forget it.
-func (r *Replicator) Ended(request string, used uint64) {
+func (r *Replicator) RecordEnded(request string, used uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := r.entries[request]
@@ -181,9 +181,9 @@
 	return len(r.entries)
 }
 
-// Folded removes the requests that the log shows as settled. The witnesses fold the same
+// HandleFolded removes the requests that the log shows as settled. The witnesses fold the same
 // entries, so they need no message.
-func (r *Replicator) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+func (r *Replicator) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, verdict := range verdicts {
--- a/witness/replicator_test.go
+++ b/witness/replicator_test.go
@@ -89,22 +89,22 @@
 		replicator, peers := startReplicator(t)
 
 		began := time.Now()
-		is.NoErr(replicator.Tell(ctx, newOpenRequest("n.2")))
+		is.NoErr(replicator.RecordOpen(ctx, newOpenRequest("n.2")))
 		is.True(time.Since(began) < farDelay)
 		time.Sleep(secondBatchDelay + farDelay + time.Millisecond)
 		known, finished := peers.requestState("far", "n.2")
 		is.True(known && !finished)
 
-		replicator.Ended("n.2", 50)
+		replicator.RecordEnded("n.2", 50)
 		time.Sleep(secondBatchDelay + 2*farDelay)
 		_, finished = peers.requestState("far", "n.2")
 		is.True(finished)
 
 		peers.setDelay("far", time.Hour) // unreachable
-		is.NoErr(replicator.Tell(ctx, newOpenRequest("n.3")))
-		replicator.Ended("n.3", 50)
+		is.NoErr(replicator.RecordOpen(ctx, newOpenRequest("n.3")))
+		replicator.RecordEnded("n.3", 50)
 		time.Sleep(time.Minute)
-		is.NoErr(replicator.Tell(ctx, newOpenRequest("n.4"))) // requests go on with the first witness alone
+		is.NoErr(replicator.RecordOpen(ctx, newOpenRequest("n.4"))) // requests go on with the first witness alone
 		peers.setDelay("far", farDelay)
 		time.Sleep(2 * time.Second)
 		_, finished = peers.requestState("far", "n.3")
@@ -121,12 +121,12 @@
 		is := is.New(t)
 		ctx := t.Context()
 		replicator, peers := startReplicator(t)
-		is.NoErr(replicator.Tell(ctx, newOpenRequest("n.2")))
+		is.NoErr(replicator.RecordOpen(ctx, newOpenRequest("n.2")))
 		time.Sleep(time.Second)
 		before := peers.sentTo("far")
 		for _, request := range []string{"n.3", "n.4", "n.5", "n.6"} {
-			is.NoErr(replicator.Tell(ctx, newOpenRequest(request)))
-			replicator.Ended(request, 10)
+			is.NoErr(replicator.RecordOpen(ctx, newOpenRequest(request)))
+			replicator.RecordEnded(request, 10)
 		}
 		time.Sleep(time.Second)
 		is.Equal(peers.sentTo("far"), before+1)
--- a/witness/store.go
+++ b/witness/store.go
@@ -137,8 +137,8 @@
 	return s.count
 }
 
-// Folded removes the requests that the log shows as settled.
-func (s *Store) Folded(batch *recordv1.Batch, verdicts []fold.Verdict) {
+// HandleFolded removes the requests that the log shows as settled.
+func (s *Store) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, verdict := range verdicts {
--- a/witness/store_test.go
+++ b/witness/store_test.go
@@ -31,12 +31,12 @@
 		openRequest("n.1"), openRequest("n.2"), openRequest("n.3"), openRequest("n.4"), openRequest("o.1"),
 	}}))
 	settled := &recordv1.SettlementBatch{Incarnation: "n", OldestOpen: 3, Settlements: []*recordv1.Settlement{{Request: "n.3"}}}
-	store.Folded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{
+	store.HandleFolded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{
 		{Body: &recordv1.Entry_Settlements{Settlements: settled}},
 	}}, []fold.Verdict{{}})
 	is.Equal(store.Len(), 2) // n.4 and o.1
 	is.NoErr(store.Update("", &fleetv1.Witness{Forget: []string{"n.4"}}))
-	store.Folded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{
+	store.HandleFolded(&recordv1.Batch{Writer: "n", Entries: []*recordv1.Entry{
 		{Body: &recordv1.Entry_RecoveryDone{RecoveryDone: &recordv1.RecoveryDone{Incarnation: "o"}}},
 	}}, []fold.Verdict{{}})
 	is.Equal(store.Len(), 0)
