--- a/node/orders.go
+++ b/node/orders.go
@@ -6,11 +6,11 @@
 // lease.
 func (n *Node) newOrderExecutor() *orders.Executor {
 	return &orders.Executor{
-		LeaseHolder:  n.leases,
-		Client:  orders.HTTPClient{Upstreams: n.deps.Upstreams},
-		Weights: n.deps.Weights,
-		Config:  n.config.View,
-		Clock:   n.deps.Clock,
-		Events:  n.events,
+		LeaseHolder: n.leases,
+		Client:      orders.HTTPClient{Upstreams: n.deps.Upstreams},
+		Weights:     n.deps.Weights,
+		Config:      n.config.View,
+		Clock:       n.deps.Clock,
+		Events:      n.events,
 	}
 }
--- a/request/chatonce.go
+++ b/request/chatonce.go
@@ -40,7 +40,7 @@
 // chatOutcome is the result of a completion with an idempotency key.
 type chatOutcome struct {
 	response idempotency.Response
-	err    error
+	err      error
 }
 
 // asServiceCall returns the completion as a call with an empty service name.
