--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -148,10 +148,10 @@
 	gate := m.Gate()
 	responses := make(chan upstream.CallResponse, 1)
 	outcome, span := h.invoke(m, gate, func(ctx context.Context) error {
-		response, err := m.Node().Requests().Call(ctx, request.ServiceCall{
+		callResponse, err := m.Node().Requests().Call(ctx, request.ServiceCall{
 			Key: accountKey + account, Service: plainService, Method: method, Path: "/", Body: []byte(body), IdempotencyKey: key,
 		})
-		responses <- response
+		responses <- callResponse
 		return err
 	})
 	op := CallOp{Span: span, Outcome: outcome, Node: m.Address(), Budget: budgetOf(account), Body: body, Key: key, Idempotent: method == "GET"}
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -44,14 +44,14 @@
 		response, err := s.runCall(ctx, p)
 		return idempotency.Response(response), err
 	}
-	var answer idempotency.Response
+	var response idempotency.Response
 	var err error
 	if p.call.Ticket != "" {
-		answer, err = s.runWithTicket(ctx, p, run, forward)
+		response, err = s.runWithTicket(ctx, p, run, forward)
 	} else {
-		answer, err = s.runWithKey(ctx, p, run, forward)
+		response, err = s.runWithKey(ctx, p, run, forward)
 	}
-	return upstream.CallResponse(answer), err
+	return upstream.CallResponse(response), err
 }
 
 func (s *Server) validateKeyOrTicket(call ServiceCall) error {
