--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -51,10 +51,10 @@
 
 // ReserverConfig holds the dependencies and settings of a Reserver.
 type ReserverConfig struct {
-	Holder  *ShareHolder
-	Ledger  *Ledger
-	Journal Submitter
-	Events  *event.Recorder
+	Holder *ShareHolder
+	Ledger *Ledger
+	Log    Submitter
+	Events *event.Recorder
 	// ClaimChunk is the least that a request claims from the pool, in tokens, unless half the
 	// pool is less.
 	ClaimChunk uint64
@@ -156,7 +156,7 @@
 	}
 	pending := &pendingClaim{done: make(chan struct{})}
 	r.claims[budget] = pending
-	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
+	ticket := r.config.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareClaim{
 		ShareClaim: &recordv1.ShareClaim{Budget: budget, Tokens: tokens},
 	}})
 	go func() {
--- a/budget/sizer.go
+++ b/budget/sizer.go
@@ -94,7 +94,7 @@
 	if taken == 0 {
 		return
 	}
-	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareReturn{
+	ticket := r.config.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareReturn{
 		ShareReturn: &recordv1.ShareReturn{Budget: budget, Tokens: taken},
 	}})
 	go r.awaitTransfer(ticket, budget, taken, event.ShareReturned)
@@ -108,7 +108,7 @@
 		return &fleetv1.ShareAnswer{Left: r.config.Holder.Available(budget)}
 	}
 	taken := r.config.Holder.Debit(budget, tokens)
-	ticket := r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareMove{
+	ticket := r.config.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_ShareMove{
 		ShareMove: &recordv1.ShareMove{Budget: budget, To: to, Tokens: taken},
 	}})
 	go r.awaitTransfer(ticket, budget, taken, event.ShareMoved)
--- a/idempotency/runner.go
+++ b/idempotency/runner.go
@@ -26,7 +26,7 @@
 	maxClaimAttempts = 3
 )
 
-// Submitter queues an entry for the log. It is implemented by recordlog.Writer.
+// Submitter queues an entry for the log. recordlog.Writer implements it.
 type Submitter interface {
 	Submit(entry *recordv1.Entry) *recordlog.Ticket
 }
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -15,9 +15,9 @@
 	leavingDuration = 20 * time.Second
 )
 
-// LeavingPeriod is the period in which one incarnation had an upstream's leaving in force.
-// It starts when the node has folded the change, not when the node reports that it acts on
-// it.
+// LeavingPeriod is the period in which an upstream was leaving according to the configuration
+// in force on one incarnation. It starts when the node has folded the change, not when the node
+// reports that it acts on it.
 type LeavingPeriod struct {
 	Upstream    string
 	Incarnation string
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -39,7 +39,7 @@
 	// that nodes tried to send to any engine.
 	EngineOutages []fake.EngineOutage
 	Attempts      []fake.Attempt
-	// Leavings holds the periods in which nodes had the leaving of an upstream in force.
+	// Leavings holds the periods in which upstreams were leaving, for each incarnation.
 	Leavings []LeavingPeriod
 	// EngineDiedAlone reports that the only fault was the death of an engine.
 	EngineDiedAlone bool
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -34,7 +34,7 @@
 	incarnation string
 	term        time.Duration
 	table       *Table
-	journal     Submitter
+	log         Submitter
 	clock       clockwork.Clock
 	events      *event.Recorder
 
@@ -57,8 +57,8 @@
 
 // NewManager returns a manager that campaigns for no lease yet. term is how long a lease lasts
 // without renewal.
-func NewManager(incarnation string, term time.Duration, table *Table, journal Submitter, clock clockwork.Clock, events *event.Recorder) *Manager {
-	return &Manager{incarnation: incarnation, term: term, table: table, journal: journal, clock: clock, events: events,
+func NewManager(incarnation string, term time.Duration, table *Table, log Submitter, clock clockwork.Clock, events *event.Recorder) *Manager {
+	return &Manager{incarnation: incarnation, term: term, table: table, log: log, clock: clock, events: events,
 		candidacies: map[string]*candidacy{}}
 }
 
@@ -89,7 +89,7 @@
 	delete(m.candidacies, name)
 	m.mu.Unlock()
 	if c != nil && c.epoch != 0 {
-		m.journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_LeaseRelease{
+		m.log.Submit(&recordv1.Entry{Body: &recordv1.Entry_LeaseRelease{
 			LeaseRelease: &recordv1.LeaseRelease{Lease: name, Epoch: c.epoch},
 		}})
 		m.events.Record(event.LeaseLost, "lease", name, "epoch", c.epoch, "why", "released")
@@ -143,7 +143,7 @@
 }
 
 func (m *Manager) submit(ctx context.Context, name string, c *candidacy, started time.Time) {
-	ticket := m.journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_LeaseClaim{LeaseClaim: &recordv1.LeaseClaim{
+	ticket := m.log.Submit(&recordv1.Entry{Body: &recordv1.Entry_LeaseClaim{LeaseClaim: &recordv1.LeaseClaim{
 		Lease: name, Epoch: c.state.Epoch, TermMs: uint64(m.term.Milliseconds()), Renewal: c.state.Renewal,
 	}}})
 	go func() {
--- a/node/budgets.go
+++ b/node/budgets.go
@@ -44,7 +44,7 @@
 		watcher:      recovery.NewWatcher(n.Incarnation(), n.deps.Clock, n.ledger, n.logReachable),
 	}
 	b.reserver = budget.NewReserver(budget.ReserverConfig{
-		Holder: n.holder, Ledger: n.ledger, Journal: n.writer, Events: n.events, ClaimChunk: n.settings.ClaimChunk,
+		Holder: n.holder, Ledger: n.ledger, Log: n.writer, Events: n.events, ClaimChunk: n.settings.ClaimChunk,
 		Borrower: b.borrower, Peers: n.budgetPeers, LogReachable: n.logReachable, Witness: b.replicator,
 		Stopped: b.stopped,
 	})
--- a/node/recovery.go
+++ b/node/recovery.go
@@ -29,7 +29,7 @@
 
 func (n *Node) newRecoverer(b budgets) *recovery.Recoverer {
 	return recovery.New(recovery.Config{
-		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Journal: n.writer,
+		Incarnation: n.Incarnation(), Clock: n.deps.Clock, Ledger: n.ledger, Lender: b.lender, Log: n.writer,
 		Caller: n.deps.Peers, Events: n.events, Watcher: b.watcher, Store: b.witnessStore, Replicator: b.replicator,
 		Engines: n.recoveryEngines(), Suspect: n.isSuspect, LostAfter: n.settings.BudgetPolicy.LostAfter,
 		PlatformAddresses: n.instances.EntryAddresses, PeerAddress: n.settings.PeerAddress,
@@ -40,7 +40,7 @@
 
 func (n *Node) newSilentSettler(b budgets) *recovery.SilentSettler {
 	return recovery.NewSilentSettler(recovery.SilentSettlerConfig{
-		Clock: n.deps.Clock, Ledger: n.ledger, Journal: n.writer, Store: b.witnessStore, Events: n.events,
+		Clock: n.deps.Clock, Ledger: n.ledger, Log: n.writer, Store: b.witnessStore, Events: n.events,
 		Suspect: n.isSuspect, MayWrite: func() bool { return n.logReachable() && n.allApplyWitnessed() },
 	})
 }
--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -37,7 +37,7 @@
 	Clock       clockwork.Clock
 	Ledger      *budget.Ledger
 	Lender      *budget.Lender
-	Journal     budget.Submitter
+	Log         budget.Submitter
 	Caller      peer.Caller
 	Events      *event.Recorder
 	Watcher     *Watcher
@@ -130,7 +130,7 @@
 	r.pendingCloses = nil
 	for _, due := range r.config.Watcher.Due() {
 		r.config.Events.Record(event.ClosingSilent, "incarnation", due.GetIncarnation(), "heartbeat", due.GetLastHeartbeat())
-		r.pendingCloses = append(r.pendingCloses, r.config.Journal.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
+		r.pendingCloses = append(r.pendingCloses, r.config.Log.Submit(&recordv1.Entry{Body: &recordv1.Entry_Close{Close: due}}))
 	}
 }
 
@@ -241,7 +241,7 @@
 		if len(rc.queue) == 0 {
 			return
 		}
-		rc.pending = r.config.Journal.Submit(rc.queue[0])
+		rc.pending = r.config.Log.Submit(rc.queue[0])
 	}
 }
 
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -22,11 +22,11 @@
 
 // SilentSettlerConfig configures a SilentSettler.
 type SilentSettlerConfig struct {
-	Clock   clockwork.Clock
-	Ledger  *budget.Ledger
-	Journal budget.Submitter
-	Store   *witness.Store
-	Events  *event.Recorder
+	Clock  clockwork.Clock
+	Ledger *budget.Ledger
+	Log    budget.Submitter
+	Store  *witness.Store
+	Events *event.Recorder
 	// Suspect reports whether a node doesn't answer.
 	Suspect func(incarnation string) bool
 	// MayWrite reports whether the log is reachable and every node folds settlements that a
@@ -96,7 +96,7 @@
 		return
 	}
 	first := settlementEntries(incarnation, settlements)[0]
-	s.pending[incarnation] = s.config.Journal.Submit(first)
+	s.pending[incarnation] = s.config.Log.Submit(first)
 	tokens := uint64(0)
 	for _, settled := range first.GetSettlements().GetSettlements() {
 		tokens += settled.GetTokens()
--- a/recovery/silentsettler_test.go
+++ b/recovery/silentsettler_test.go
@@ -14,11 +14,11 @@
 	"lavenderpin.dev/lavenderpin/witness"
 )
 
-// journal records submitted entries and never returns a verdict.
-type journal struct{ entries []*recordv1.Entry }
+// fakeLog records submitted entries and never returns a verdict.
+type fakeLog struct{ entries []*recordv1.Entry }
 
-func (j *journal) Submit(entry *recordv1.Entry) *recordlog.Ticket {
-	j.entries = append(j.entries, entry)
+func (l *fakeLog) Submit(entry *recordv1.Entry) *recordlog.Ticket {
+	l.entries = append(l.entries, entry)
 	return &recordlog.Ticket{}
 }
 
@@ -28,9 +28,9 @@
 	is := is.New(t)
 	w := newTestWatcher()
 	w.heartbeat(1)
-	store, written := witness.NewStore(), &journal{}
+	store, written := witness.NewStore(), &fakeLog{}
 	silent, mayWrite := false, false
-	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Journal: written, Store: store,
+	s := NewSilentSettler(SilentSettlerConfig{Clock: w.clock, Ledger: w.ledger, Log: written, Store: store,
 		Events:  event.NewRecorder(event.NewHLC(clockwork.NewFakeClock()), "self", 10, log.NewNopLogger()),
 		Suspect: func(string) bool { return silent }, MayWrite: func() bool { return mayWrite }})
 	is.NoErr(store.Update("n", &fleetv1.Witness{Open: []*fleetv1.OpenRequest{
