--- a/budget/reserver.go
+++ b/budget/reserver.go
@@ -51,10 +51,10 @@
 
 // ReserverConfig holds the dependencies and settings of a Reserver.
 type ReserverConfig struct {
-	Holder  *ShareHolder
-	Ledger  *Ledger
-	Log Submitter
-	Events  *event.Recorder
+	Holder *ShareHolder
+	Ledger *Ledger
+	Log    Submitter
+	Events *event.Recorder
 	// ClaimChunk is the least that a request claims from the pool, in tokens, unless half the
 	// pool is less.
 	ClaimChunk uint64
@@ -64,7 +64,7 @@
 	Peers    func() []Peer
 	// LogReachable reports whether a claim is likely to be answered; nil means always.
 	LogReachable func() bool
-	// Witness is told of each request before dispatch; nil disables this.
+	// Witness records each request before dispatch; nil disables this.
 	Witness Witness
 	// Stopped is closed when the node stops; nil means never.
 	Stopped <-chan struct{}
@@ -316,8 +316,8 @@
 	return open, frozen
 }
 
-// HandleFolded credits tokens that the log granted or moved to this incarnation. It must be called
-// with each batch in offset order, before tickets get their verdicts.
+// HandleFolded credits tokens that the log granted or moved to this incarnation. It must be
+// called with each batch in offset order, before tickets get their verdicts.
 func (r *Reserver) HandleFolded(batch *recordv1.Batch, verdicts []fold.Verdict) {
 	own := batch.GetWriter() == r.config.Holder.Incarnation()
 	for i, verdict := range verdicts {
--- a/internal/check/deadengine_test.go
+++ b/internal/check/deadengine_test.go
@@ -23,8 +23,8 @@
 		}
 		return r
 	}
-	is.True(violates(Check(record(engineDeathDetectionLimit+1)), NoWorkForDeadEngine))
-	is.True(!violates(Check(record(engineDeathDetectionLimit)), NoWorkForDeadEngine))
+	is.True(violates(Check(record(outageDetectionLimit+1)), NoWorkForDeadEngine))
+	is.True(!violates(Check(record(outageDetectionLimit)), NoWorkForDeadEngine))
 }
 
 // Guards against a caller that gets an error when an engine dies during a response, though
--- a/internal/check/leaving.go
+++ b/internal/check/leaving.go
@@ -15,9 +15,9 @@
 	leavingDuration = 20 * time.Second
 )
 
-// LeavingPeriod is the period in which one incarnation had an upstream's leaving in force.
-// It starts when the node has folded the change, not when the node reports that it acts on
-// it.
+// LeavingPeriod is the period in which an upstream was leaving according to the configuration
+// in force on one incarnation. It starts when the node has folded the change, not when the node
+// reports that it acts on it.
 type LeavingPeriod struct {
 	Upstream    string
 	Incarnation string
@@ -84,9 +84,9 @@
 	engine := upstreamResource(RegionHome, engineName(0, 0), engineService, leaving)
 	engine.GetUpstream().ChecksFencing = true
 	outcome, _ := h.invoke(m, m.Gate(), func(ctx context.Context) error {
-		answer, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChangeID(),
+		response, err := m.operator.Apply(operatorContext(ctx), &operatorv1.ApplyRequest{ChangeId: "leaving-" + h.nextChangeID(),
 			Changes: []*operatorv1.Change{{AnyVersion: true, Resource: engine}}})
-		version <- answer.GetVersion()
+		version <- response.GetVersion()
 		return err
 	})
 	if !outcome.OK() {
--- a/internal/check/record.go
+++ b/internal/check/record.go
@@ -38,8 +38,8 @@
 	// EngineOutages holds the periods in which engines were dead, Attempts the completions
 	// that nodes tried to send to any engine.
 	EngineOutages []fake.EngineOutage
-	Attempts     []fake.Attempt
-	// Leavings holds the periods in which nodes had the leaving of an upstream in force.
+	Attempts      []fake.Attempt
+	// Leavings holds the periods in which upstreams were leaving, for each incarnation.
 	Leavings []LeavingPeriod
 	// EngineDiedAlone reports that the only fault was the death of an engine.
 	EngineDiedAlone bool
--- a/recovery/recoverer.go
+++ b/recovery/recoverer.go
@@ -37,7 +37,7 @@
 	Clock       clockwork.Clock
 	Ledger      *budget.Ledger
 	Lender      *budget.Lender
-	Log     budget.Submitter
+	Log         budget.Submitter
 	Caller      peer.Caller
 	Events      *event.Recorder
 	Watcher     *Watcher
--- a/recovery/silentsettler.go
+++ b/recovery/silentsettler.go
@@ -22,11 +22,11 @@
 
 // SilentSettlerConfig configures a SilentSettler.
 type SilentSettlerConfig struct {
-	Clock   clockwork.Clock
-	Ledger  *budget.Ledger
-	Log budget.Submitter
-	Store   *witness.Store
-	Events  *event.Recorder
+	Clock  clockwork.Clock
+	Ledger *budget.Ledger
+	Log    budget.Submitter
+	Store  *witness.Store
+	Events *event.Recorder
 	// Suspect reports whether a node doesn't answer.
 	Suspect func(incarnation string) bool
 	// MayWrite reports whether the log is reachable and every node folds settlements that a
--- a/request/callonce.go
+++ b/request/callonce.go
@@ -41,17 +41,17 @@
 		return upstream.CallResponse{}, s.recordRefusal(p.account.GetName(), err)
 	}
 	run := func(ctx context.Context) (idempotency.Response, error) {
-		answer, err := s.runCall(ctx, p)
-		return idempotency.Response(answer), err
+		response, err := s.runCall(ctx, p)
+		return idempotency.Response(response), err
 	}
-	var answer idempotency.Response
+	var response idempotency.Response
 	var err error
 	if p.call.Ticket != "" {
-		answer, err = s.runWithTicket(ctx, p, run, forward)
+		response, err = s.runWithTicket(ctx, p, run, forward)
 	} else {
-		answer, err = s.runWithKey(ctx, p, run, forward)
+		response, err = s.runWithKey(ctx, p, run, forward)
 	}
-	return upstream.CallResponse(answer), err
+	return upstream.CallResponse(response), err
 }
 
 func (s *Server) validateKeyOrTicket(call ServiceCall) error {
@@ -117,11 +117,11 @@
 	}
 	return func(ctx context.Context, incarnation, address string) (idempotency.Response, error) {
 		s.Events.Record(event.CallForwarded, "account", p.account.GetName(), "key", p.call.IdempotencyKey, "to", incarnation)
-		answer, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
+		response, err := s.Peers.Forward(ctx, incarnation, address, &fleetv1.CallForward{
 			Account: p.account.GetName(), Service: p.call.Service, Method: p.call.Method, Path: p.call.Path,
 			Headers: p.call.Headers, Body: p.call.Body, Key: p.call.IdempotencyKey, Ticket: p.call.Ticket,
 		})
-		return idempotency.Response(answer), err
+		return idempotency.Response(response), err
 	}
 }
 
--- a/witness/replicator.go
+++ b/witness/replicator.go
@@ -39,7 +39,7 @@
 	OnlyNode func() bool
 	// LogReachable reports whether settlements reach the log without delay.
 	LogReachable func() bool
-	// Required makes Tell fail if no witness could be reached, even while the log is
+	// Required makes RecordOpen fail if no witness could be reached, even while the log is
 	// reachable.
 	Required bool
 }
@@ -60,7 +60,7 @@
 
 var _ budget.Witness = (*Replicator)(nil)
 
-// NewReplicator returns a Replicator; Run must be running for Tell to succeed.
+// NewReplicator returns a Replicator; Run must be running for RecordOpen to succeed.
 func NewReplicator(config Config) *Replicator {
 	r := &Replicator{config: config, entries: map[string]*fleetv1.OpenRequest{}}
 	r.first = newWitnessQueue(r, config.Candidates, 0)
